--- a/crates/masticsill_dispatch/src/budget.rs
+++ b/crates/masticsill_dispatch/src/budget.rs
@@ -22,10 +22,10 @@
 /// in their windows than this entry does.
 const USED_SHARE: f64 = 0.85;
 /// Length of the pieces into which a window is counted.
-const PIECE_MS: u64 = 500;
+const BUCKET_MS: u64 = 500;
 
 #[derive(Clone, Copy, Debug)]
-struct Piece {
+struct Bucket {
     began_at: ClockMs,
     extra: u32,
     requests: u32,
@@ -34,7 +34,7 @@
 /// Counts requests and extra sends to one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    pieces: VecDeque<Piece>,
+    buckets: VecDeque<Bucket>,
     settings: BudgetSettings,
 }
 
@@ -43,14 +43,14 @@
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
-            pieces: VecDeque::new(),
+            buckets: VecDeque::new(),
             settings,
         }
     }
 
     /// Counts a caller's request to the service.
     pub fn note_request(&mut self, now: ClockMs) {
-        self.piece(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
     /// Counts an extra send if the budget allows it; returns whether it does.
@@ -61,7 +61,7 @@
         if left == 0 {
             return false;
         }
-        self.piece(now).extra += 1;
+        self.bucket(now).extra += 1;
         true
     }
 
@@ -69,11 +69,11 @@
     #[must_use]
     pub fn left(&self, now: ClockMs, entries: u32) -> u32 {
         let window = self
-            .pieces
+            .buckets
             .iter()
-            .filter(|piece| self.is_within(now, piece));
-        let (requests, extra) = window.fold((0, 0), |(requests, extra), piece| {
-            (requests + piece.requests, extra + piece.extra)
+            .filter(|bucket| self.is_within(now, bucket));
+        let (requests, extra) = window.fold((0, 0), |(requests, extra), bucket| {
+            (requests + bucket.requests, extra + bucket.extra)
         });
         let free = f64::from(self.settings.extra) / f64::from(entries.max(1));
         let bound = USED_SHARE * (self.settings.ratio * f64::from(requests) + free);
@@ -83,30 +83,30 @@
         bound.saturating_sub(extra)
     }
 
-    fn is_within(&self, now: ClockMs, piece: &Piece) -> bool {
-        now.since(piece.began_at) < self.settings.window_ms
+    fn is_within(&self, now: ClockMs, bucket: &Bucket) -> bool {
+        now.since(bucket.began_at) < self.settings.window_ms
     }
 
-    fn piece(&mut self, now: ClockMs) -> &mut Piece {
+    fn bucket(&mut self, now: ClockMs) -> &mut Bucket {
         while self
-            .pieces
+            .buckets
             .front()
             .is_some_and(|it| !self.is_within(now, it))
         {
-            self.pieces.pop_front();
+            self.buckets.pop_front();
         }
         let is_open = self
-            .pieces
+            .buckets
             .back()
-            .is_some_and(|it| now.since(it.began_at) < PIECE_MS);
+            .is_some_and(|it| now.since(it.began_at) < BUCKET_MS);
         if !is_open {
-            self.pieces.push_back(Piece {
+            self.buckets.push_back(Bucket {
                 began_at: now,
                 extra: 0,
                 requests: 0,
             });
         }
-        let last = self.pieces.len() - 1;
-        &mut self.pieces[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
--- a/crates/masticsill_dispatch/src/dispatcher.rs
+++ b/crates/masticsill_dispatch/src/dispatcher.rs
@@ -9,24 +9,24 @@
 use masticsill_registry::EndpointId;
 use masticsill_types::ClockMs;
 
+use crate::capacity::{Contention, Turns, has_capacity};
 use crate::endpoint::Endpoint;
 use crate::endpoints::EndpointTable;
 use crate::estimate::{latest_start, wait_ms};
-use crate::lane::{Lane, Need, Rank, Terms, Ticket, Waiting};
 use crate::placement::{Choice, Wanted, choose, suspect_zones};
 use crate::refusal::{Overload, refuse};
-use crate::room::{Turns, Waited, has_room};
+use crate::service_queue::{Need, Rank, ServiceQueue, Terms, Ticket, Waiting};
 
 /// Part of the aim (a tenth) after which a request that waits is refused or served for good: who
 /// has waited longer than that is not sent away any more.
-const COMMIT_SHARE: u64 = 10;
+const COMMIT_TARGET_DIVISOR: u64 = 10;
 /// The most of it: callers hear of a refusal within half a second.
-const MOST_COMMIT_MS: u64 = 400;
+const MAX_COMMIT_DELAY_MS: u64 = 400;
 /// Longest wait of what is late already: about two prompts of every engine's.
-const LATE_WAIT_MS: u64 = 3_000;
+const MAX_LATE_WAIT_MS: u64 = 3_000;
 /// Requests that may wait for one service at one entry: more than are ever served in time, so
 /// that a wrong estimate can't fill the memory.
-const MAX_WAITING: usize = 256;
+const MAX_QUEUED_REQUESTS: usize = 256;
 
 /// What surrounds a decision: where this entry is, and whom it may connect to.
 pub struct Surroundings<'a> {
@@ -61,7 +61,7 @@
 /// The requests that wait at this entry.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
-    lanes: IndexMap<String, Lane>,
+    queues: IndexMap<String, ServiceQueue>,
     last_ticket: u64,
 }
 
@@ -76,47 +76,47 @@
         around: &Surroundings<'_>,
         mut jitter: impl FnMut() -> f64,
     ) -> Decision {
-        let lane = self.lanes.entry(need.service.clone()).or_default();
-        lane.note_asked(now, terms);
-        let rank = rank_of(lane, now, table, need, terms);
-        let ahead = lane.ahead_of(rank);
-        let waited = lane.waited(now, now);
-        let makes_way = rank == Rank::Late && lane.is_pressed(now);
-        let choice = if ahead == 0 && !makes_way {
-            place(now, table, need, waited, around, &mut jitter)
+        let queue = self.queues.entry(need.service.clone()).or_default();
+        queue.note_workspace(now, terms);
+        let rank = rank_of(queue, now, table, need, terms);
+        let ahead = queue.ahead_of(rank);
+        let contention = queue.contention(now, now);
+        let yields = rank == Rank::Late && queue.is_overload_sustained(now);
+        let choice = if ahead == 0 && !yields {
+            place(now, table, need, contention, around, &mut jitter)
         } else {
             None
         };
-        if matches!(rank, Rank::ComeBack | Rank::Fresh) {
-            lane.note_room(choice.is_some());
+        if matches!(rank, Rank::Returning | Rank::New) {
+            queue.note_placement(choice.is_some());
         }
         if let Some(choice) = choice {
-            lane.note_start(now, need);
+            queue.note_start(now, need);
             return Decision::Send(choice);
         }
         let anybody = |_: &_| true;
         if choose(table, now, &wanted(need, around), anybody, &mut jitter).is_none() {
             return Decision::Nobody;
         }
-        lane.note_overloaded(now);
-        let wait_ms = wait_ms(lane, now, table, need, around.turns.entries, ahead);
+        queue.note_overloaded(now);
+        let wait_ms = wait_ms(queue, now, table, need, around.turns.entries, ahead);
         let is_in_time = match rank {
             Rank::Resume => true,
-            Rank::ComeBack | Rank::Fresh => {
-                let longest_ms = latest_start(lane, table, need, terms).since(now);
+            Rank::Returning | Rank::New => {
+                let longest_ms = latest_start(queue, table, need, terms).since(now);
                 let one_ms = (wait_ms / (ahead as u64 + 1)).max(1);
                 let places = usize::try_from(longest_ms / one_ms).unwrap_or(usize::MAX);
-                wait_ms <= longest_ms && !lane.has_its_part(terms, places)
+                wait_ms <= longest_ms && !queue.is_share_exhausted(terms, places)
             }
-            Rank::Late => !makes_way,
+            Rank::Late => !yields,
         };
-        if !is_in_time || lane.len() >= MAX_WAITING {
-            let overload = refuse(lane, now, terms, ahead, wait_ms, jitter());
+        if !is_in_time || queue.len() >= MAX_QUEUED_REQUESTS {
+            let overload = refuse(queue, now, terms, ahead, wait_ms, jitter());
             return Decision::Refuse(overload);
         }
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        lane.push(Waiting {
+        queue.push(Waiting {
             is_committed: rank == Rank::Resume,
             // A place is kept for a moment only.
             need: Need {
@@ -140,18 +140,25 @@
         around: &Surroundings<'_>,
         mut jitter: impl FnMut() -> f64,
     ) -> Option<Ended> {
-        for lane in self.lanes.values_mut().filter(|lane| !lane.is_empty()) {
-            if let Some(waiting) = take_overdue(lane, now, table, around.turns.entries) {
-                let ahead = lane.ahead_of(waiting.rank);
-                let wait_ms = wait_ms(lane, now, table, &waiting.need, around.turns.entries, ahead);
-                let overload = refuse(lane, now, &waiting.terms, ahead, wait_ms, jitter());
+        for queue in self.queues.values_mut().filter(|queue| !queue.is_empty()) {
+            if let Some(waiting) = take_expired(queue, now, table, around.turns.entries) {
+                let ahead = queue.ahead_of(waiting.rank);
+                let wait_ms = wait_ms(
+                    queue,
+                    now,
+                    table,
+                    &waiting.need,
+                    around.turns.entries,
+                    ahead,
+                );
+                let overload = refuse(queue, now, &waiting.terms, ahead, wait_ms, jitter());
                 return Some(Ended::Refuse(waiting.ticket, overload));
             }
-            let Some((ticket, choice)) = first_start(lane, now, table, around, &mut jitter) else {
+            let Some((ticket, choice)) = next_start(queue, now, table, around, &mut jitter) else {
                 continue;
             };
-            let waiting = lane.take(ticket)?;
-            lane.note_start(now, &waiting.need);
+            let waiting = queue.take(ticket)?;
+            queue.note_start(now, &waiting.need);
             return Some(Ended::Send(ticket, choice));
         }
         None
@@ -159,8 +166,8 @@
 
     /// Takes out a request whose caller has left.
     pub fn withdraw(&mut self, ticket: Ticket) {
-        for lane in self.lanes.values_mut() {
-            if lane.take(ticket).is_some() {
+        for queue in self.queues.values_mut() {
+            if queue.take(ticket).is_some() {
                 return;
             }
         }
@@ -169,39 +176,39 @@
     /// Whether more is asked of a service than fits.
     #[must_use]
     pub fn is_overloaded(&self, now: ClockMs, service: &str) -> bool {
-        let lane = self.lanes.get(service);
-        lane.is_some_and(|lane| lane.is_overloaded(now))
+        let queue = self.queues.get(service);
+        queue.is_some_and(|queue| queue.is_overloaded(now))
     }
 
     /// Services for which requests wait.
     pub fn waiting_services(&self) -> impl Iterator<Item = &str> {
-        let lanes = self.lanes.iter().filter(|(_, lane)| !lane.is_empty());
-        lanes.map(|(service, _)| service.as_str())
+        let queues = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        queues.map(|(service, _)| service.as_str())
     }
 
     /// Requests that wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.lanes.values().map(Lane::len).sum()
+        self.queues.values().map(ServiceQueue::len).sum()
     }
 }
 
 /// The first in order that can start, and where. One that finds no place holds up those behind it,
 /// or small requests would take every place before a large one; one that must avoid some endpoints
 /// does not.
-fn first_start(
-    lane: &Lane,
+fn next_start(
+    queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
     around: &Surroundings<'_>,
     jitter: &mut impl FnMut() -> f64,
 ) -> Option<(Ticket, Choice)> {
-    for waiting in lane.in_order() {
-        let waited = match waiting.rank {
-            Rank::Resume => Waited::Alone,
-            Rank::ComeBack | Rank::Fresh | Rank::Late => lane.waited(now, waiting.since),
+    for waiting in queue.in_order() {
+        let contention = match waiting.rank {
+            Rank::Resume => Contention::Uncontended,
+            Rank::Returning | Rank::New | Rank::Late => queue.contention(now, waiting.since),
         };
-        let choice = place(now, table, &waiting.need, waited, around, jitter);
+        let choice = place(now, table, &waiting.need, contention, around, jitter);
         if let Some(choice) = choice {
             return Some((waiting.ticket, choice));
         }
@@ -220,7 +227,7 @@
     now: ClockMs,
     table: &EndpointTable,
     need: &Need,
-    waited: Waited,
+    contention: Contention,
     around: &Surroundings<'_>,
     jitter: &mut impl FnMut() -> f64,
 ) -> Option<Choice> {
@@ -232,11 +239,11 @@
     let is_any_sound = table
         .iter()
         .any(|it| asked.is_candidate(it) && is_sound(it));
-    let room = |it: &Endpoint| {
-        let has_room = has_room(it, now, need, &around.turns, waited);
-        has_room && (is_sound(it) || !is_any_sound)
+    let capacity = |it: &Endpoint| {
+        let has_capacity = has_capacity(it, now, need, &around.turns, contention);
+        has_capacity && (is_sound(it) || !is_any_sound)
     };
-    choose(table, now, &asked, room, jitter)
+    choose(table, now, &asked, capacity, jitter)
 }
 
 fn wanted<'a>(need: &'a Need, around: &Surroundings<'a>) -> Wanted<'a> {
@@ -252,38 +259,46 @@
     }
 }
 
-fn rank_of(lane: &Lane, now: ClockMs, table: &EndpointTable, need: &Need, terms: &Terms) -> Rank {
+fn rank_of(
+    queue: &ServiceQueue,
+    now: ClockMs,
+    table: &EndpointTable,
+    need: &Need,
+    terms: &Terms,
+) -> Rank {
     if terms.is_resume {
         Rank::Resume
-    } else if now > latest_start(lane, table, need, terms) {
+    } else if now > latest_start(queue, table, need, terms) {
         Rank::Late
     } else if terms.has_come_back {
-        Rank::ComeBack
+        Rank::Returning
     } else {
-        Rank::Fresh
+        Rank::New
     }
 }
 
 /// Takes out a request that waits in vain. Each is looked at once more when it has waited for a
 /// while, by what is known then, and is served for good if it can still be in time.
-fn take_overdue(
-    lane: &mut Lane,
+fn take_expired(
+    queue: &mut ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
     entries: u32,
 ) -> Option<Waiting> {
     let mut committed = Vec::new();
     let mut overdue = None;
-    for (ahead, waiting) in lane.in_order().into_iter().enumerate() {
+    for (ahead, waiting) in queue.in_order().into_iter().enumerate() {
         let is_over = now >= waiting.terms.deadline_at;
-        let commit_ms = MOST_COMMIT_MS.min(waiting.terms.aim_ms / COMMIT_SHARE);
+        let commit_ms = MAX_COMMIT_DELAY_MS.min(waiting.terms.aim_ms / COMMIT_TARGET_DIVISOR);
         let is_due = !waiting.is_committed && now.since(waiting.since) >= commit_ms;
         let is_in_vain = is_due && {
-            let wait_ms = wait_ms(lane, now, table, &waiting.need, entries, ahead);
-            let latest = latest_start(lane, table, &waiting.need, &waiting.terms);
+            let wait_ms = wait_ms(queue, now, table, &waiting.need, entries, ahead);
+            let latest = latest_start(queue, table, &waiting.need, &waiting.terms);
             match waiting.rank {
-                Rank::Late => lane.is_pressed(now) || now.since(waiting.since) >= LATE_WAIT_MS,
-                Rank::Resume | Rank::ComeBack | Rank::Fresh => now + wait_ms > latest,
+                Rank::Late => {
+                    queue.is_overload_sustained(now) || now.since(waiting.since) >= MAX_LATE_WAIT_MS
+                }
+                Rank::Resume | Rank::Returning | Rank::New => now + wait_ms > latest,
             }
         };
         if is_over || is_in_vain {
@@ -294,6 +309,6 @@
             committed.push(waiting.ticket);
         }
     }
-    lane.commit(&committed);
-    lane.take(overdue?)
+    queue.commit(&committed);
+    queue.take(overdue?)
 }
--- a/crates/masticsill_dispatch/src/endpoint.rs
+++ b/crates/masticsill_dispatch/src/endpoint.rs
@@ -3,15 +3,15 @@
 use masticsill_registry::{Announcement, EndpointLoad, EndpointState};
 use masticsill_types::{ClockMs, NodeId};
 
+use crate::capacity::FULL_BACKOFF_MS;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::health::Health;
 use crate::reading::ReadingPace;
-use crate::room::FULL_MS;
 
 /// Time after which a prompt has been read, and what was told of it means nothing any more.
-const READ_MS: u64 = 1_500;
+const PEER_READING_TTL_MS: u64 = 1_500;
 /// How long another entry's word counts that an endpoint has failed it: endpoints come back.
-const TOLD_FAILING_MS: u64 = 1_000;
+const PEER_FAILURE_TTL_MS: u64 = 1_000;
 
 /// Requests of the other entries at an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -51,11 +51,11 @@
     /// Tokens that requests of this entry hold in its memory, copies included.
     pub held_tokens: u64,
     /// When it became known here that something ended there, which may have left room.
-    room_since: ClockMs,
+    capacity_since: ClockMs,
     /// Requests of this entry that it works on.
     pub in_flight: u32,
     /// Whether it was this entry's own work that ended there last.
-    is_left_here: bool,
+    is_freed_here: bool,
     /// Those of them whose prompt it still reads.
     pub reading: u32,
     /// How fast it reads prompts.
@@ -63,13 +63,13 @@
     /// Requests of the other entries, as a control replica told last.
     pub others: OtherLoad,
     /// When it told them.
-    others_told_at: Option<ClockMs>,
+    others_reported_at: Option<ClockMs>,
     /// Whether an answer said that the address belongs to another incarnation.
     pub(crate) is_replaced: bool,
     /// Order in which incarnations became known; a later one of an address goes first.
     pub(crate) order: u64,
     /// Control replicas that have not heard it for long.
-    silent_at: Vec<NodeId>,
+    silent_to: Vec<NodeId>,
 }
 
 impl Endpoint {
@@ -82,23 +82,23 @@
             health: Health::default(),
             held_tokens: 0,
             in_flight: 0,
-            is_left_here: false,
+            is_freed_here: false,
             is_replaced: false,
             order,
             others: OtherLoad::default(),
-            others_told_at: None,
+            others_reported_at: None,
             reading: 0,
             reading_pace: ReadingPace::default(),
-            room_since: ClockMs(0),
-            silent_at: Vec::new(),
+            capacity_since: ClockMs(0),
+            silent_to: Vec::new(),
         }
     }
 
     /// Takes a control replica's word of whether it has heard the incarnation lately.
-    pub(crate) fn note_word(&mut self, from: &NodeId, is_silent: bool) {
-        self.silent_at.retain(|node| node != from);
+    pub(crate) fn note_liveness(&mut self, from: &NodeId, is_silent: bool) {
+        self.silent_to.retain(|node| node != from);
         if is_silent {
-            self.silent_at.push(from.clone());
+            self.silent_to.push(from.clone());
         }
     }
 
@@ -123,7 +123,7 @@
     /// long ago has been read since, though nobody could say so.
     #[must_use]
     pub fn reading_total(&self, now: ClockMs) -> u32 {
-        if self.others_age_ms(now) < READ_MS {
+        if self.others_age_ms(now) < PEER_READING_TTL_MS {
             self.reading + self.others.reading
         } else {
             self.reading
@@ -133,18 +133,18 @@
     /// Age of what is known of the other entries' requests; none where nobody has told of any.
     #[must_use]
     pub fn others_age_ms(&self, now: ClockMs) -> u64 {
-        self.others_told_at.map_or(0, |at| now.since(at))
+        self.others_reported_at.map_or(0, |at| now.since(at))
     }
 
     /// Whether its last exchange failed here or elsewhere just now, so that it is left alone.
     #[must_use]
     pub fn is_held(&self, now: ClockMs) -> bool {
-        self.is_told_failing(now) || self.health.is_held(now)
+        self.is_reported_failing(now) || self.health.is_held(now)
     }
 
     /// Whether another entry told just now that it had failed it.
-    pub(crate) fn is_told_failing(&self, now: ClockMs) -> bool {
-        self.others.is_failing && self.others_age_ms(now) < TOLD_FAILING_MS
+    pub(crate) fn is_reported_failing(&self, now: ClockMs) -> bool {
+        self.others.is_failing && self.others_age_ms(now) < PEER_FAILURE_TTL_MS
     }
 
     /// Whether requests of any entry are there, as far as is known.
@@ -166,46 +166,46 @@
     /// Notes that a request of this entry, or a copy of its run, has ended there.
     pub fn note_left(&mut self, now: ClockMs) {
         self.full_until = None;
-        self.is_left_here = true;
-        self.room_since = now;
+        self.is_freed_here = true;
+        self.capacity_since = now;
     }
 
     /// Takes what the other entries have there.
-    pub(crate) fn take_others(&mut self, now: ClockMs, others: OtherLoad) {
+    pub(crate) fn update_others(&mut self, now: ClockMs, others: OtherLoad) {
         let is_less =
             others.reading < self.others.reading || others.held_tokens < self.others.held_tokens;
         let is_more =
             others.reading > self.others.reading || others.held_tokens > self.others.held_tokens;
         self.others = others;
-        self.others_told_at = Some(now);
+        self.others_reported_at = Some(now);
         if is_less || is_more {
-            self.is_left_here = false;
+            self.is_freed_here = false;
         }
         if is_less {
-            self.room_since = now;
+            self.capacity_since = now;
         }
     }
 
     /// Notes that what the other entries have there is not known any more.
     pub(crate) fn forget_others(&mut self) {
-        self.others_told_at = Some(ClockMs(0));
+        self.others_reported_at = Some(ClockMs(0));
     }
 
     /// For how long the room there has been known here.
     #[must_use]
-    pub fn room_known_ms(&self, now: ClockMs) -> u64 {
-        now.since(self.room_since)
+    pub fn capacity_known_ms(&self, now: ClockMs) -> u64 {
+        now.since(self.capacity_since)
     }
 
     /// Whether it was this entry's own work that left the room: nobody else knows of it yet.
     #[must_use]
-    pub fn is_left_here(&self) -> bool {
-        self.is_left_here
+    pub fn is_freed_here(&self) -> bool {
+        self.is_freed_here
     }
 
     /// Notes that it refused a request for want of room.
     pub fn note_full(&mut self, now: ClockMs) {
-        self.full_until = Some(now + FULL_MS);
+        self.full_until = Some(now + FULL_BACKOFF_MS);
     }
 
     /// Whether it has just refused for want of room.
@@ -217,6 +217,6 @@
     /// Whether every control replica that knows it has not heard it for long.
     #[must_use]
     pub fn is_silent(&self) -> bool {
-        !self.silent_at.is_empty()
+        !self.silent_to.is_empty()
     }
 }
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -13,11 +13,11 @@
 use crate::health::Failure;
 
 /// Endpoints of a zone that are at work when their common silence tells of the zone.
-const WORKING_ENDPOINTS: usize = 2;
+const MIN_BUSY_ENDPOINTS: usize = 2;
 /// Silence of each of them: above the usual gap between events beside a long prompt (180 ms).
-const STILL_MS: u64 = 250;
+const ZONE_SILENCE_MS: u64 = 250;
 /// Incarnations that have ended and are still remembered.
-const MAX_ENDED: usize = 512;
+const MAX_ENDED_INCARNATIONS: usize = 512;
 
 /// Prompts that are being read.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,7 +36,7 @@
     /// The newest life of each name.
     lives: IndexMap<String, Life>,
     /// When the other entries' requests in each zone were told last.
-    loads_told_at: IndexMap<ZoneId, ClockMs>,
+    loads_reported_at: IndexMap<ZoneId, ClockMs>,
 }
 
 impl EndpointTable {
@@ -49,12 +49,12 @@
             if self.is_outlived(id) {
                 continue;
             }
-            changed.extend(self.end_former_life(id));
+            changed.extend(self.end_previous_incarnation(id));
             if self.merge_one(from, record) {
                 changed.push(id.clone());
             }
         }
-        self.drop_replaced();
+        self.mark_replaced();
         changed
     }
 
@@ -64,7 +64,7 @@
             self.insert(from, record);
             return true;
         };
-        known.note_word(from, record.is_silent);
+        known.note_liveness(from, record.is_silent);
         let state = known.announcement.state;
         match known.announcement.join(announcement) {
             Joined::Same => false,
@@ -85,30 +85,30 @@
     ///
     /// It stays in the table with what this entry still has there, so that nothing of it is counted
     /// at its successor.
-    fn end_former_life(&mut self, newest: &EndpointId) -> Option<EndpointId> {
+    fn end_previous_incarnation(&mut self, newest: &EndpointId) -> Option<EndpointId> {
         let life = self.lives.insert(newest.name.clone(), newest.life)?;
         if life == newest.life {
             return None;
         }
-        let former = EndpointId {
+        let previous = EndpointId {
             life,
             name: newest.name.clone(),
         };
-        let endpoint = self.endpoints.get_mut(&former)?;
+        let endpoint = self.endpoints.get_mut(&previous)?;
         endpoint.announcement.state = EndpointState::Gone;
-        Some(former)
+        Some(previous)
     }
 
     fn insert(&mut self, from: &NodeId, record: &EndpointRecord) {
         self.last_order += 1;
         let mut endpoint = Endpoint::new(record.announcement.clone(), self.last_order);
-        endpoint.note_word(from, record.is_silent);
+        endpoint.note_liveness(from, record.is_silent);
         let id = record.announcement.id.clone();
         self.endpoints.insert(id, endpoint);
     }
 
     /// A later incarnation at an address ends the earlier ones there.
-    fn drop_replaced(&mut self) {
+    fn mark_replaced(&mut self) {
         let mut newest: IndexMap<SocketAddr, u64> = IndexMap::new();
         for endpoint in self.endpoints.values().filter(|it| it.is_ready()) {
             let order = newest.entry(endpoint.announcement.address).or_default();
@@ -123,8 +123,8 @@
         let is_over = |it: &Endpoint| !it.is_ready() && it.in_flight == 0;
         // Endings are remembered while other control replicas may still tell of the life before.
         let over = self.endpoints.values().filter(|it| is_over(it)).count();
-        if over > MAX_ENDED {
-            let mut left_over = over - MAX_ENDED;
+        if over > MAX_ENDED_INCARNATIONS {
+            let mut left_over = over - MAX_ENDED_INCARNATIONS;
             self.endpoints.retain(|_, endpoint| {
                 let is_dropped = left_over > 0 && is_over(endpoint);
                 left_over -= usize::from(is_dropped);
@@ -160,20 +160,20 @@
     /// Age of what is known of the other entries' requests in a zone.
     #[must_use]
     pub fn loads_age_ms(&self, now: ClockMs, zone: &ZoneId) -> Option<u64> {
-        let told_at = self.loads_told_at.get(zone)?;
-        Some(now.since(*told_at))
+        let reported_at = self.loads_reported_at.get(zone)?;
+        Some(now.since(*reported_at))
     }
 
     /// Takes what the other entries have at the endpoints of a zone.
     pub fn take_loads(&mut self, now: ClockMs, zone: &ZoneId, loads: &[EndpointLoad]) {
-        self.loads_told_at.insert(zone.clone(), now);
-        let told: IndexMap<&EndpointId, &EndpointLoad> =
+        self.loads_reported_at.insert(zone.clone(), now);
+        let reported: IndexMap<&EndpointId, &EndpointLoad> =
             loads.iter().map(|load| (&load.id, load)).collect();
         for endpoint in self.endpoints.values_mut() {
             if endpoint.announcement.zone == *zone {
-                let load = told.get(&endpoint.announcement.id);
+                let load = reported.get(&endpoint.announcement.id);
                 let others = load.map(|load| OtherLoad::from(*load));
-                endpoint.take_others(now, others.unwrap_or_default());
+                endpoint.update_others(now, others.unwrap_or_default());
             }
         }
     }
@@ -181,7 +181,7 @@
     /// Notes that nobody tells any more what the other entries have in a zone: what was told last
     /// counts as long past.
     pub fn forget_loads(&mut self, zone: &ZoneId) {
-        self.loads_told_at.swap_remove(zone);
+        self.loads_reported_at.swap_remove(zone);
         let endpoints = self.endpoints.values_mut();
         for endpoint in endpoints.filter(|it| it.announcement.zone == *zone) {
             endpoint.forget_others();
@@ -191,7 +191,7 @@
     /// Takes what the other entries have at the endpoint of a place that was handed out here.
     pub fn take_place(&mut self, now: ClockMs, load: &EndpointLoad) {
         if let Some(endpoint) = self.endpoints.get_mut(&load.id) {
-            endpoint.take_others(now, OtherLoad::from(load));
+            endpoint.update_others(now, OtherLoad::from(load));
         }
     }
 
@@ -212,8 +212,8 @@
     }
 
     /// Time of an answer, or of an event, at the middle one of a service's endpoints.
-    pub(crate) fn usual_pace_ms(&self, service: &str) -> Option<f64> {
-        self.middle_of(service, |it| it.health.pace_ms())
+    pub(crate) fn median_pace_ms(&self, service: &str) -> Option<f64> {
+        self.median_of(service, |it| it.health.pace_ms())
     }
 
     /// Prompts that the endpoints of a service read.
@@ -227,12 +227,12 @@
     }
 
     /// Milliseconds that a token of a prompt takes at the middle one of a service's engines.
-    pub(crate) fn usual_ms_per_token(&self, service: &str) -> Option<f64> {
-        self.middle_of(service, |it| it.reading_pace.ms_per_token())
+    pub(crate) fn median_ms_per_token(&self, service: &str) -> Option<f64> {
+        self.median_of(service, |it| it.reading_pace.ms_per_token())
     }
 
     /// The middle one of what is known of a service's endpoints.
-    fn middle_of(&self, service: &str, of: impl Fn(&Endpoint) -> Option<f64>) -> Option<f64> {
+    fn median_of(&self, service: &str, of: impl Fn(&Endpoint) -> Option<f64>) -> Option<f64> {
         let known = self.of_service(service).filter_map(of);
         let mut known: Vec<f64> = known.collect();
         known.sort_by(f64::total_cmp);
@@ -259,21 +259,21 @@
             endpoint.is_replaced = true;
         }
         let failed = endpoint.announcement.clone();
-        failure == Failure::Stalled && self.is_zone_still(now, &failed)
+        failure == Failure::Stalled && self.is_zone_stalled(now, &failed)
     }
 
     /// Whether no endpoint of the zone and service says anything, though several are at work.
     ///
     /// One that does speaks for its neighbours: then a single endpoint is slow, not the zone down.
-    fn is_zone_still(&self, now: ClockMs, failed: &Announcement) -> bool {
-        let is_neighbour = |it: &&Endpoint| {
+    fn is_zone_stalled(&self, now: ClockMs, failed: &Announcement) -> bool {
+        let is_busy_neighbor = |it: &&Endpoint| {
             it.announcement.service == failed.service
                 && it.announcement.zone == failed.zone
                 && it.in_flight > 0
         };
-        let mut working = self.endpoints.values().filter(is_neighbour);
-        let is_still = |it: &Endpoint| !it.health.is_heard_within(now, STILL_MS);
-        let count = working.clone().count();
-        count >= WORKING_ENDPOINTS && working.all(is_still)
+        let mut busy = self.endpoints.values().filter(is_busy_neighbor);
+        let is_stalled = |it: &Endpoint| !it.health.is_heard_within(now, ZONE_SILENCE_MS);
+        let count = busy.clone().count();
+        count >= MIN_BUSY_ENDPOINTS && busy.all(is_stalled)
     }
 }
--- a/crates/masticsill_dispatch/src/estimate.rs
+++ b/crates/masticsill_dispatch/src/estimate.rs
@@ -3,39 +3,41 @@
 use masticsill_types::ClockMs;
 
 use crate::endpoints::EndpointTable;
-use crate::lane::{Lane, Need, Terms, Work};
+use crate::service_queue::{Need, ServiceQueue, Terms, Work};
 
 /// How much longer than the usual prompt one may be that is still answered in time after the
 /// longest wait. One bound for all: with each prompt's own, long ones would be refused first.
-const LONG_PROMPT: f64 = 1.5;
+const LONG_PROMPT_FACTOR: f64 = 1.5;
 /// Part of the aim kept free for the way to the endpoint and back, and for what is not foreseen.
-const MARGIN_SHARE: u64 = 15;
+const MARGIN_DIVISOR: u64 = 15;
 /// Part of an entry's even share of all starts that it counts on: engines full of runs begin fewer
 /// prompts than they could read.
-const PART_OF_ALL: f64 = 0.75;
+const FAIR_SHARE_USED: f64 = 0.75;
 
 /// When a request must be sent to be answered in time.
 pub(crate) fn latest_start(
-    lane: &Lane,
+    queue: &ServiceQueue,
     table: &EndpointTable,
     need: &Need,
     terms: &Terms,
 ) -> ClockMs {
-    let usual_ms = usual_work_ms(lane, table, need) * LONG_PROMPT;
+    let usual_ms = typical_work_ms(queue, table, need) * LONG_PROMPT_FACTOR;
     // The time is positive and far below the type's range.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let usual_ms = usual_ms as u64;
-    terms.aim_at.before(usual_ms + terms.aim_ms / MARGIN_SHARE)
+    terms
+        .aim_at
+        .before(usual_ms + terms.aim_ms / MARGIN_DIVISOR)
 }
 
 /// Time from a usual request's start to its first event, with nothing before it.
-fn usual_work_ms(lane: &Lane, table: &EndpointTable, need: &Need) -> f64 {
+fn typical_work_ms(queue: &ServiceQueue, table: &EndpointTable, need: &Need) -> f64 {
     match need.work {
         Work::Stream { .. } => {
-            let ms_per_token = table.usual_ms_per_token(&need.service);
-            ms_per_token.unwrap_or_default() * lane.usual_prompt_tokens()
+            let ms_per_token = table.median_ms_per_token(&need.service);
+            ms_per_token.unwrap_or_default() * queue.average_prompt_tokens()
         }
-        Work::Whole => table.usual_pace_ms(&need.service).unwrap_or_default(),
+        Work::Whole => table.median_pace_ms(&need.service).unwrap_or_default(),
     }
 }
 
@@ -51,14 +53,14 @@
     clippy::cast_sign_loss
 )]
 pub(crate) fn wait_ms(
-    lane: &Lane,
+    queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
     need: &Need,
     entries: u32,
     ahead: usize,
 ) -> u64 {
-    let work_ms = usual_work_ms(lane, table, need).max(1.0);
+    let work_ms = typical_work_ms(queue, table, need).max(1.0);
     let (own, all) = match need.work {
         Work::Stream { .. } => {
             let reading = table.reading(now, &need.service);
@@ -69,8 +71,8 @@
     };
     let own = f64::from(own) * 1_000.0 / work_ms;
     let all = f64::from(all) * 1_000.0 / work_ms;
-    let part = all * PART_OF_ALL / f64::from(entries.max(1));
-    let rate = lane.starts_per_s(now).unwrap_or(own).max(part);
+    let part = all * FAIR_SHARE_USED / f64::from(entries.max(1));
+    let rate = queue.starts_per_s(now).unwrap_or(own).max(part);
     if rate <= 0.0 {
         return work_ms as u64;
     }
--- a/crates/masticsill_dispatch/src/health.rs
+++ b/crates/masticsill_dispatch/src/health.rs
@@ -3,9 +3,9 @@
 use masticsill_types::ClockMs;
 
 /// First time that an endpoint is left alone after a failure.
-const FIRST_HOLD_MS: u64 = 150;
+const INITIAL_BACKOFF_MS: u64 = 150;
 /// Longest time that an endpoint is left alone: one request then finds out.
-const LONGEST_HOLD_MS: u64 = 1_200;
+const MAX_BACKOFF_MS: u64 = 1_200;
 /// Weight of the newest observation in a moving average.
 const NEWEST_WEIGHT: f64 = 0.15;
 
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Share of answers that were failures, as a moving average.
-    error_share: f64,
+    error_rate: f64,
     failures: u32,
     /// When a byte of an answer came last.
     heard_at: Option<ClockMs>,
-    held_until: Option<ClockMs>,
+    backoff_until: Option<ClockMs>,
     last_failure_at: Option<ClockMs>,
     /// Time that it takes for one unit of work, as a moving average: an answer of a plain
     /// service, an event of an engine.
@@ -56,17 +56,17 @@
 impl Health {
     /// Notes a failed exchange; the endpoint is left alone, longer each time.
     pub fn note_failure(&mut self, now: ClockMs) {
-        let doubled = FIRST_HOLD_MS << self.failures.min(8);
+        let doubled = INITIAL_BACKOFF_MS << self.failures.min(8);
         self.failures += 1;
-        self.held_until = Some(now + doubled.min(LONGEST_HOLD_MS));
+        self.backoff_until = Some(now + doubled.min(MAX_BACKOFF_MS));
         self.last_failure_at = Some(now);
-        self.error_share = blend(self.error_share, 1.0);
+        self.error_rate = moving_average(self.error_rate, 1.0);
     }
 
     /// Takes the last failure back: what was thought to have failed goes on.
     pub fn take_back_failure(&mut self) {
         self.failures = self.failures.saturating_sub(1);
-        self.held_until = None;
+        self.backoff_until = None;
         self.last_failure_at = None;
     }
 
@@ -84,8 +84,8 @@
     /// Notes the head of an answer.
     pub fn note_answer(&mut self, is_error: bool) {
         self.failures = 0;
-        self.held_until = None;
-        self.error_share = blend(self.error_share, if is_error { 1.0 } else { 0.0 });
+        self.backoff_until = None;
+        self.error_rate = moving_average(self.error_rate, if is_error { 1.0 } else { 0.0 });
     }
 
     /// Notes the time that one unit of work took.
@@ -96,13 +96,13 @@
         #[allow(clippy::cast_precision_loss)]
         let pace_ms = pace_ms as f64;
         let before = self.pace_ms.unwrap_or(pace_ms);
-        self.pace_ms = Some(blend(before, pace_ms));
+        self.pace_ms = Some(moving_average(before, pace_ms));
     }
 
     /// Whether the endpoint is left alone now.
     #[must_use]
     pub fn is_held(&self, now: ClockMs) -> bool {
-        self.held_until.is_some_and(|until| now < until)
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     /// Whether an exchange failed within a time.
@@ -114,8 +114,8 @@
 
     /// Share of answers that were failures.
     #[must_use]
-    pub fn error_share(&self) -> f64 {
-        self.error_share
+    pub fn error_rate(&self) -> f64 {
+        self.error_rate
     }
 
     /// Usual time of one unit of work.
@@ -125,6 +125,6 @@
     }
 }
 
-fn blend(before: f64, newest: f64) -> f64 {
+fn moving_average(before: f64, newest: f64) -> f64 {
     before + (newest - before) * NEWEST_WEIGHT
 }
--- a/crates/masticsill_dispatch/src/lib.rs
+++ b/crates/masticsill_dispatch/src/lib.rs
@@ -5,6 +5,7 @@
 //! deployment: what an endpoint can bear is learned from its answers.
 
 mod budget;
+mod capacity;
 mod concurrency_limit;
 mod dispatcher;
 mod endpoint;
@@ -12,23 +13,22 @@
 mod entries;
 mod estimate;
 mod health;
-mod lane;
-mod patience;
 mod placement;
+mod prior_wait;
 mod reading;
 mod refusal;
-mod room;
+mod service_queue;
 
 pub use budget::{BudgetSettings, RetryBudget};
+pub use capacity::{Turns, has_memory_for_copy};
 pub use concurrency_limit::ConcurrencyLimit;
 pub use dispatcher::{Decision, Dispatcher, Ended, Surroundings};
 pub use endpoint::{Endpoint, OtherLoad};
 pub use endpoints::EndpointTable;
 pub use entries::EntryCount;
 pub use health::{Failure, Health};
-pub use lane::{Need, Terms, Ticket, Work};
-pub use patience::CallerPatience;
 pub use placement::{Choice, Wanted, ZoneShare, choose, choose_holder, suspect_zones};
+pub use prior_wait::CallerPatience;
 pub use reading::ReadingPace;
 pub use refusal::Overload;
-pub use room::{Turns, has_memory_for_copy};
+pub use service_queue::{Need, Terms, Ticket, Work};
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -16,7 +16,7 @@
 const READING_COST: f64 = 1.5;
 /// What a token costs less that an engine keeps: 8,000 of them are read in a second, which all
 /// streams there would spend at a sixth of their pace.
-const KEPT_GAIN: f64 = 6.0 / 8_000.0;
+const KEPT_TOKEN_GAIN: f64 = 6.0 / 8_000.0;
 /// Tokens beyond which nothing more is gained: no load is worth a longer queue.
 const MAX_KEPT_TOKENS: u64 = 12_000;
 /// What an endpoint costs that fails every answer, in requests in flight.
@@ -24,24 +24,24 @@
 /// What a silent endpoint costs: it is used only where no other is left.
 const SILENT_COST: f64 = 1_000.0;
 /// What an endpoint costs that is left alone after a failure: below silence, above all else.
-const HELD_COST: f64 = 500.0;
+const BACKOFF_COST: f64 = 500.0;
 /// What an endpoint costs while its zone has just failed elsewhere.
 const SUSPECT_ZONE_COST: f64 = 50.0;
 /// Endpoints of a zone that have just failed when the zone itself is suspect.
-const SUSPECT_ENDPOINTS: usize = 2;
+const MIN_SUSPECT_FAILURES: usize = 2;
 /// How long the failures of neighbours count against a zone.
-const SUSPECT_MS: u64 = 700;
+const SUSPECT_WINDOW_MS: u64 = 700;
 /// How many times slower than usual an endpoint may count, so that no measure outweighs a failure.
 const MAX_SLOWNESS: f64 = 5.0;
 /// What an endpoint costs less at which a place was handed out to the request: nobody else begins
 /// there now, as may be at those that only look idle.
-const PLACE_GAIN: f64 = 3.0;
+const RESERVATION_GAIN: f64 = 3.0;
 /// Age at which what was told of the other entries' requests says nothing any more of a single
 /// endpoint: by then an engine has read a prompt. Each is taken to do as much as the usual one, so
 /// that entries which hear nothing new don't all go on to the ones that were idle once.
-const FORGOTTEN_MS: u64 = 1_000;
+const STALE_LOAD_MS: u64 = 1_000;
 /// Longest of the random differences that keep entries from choosing alike.
-const JITTER: f64 = 0.5;
+const MAX_JITTER_COST: f64 = 0.5;
 
 /// What a request wants of an endpoint.
 #[derive(Clone, Debug)]
@@ -124,17 +124,18 @@
     table: &EndpointTable,
     now: ClockMs,
     wanted: &Wanted<'_>,
-    has_room: impl Fn(&Endpoint) -> bool,
+    has_capacity: impl Fn(&Endpoint) -> bool,
     mut jitter: impl FnMut() -> f64,
 ) -> Option<Choice> {
     let candidates = table.iter().filter(|it| wanted.is_candidate(it));
-    let candidates: Vec<&Endpoint> = candidates.filter(|it| has_room(it)).collect();
+    let candidates: Vec<&Endpoint> = candidates.filter(|it| has_capacity(it)).collect();
     let suspect_zones = suspect_zones(table, wanted.service, now);
-    let usual_ms = usual_pace_ms(&candidates);
-    let others = others_endpoints(&candidates, wanted);
-    let usual_load = usual_others_load(&candidates);
+    let usual_ms = median_pace_ms(&candidates);
+    let others = other_shares_endpoints(&candidates, wanted);
+    let mean_load = mean_others_load(&candidates);
     let costs = candidates.iter().map(|endpoint| {
-        let mut cost = cost(endpoint, now, wanted.zone, usual_ms, usual_load) + jitter() * JITTER;
+        let mut cost =
+            cost(endpoint, now, wanted.zone, usual_ms, mean_load) + jitter() * MAX_JITTER_COST;
         if suspect_zones.contains(&&endpoint.announcement.zone) {
             cost += SUSPECT_ZONE_COST;
         }
@@ -142,9 +143,9 @@
             cost += OTHER_ENTRY_COST;
         }
         if wanted.place == Some(&endpoint.announcement.id) {
-            cost -= PLACE_GAIN;
+            cost -= RESERVATION_GAIN;
         }
-        cost -= kept_tokens(endpoint, wanted).min(MAX_KEPT_TOKENS) as f64 * KEPT_GAIN;
+        cost -= kept_tokens(endpoint, wanted).min(MAX_KEPT_TOKENS) as f64 * KEPT_TOKEN_GAIN;
         (cost, endpoint)
     });
     let (cost, best) = costs.min_by(|(left, _), (right, _)| left.total_cmp(right))?;
@@ -169,7 +170,7 @@
     table: &'a EndpointTable,
     now: ClockMs,
     wanted: &Wanted<'_>,
-    has_room: impl Fn(&Endpoint) -> bool,
+    has_capacity: impl Fn(&Endpoint) -> bool,
     mut random: impl FnMut() -> f64,
 ) -> Option<&'a Endpoint> {
     let suspect_zones = suspect_zones(table, wanted.service, now);
@@ -179,9 +180,9 @@
     };
     let candidates = table.iter().filter(|it| wanted.is_candidate(it));
     let candidates: Vec<&Endpoint> = candidates
-        .filter(|it| is_sound(it) && has_room(it))
+        .filter(|it| is_sound(it) && has_capacity(it))
         .collect();
-    let drawn = [random(), random()].map(|part| draw(&candidates, part));
+    let drawn = [random(), random()].map(|part| candidate_at(&candidates, part));
     let drawn = drawn.into_iter().flatten();
     drawn.min_by_key(|it| it.held_tokens + it.others.held_tokens)
 }
@@ -193,7 +194,7 @@
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
-fn draw<'a>(candidates: &[&'a Endpoint], part: f64) -> Option<&'a Endpoint> {
+fn candidate_at<'a>(candidates: &[&'a Endpoint], part: f64) -> Option<&'a Endpoint> {
     let place = (part * candidates.len() as f64) as usize;
     candidates.get(place).copied()
 }
@@ -206,7 +207,10 @@
 }
 
 /// Endpoints of the own zone that are other entries' part of it.
-fn others_endpoints<'a>(candidates: &[&'a Endpoint], wanted: &Wanted<'_>) -> Vec<&'a EndpointId> {
+fn other_shares_endpoints<'a>(
+    candidates: &[&'a Endpoint],
+    wanted: &Wanted<'_>,
+) -> Vec<&'a EndpointId> {
     let ZoneShare { entries, place } = wanted.share;
     let near = candidates
         .iter()
@@ -230,7 +234,7 @@
 /// What the other entries' requests are at the mean endpoint.
 // Counts are far below the precision of the type.
 #[allow(clippy::cast_precision_loss)]
-fn usual_others_load(candidates: &[&Endpoint]) -> f64 {
+fn mean_others_load(candidates: &[&Endpoint]) -> f64 {
     let sum: f64 = candidates.iter().map(|it| others_load(it)).sum();
     sum / candidates.len().max(1) as f64
 }
@@ -239,11 +243,11 @@
 /// closer to the usual.
 // Times are far below the precision of the type.
 #[allow(clippy::cast_precision_loss)]
-fn believed_load(endpoint: &Endpoint, now: ClockMs, usual: f64) -> f64 {
-    let age_ms = endpoint.others_age_ms(now).min(FORGOTTEN_MS);
-    let forgotten = age_ms as f64 / FORGOTTEN_MS as f64;
-    let told = others_load(endpoint);
-    told + (usual - told) * forgotten
+fn estimated_others_load(endpoint: &Endpoint, now: ClockMs, usual: f64) -> f64 {
+    let age_ms = endpoint.others_age_ms(now).min(STALE_LOAD_MS);
+    let forgotten = age_ms as f64 / STALE_LOAD_MS as f64;
+    let reported = others_load(endpoint);
+    reported + (usual - reported) * forgotten
 }
 
 fn cost(
@@ -251,22 +255,22 @@
     now: ClockMs,
     zone: &ZoneId,
     usual_ms: Option<f64>,
-    usual_load: f64,
+    mean_load: f64,
 ) -> f64 {
     let own = load_cost(endpoint.in_flight, endpoint.reading);
-    let load = own + believed_load(endpoint, now, usual_load);
+    let load = own + estimated_others_load(endpoint, now, mean_load);
     let slowness = match (endpoint.health.pace_ms(), usual_ms) {
         (Some(pace_ms), Some(usual_ms)) if usual_ms > 0.0 => {
             (pace_ms / usual_ms).clamp(1.0, MAX_SLOWNESS)
         }
         _ => 1.0,
     };
-    let mut cost = (load + 1.0) * slowness + endpoint.health.error_share() * ERROR_COST;
+    let mut cost = (load + 1.0) * slowness + endpoint.health.error_rate() * ERROR_COST;
     if endpoint.announcement.zone != *zone {
         cost += OTHER_ZONE_COST;
     }
     if endpoint.is_held(now) {
-        cost += HELD_COST;
+        cost += BACKOFF_COST;
     }
     if endpoint.is_silent() {
         cost += SILENT_COST;
@@ -285,10 +289,10 @@
     let of_service = table.iter().filter(|it| it.announcement.service == service);
     for endpoint in of_service {
         let zone = zones.entry(&endpoint.announcement.zone).or_default();
-        let has_failed = endpoint.health.has_failed_within(now, SUSPECT_MS);
+        let has_failed = endpoint.health.has_failed_within(now, SUSPECT_WINDOW_MS);
         zone.at_work += usize::from(endpoint.is_at_work());
         zone.own += usize::from(has_failed);
-        zone.told += usize::from(has_failed || endpoint.is_told_failing(now));
+        zone.reported += usize::from(has_failed || endpoint.is_reported_failing(now));
     }
     zones.retain(|_, zone| zone.is_suspect());
     zones.into_keys().collect()
@@ -301,17 +305,17 @@
     /// Those that failed this entry.
     own: usize,
     /// Those that failed any entry.
-    told: usize,
+    reported: usize,
 }
 
 impl ZoneFailures {
     fn is_suspect(self) -> bool {
-        self.own >= SUSPECT_ENDPOINTS || is_zone_down(self.told, self.at_work)
+        self.own >= MIN_SUSPECT_FAILURES || is_zone_down(self.reported, self.at_work)
     }
 }
 
 /// The median of the endpoints' paces.
-fn usual_pace_ms(candidates: &[&Endpoint]) -> Option<f64> {
+fn median_pace_ms(candidates: &[&Endpoint]) -> Option<f64> {
     let known = candidates.iter().filter_map(|it| it.health.pace_ms());
     let mut known: Vec<f64> = known.collect();
     known.sort_by(f64::total_cmp);
--- a/crates/masticsill_dispatch/src/patience.rs
+++ b/crates/masticsill_dispatch/src/prior_wait.rs
@@ -9,14 +9,14 @@
 /// For how long the longest time that callers of a route gave is remembered: it must outlast an
 /// overload, in which most of those who ask may have been refused before, and forget a route's
 /// former habits within a minute.
-const REMEMBERED_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 /// Part of the longest time given, in hundredths, below which a caller counts as one that has come
 /// back: first attempts of callers of one route differ by a sixth.
-const COME_BACK_PERCENT: u64 = 80;
+const RETRY_PERCENT: u64 = 80;
 
 /// The longest time given in this part of the memory and in the one before.
 #[derive(Clone, Copy, Debug, Default)]
-struct Longest {
+struct LongestTimeouts {
     began_at: ClockMs,
     before_ms: u64,
     now_ms: u64,
@@ -25,7 +25,7 @@
 /// The times that callers gave lately, by route.
 #[derive(Clone, Debug, Default)]
 pub struct CallerPatience {
-    routes: IndexMap<String, Longest>,
+    routes: IndexMap<String, LongestTimeouts>,
 }
 
 impl CallerPatience {
@@ -35,20 +35,20 @@
         let longest = if let Some(longest) = self.routes.get_mut(route) {
             longest
         } else {
-            let began = Longest {
+            let began = LongestTimeouts {
                 began_at: now,
-                ..Longest::default()
+                ..LongestTimeouts::default()
             };
             self.routes.entry(route.to_owned()).or_insert(began)
         };
-        if now.since(longest.began_at) > REMEMBERED_MS {
+        if now.since(longest.began_at) > RETENTION_MS {
             longest.began_at = now;
             longest.before_ms = longest.now_ms;
             longest.now_ms = 0;
         }
         longest.now_ms = longest.now_ms.max(given_ms);
         let usual_ms = longest.now_ms.max(longest.before_ms);
-        if given_ms * 100 >= usual_ms * COME_BACK_PERCENT {
+        if given_ms * 100 >= usual_ms * RETRY_PERCENT {
             0
         } else {
             usual_ms - given_ms
--- a/crates/masticsill_dispatch/src/lane.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -6,22 +6,22 @@
 use masticsill_registry::{EndpointId, KeptTokens};
 use masticsill_types::ClockMs;
 
-use crate::room::Waited;
+use crate::capacity::Contention;
 
 /// Time over which starts are counted: about two prompts of every engine's.
-const RATE_MS: u64 = 2_500;
+const RATE_WINDOW_MS: u64 = 2_500;
 /// Age of an overload from which what is late already makes way: a shorter one is over before its
 /// callers are, and they are served then.
-const PRESSED_MS: u64 = 1_500;
+const SUSTAINED_OVERLOAD_MS: u64 = 1_500;
 /// Part of the requests that find no room at once from which it makes way. Where fewer do, there is
 /// room to spare for all.
-const PRESSED_SHARE: f64 = 0.3;
+const SUSTAINED_QUEUED_SHARE: f64 = 0.3;
 /// Weight of the newest request in that part.
-const ROOM_WEIGHT: f64 = 0.1;
+const QUEUED_SHARE_WEIGHT: f64 = 0.1;
 /// Time without a request that finds no room after which an overload is over.
 const OVERLOAD_OVER_MS: u64 = 1_000;
 /// Time for which a workspace that asked counts among those that share the queue.
-const ASKING_MS: u64 = 2_000;
+const ACTIVE_WORKSPACE_MS: u64 = 2_000;
 /// Weight of the newest prompt in their usual length.
 const NEWEST_WEIGHT: f64 = 0.1;
 
@@ -92,8 +92,8 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Rank {
     Resume,
-    ComeBack,
-    Fresh,
+    Returning,
+    New,
     Late,
 }
 
@@ -111,21 +111,21 @@
 
 /// The requests that wait for one service.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lane {
+pub(crate) struct ServiceQueue {
     /// Since when more is asked for than fits, and when it was so last.
     overloaded: Option<(ClockMs, ClockMs)>,
     /// When each workspace asked last.
-    asking: IndexMap<String, ClockMs>,
+    active_workspaces: IndexMap<String, ClockMs>,
     /// Until when those who were refused have been given times to come back.
-    pub(crate) booked_until: ClockMs,
+    pub(crate) retries_scheduled_until: ClockMs,
     starts: VecDeque<ClockMs>,
     /// Part of the latest requests that found no room at once.
-    without_room: f64,
-    usual_prompt_tokens: Option<f64>,
+    queued_share: f64,
+    average_prompt_tokens: Option<f64>,
     waiting: Vec<Waiting>,
 }
 
-impl Lane {
+impl ServiceQueue {
     /// For how long more has been asked for than fits.
     pub(crate) fn overloaded_ms(&self, now: ClockMs) -> u64 {
         let overloaded = self
@@ -142,14 +142,15 @@
 
     /// Whether more has been asked for than fits for so long, and so much more, that room which
     /// is free now is needed by those who can still be answered in time.
-    pub(crate) fn is_pressed(&self, now: ClockMs) -> bool {
-        self.overloaded_ms(now) >= PRESSED_MS && self.without_room > PRESSED_SHARE
+    pub(crate) fn is_overload_sustained(&self, now: ClockMs) -> bool {
+        self.overloaded_ms(now) >= SUSTAINED_OVERLOAD_MS
+            && self.queued_share > SUSTAINED_QUEUED_SHARE
     }
 
     /// Notes whether a new request finds room at once.
-    pub(crate) fn note_room(&mut self, has_room: bool) {
-        let newest = if has_room { 0.0 } else { 1.0 };
-        self.without_room += (newest - self.without_room) * ROOM_WEIGHT;
+    pub(crate) fn note_placement(&mut self, has_capacity: bool) {
+        let newest = if has_capacity { 0.0 } else { 1.0 };
+        self.queued_share += (newest - self.queued_share) * QUEUED_SHARE_WEIGHT;
     }
 
     /// Notes that a request finds no room.
@@ -159,11 +160,11 @@
     }
 
     /// How long a request counts as having waited that came at `since`.
-    pub(crate) fn waited(&self, now: ClockMs, since: ClockMs) -> Waited {
+    pub(crate) fn contention(&self, now: ClockMs, since: ClockMs) -> Contention {
         if self.is_overloaded(now) {
-            Waited::InOverload(now.since(since))
+            Contention::Contended(now.since(since))
         } else {
-            Waited::Alone
+            Contention::Uncontended
         }
     }
 
@@ -207,15 +208,16 @@
     }
 
     /// Notes that a workspace asks.
-    pub(crate) fn note_asked(&mut self, now: ClockMs, terms: &Terms) {
-        self.asking.retain(|_, last| now.since(*last) < ASKING_MS);
+    pub(crate) fn note_workspace(&mut self, now: ClockMs, terms: &Terms) {
+        self.active_workspaces
+            .retain(|_, last| now.since(*last) < ACTIVE_WORKSPACE_MS);
         let workspace = terms.workspace.clone().unwrap_or_default();
-        self.asking.insert(workspace, now);
+        self.active_workspaces.insert(workspace, now);
     }
 
     /// Whether a workspace has its part of the places in the queue, if `places` may wait.
-    pub(crate) fn has_its_part(&self, terms: &Terms, places: usize) -> bool {
-        let part = (places / self.asking.len().max(1)).max(1);
+    pub(crate) fn is_share_exhausted(&self, terms: &Terms, places: usize) -> bool {
+        let part = (places / self.active_workspaces.len().max(1)).max(1);
         let own = self.waiting.iter();
         let own = own.filter(|it| it.terms.workspace == terms.workspace);
         own.count() >= part
@@ -229,14 +231,14 @@
         while self
             .starts
             .front()
-            .is_some_and(|at| now.since(*at) >= RATE_MS)
+            .is_some_and(|at| now.since(*at) >= RATE_WINDOW_MS)
         {
             self.starts.pop_front();
         }
         if let Work::Stream { prompt_tokens, .. } = &need.work {
             let newest = *prompt_tokens as f64;
-            let before = self.usual_prompt_tokens.unwrap_or(newest);
-            self.usual_prompt_tokens = Some(before + (newest - before) * NEWEST_WEIGHT);
+            let before = self.average_prompt_tokens.unwrap_or(newest);
+            self.average_prompt_tokens = Some(before + (newest - before) * NEWEST_WEIGHT);
         }
     }
 
@@ -245,15 +247,18 @@
     // Counts and times are far below the precision of the type.
     #[allow(clippy::cast_precision_loss)]
     pub(crate) fn starts_per_s(&self, now: ClockMs) -> Option<f64> {
-        if self.overloaded_ms(now) < RATE_MS {
+        if self.overloaded_ms(now) < RATE_WINDOW_MS {
             return None;
         }
-        let recent = self.starts.iter().filter(|at| now.since(**at) < RATE_MS);
-        Some(recent.count() as f64 * 1_000.0 / RATE_MS as f64)
+        let recent = self
+            .starts
+            .iter()
+            .filter(|at| now.since(**at) < RATE_WINDOW_MS);
+        Some(recent.count() as f64 * 1_000.0 / RATE_WINDOW_MS as f64)
     }
 
     /// Tokens of the prompts that came lately.
-    pub(crate) fn usual_prompt_tokens(&self) -> f64 {
-        self.usual_prompt_tokens.unwrap_or_default()
+    pub(crate) fn average_prompt_tokens(&self) -> f64 {
+        self.average_prompt_tokens.unwrap_or_default()
     }
 }
--- a/crates/masticsill_dispatch/tests/concurrency_limit.rs
+++ b/crates/masticsill_dispatch/tests/concurrency_limit.rs
@@ -14,7 +14,7 @@
     let mut in_flight = 0;
     for _ in 0..answers {
         for _ in 0..3 {
-            let is_sent = in_flight < load && limit.has_room(now, in_flight);
+            let is_sent = in_flight < load && limit.has_capacity(now, in_flight);
             in_flight += u32::from(is_sent);
         }
         let queued = f64::from(in_flight.saturating_sub(6));
@@ -55,8 +55,8 @@
 fn word_of_fullness_lowers_the_limit() {
     let mut limit = ConcurrencyLimit::default();
     limit.note_full(ClockMs(1_000), 30.0, 10);
-    assert!(limit.has_room(ClockMs(1_000), 5));
-    assert!(!limit.has_room(ClockMs(1_000), 8));
+    assert!(limit.has_capacity(ClockMs(1_000), 5));
+    assert!(!limit.has_capacity(ClockMs(1_000), 8));
 }
 
 #[test]
@@ -67,9 +67,9 @@
         now = now + 100;
         limit.note_full(now, 30.0, 1);
     }
-    assert!(!limit.has_room(now, 0));
-    assert!(limit.has_room(now + 2_000, 0));
-    assert!(!limit.has_room(now + 2_000, 1));
+    assert!(!limit.has_capacity(now, 0));
+    assert!(limit.has_capacity(now + 2_000, 0));
+    assert!(!limit.has_capacity(now + 2_000, 1));
 }
 
 #[test]
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -130,12 +130,12 @@
 fn new_life_has_nothing_of_the_former() {
     let mut table = EndpointTable::default();
     tell(&mut table, ready(born("e", 1)));
-    let former = table.get_mut(&born("e", 1)).unwrap();
-    former.in_flight = 3;
-    former.held_tokens = 9_000;
-    former.reading = 1;
-    former.health.note_failure(NOW);
-    former.note_full(NOW);
+    let previous = table.get_mut(&born("e", 1)).unwrap();
+    previous.in_flight = 3;
+    previous.held_tokens = 9_000;
+    previous.reading = 1;
+    previous.health.note_failure(NOW);
+    previous.note_full(NOW);
     let changed = tell(&mut table, ready(born("e", 2)));
     assert_eq!(changed, [born("e", 1), born("e", 2)]);
     let newest = table.get(&born("e", 2)).unwrap();
@@ -144,9 +144,9 @@
         (0, 0, 0)
     );
     assert!(!newest.is_full(NOW) && !newest.health.is_held(NOW));
-    let former = table.get(&born("e", 1)).unwrap();
-    assert_eq!(former.in_flight, 3, "what is there ends there");
-    assert!(!former.is_ready() && table.is_outlived(&born("e", 1)));
+    let previous = table.get(&born("e", 1)).unwrap();
+    assert_eq!(previous.in_flight, 3, "what is there ends there");
+    assert!(!previous.is_ready() && table.is_outlived(&born("e", 1)));
 }
 
 #[test]
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -322,15 +322,15 @@
 
 #[test]
 fn less_time_tells_who_came_back() {
-    let mut patience = CallerPatience::default();
+    let mut prior_wait = CallerPatience::default();
     for given_ms in [25_000, 21_300, 24_000] {
-        assert_eq!(patience.note(NOW, "draft", given_ms), 0);
+        assert_eq!(prior_wait.note(NOW, "draft", given_ms), 0);
     }
-    assert_eq!(patience.note(NOW, "draft", 17_000), 8_000);
+    assert_eq!(prior_wait.note(NOW, "draft", 17_000), 8_000);
     // A route whose callers have become less patient is learned anew.
     let later = NOW + 61_000;
-    patience.note(NOW + 30_500, "draft", 10_000);
-    assert_eq!(patience.note(later, "draft", 10_000), 0);
+    prior_wait.note(NOW + 30_500, "draft", 10_000);
+    assert_eq!(prior_wait.note(later, "draft", 10_000), 0);
 }
 
 proptest! {
