--- a/crates/masticsill_bench/examples/dispatch_cost.rs
+++ b/crates/masticsill_bench/examples/dispatch_cost.rs
@@ -6,7 +6,7 @@
 
 use masticsill_bench::Table;
 use masticsill_dispatch::{
-    Dispatcher, EndpointTable, Need, Surroundings, Terms, Turns, Work, ZoneShare,
+    DispatchContext, Dispatcher, EndpointTable, EntryPosition, Requirements, Terms, Work, ZoneShare,
 };
 use masticsill_registry::{Announcement, EndpointId, EndpointRecord, EndpointState};
 use masticsill_types::{ClockMs, NodeId, ZoneId};
@@ -48,22 +48,22 @@
 fn main() -> eyre::Result<()> {
     let node = NodeId::new("entry")?;
     let zone = ZoneId::new("a")?;
-    let around = Surroundings {
+    let around = DispatchContext {
         closed: &[],
-        turns: Turns {
+        entry: EntryPosition {
             entries: 32,
             node: &node,
             share: ZoneShare {
                 entries: 11,
-                place: 3,
+                rank: 3,
             },
             zone: &zone,
         },
     };
-    let need = Need {
+    let need = Requirements {
         excluded: Vec::new(),
         kept: Vec::new(),
-        place: None,
+        reserved_endpoint: None,
         service: "engines".to_owned(),
         work: Work::Stream {
             memory_tokens: Some(88_000),
@@ -72,11 +72,11 @@
         },
     };
     let terms = Terms {
-        aim_ms: 4_500,
-        aim_at: NOW + 4_500,
+        target_latency_ms: 4_500,
+        answer_due_at: NOW + 4_500,
         caller_leaves_at: NOW + 25_000,
         deadline_at: NOW + 25_000,
-        has_come_back: false,
+        is_returning: false,
         is_resume: false,
         workspace: Some("w".to_owned()),
     };
--- a/crates/masticsill_bench/src/blame/play.rs
+++ b/crates/masticsill_bench/src/blame/play.rs
@@ -170,7 +170,7 @@
         }
         self.crash_engines();
         self.tell_ledger();
-        if self.ledger.judged_in_ms(self.now()) == Some(0) {
+        if self.ledger.next_judgement_in_ms(self.now()) == Some(0) {
             self.ledger.judge(self.now());
         }
         self.end_runs();
@@ -322,7 +322,7 @@
     fn is_checked(&self, fingerprint: &Fingerprint) -> bool {
         let mut unheard = self.heard.iter();
         let is_unheard = unheard.any(|(_, it, _)| it == fingerprint);
-        is_unheard && self.ledger.is_one_crash_short(fingerprint)
+        is_unheard && self.ledger.is_near_quarantine(fingerprint)
     }
 
     fn refuse(&mut self, index: usize) {
@@ -340,8 +340,8 @@
         let up = up.filter(|(_, engine)| engine.is_up(self.now_ms));
         let mut up: Vec<usize> = up.map(|(number, _)| number).collect();
         let fingerprint = self.requests[index].fingerprint;
-        if self.ledger.is_one_crash_short(&fingerprint) {
-            let kept = |number: &usize| fingerprint.is_kept_at(&self.engines[*number].id());
+        if self.ledger.is_near_quarantine(&fingerprint) {
+            let kept = |number: &usize| fingerprint.is_isolated_to(&self.engines[*number].id());
             let apart: Vec<usize> = up.iter().copied().filter(kept).collect();
             if !apart.is_empty() {
                 up = apart;
--- a/crates/masticsill_bench/src/entry.rs
+++ b/crates/masticsill_bench/src/entry.rs
@@ -2,8 +2,8 @@
 
 use indexmap::IndexMap;
 use masticsill_dispatch::{
-    CallerPatience, Decision, Dispatcher, Ended, EndpointTable, Need, Surroundings, Terms, Ticket,
-    Turns, ZoneShare,
+    Decision, DispatchContext, Dispatcher, EndpointTable, EntryPosition, PriorWaitEstimator,
+    Requirements, Terms, Ticket, WaitOutcome, ZoneShare,
 };
 use masticsill_registry::{Announcement, EndpointId, EndpointRecord, EndpointState, Watcher};
 use masticsill_types::{ClockMs, NodeId, ZoneId};
@@ -19,7 +19,7 @@
     /// All entries.
     entries: u32,
     node: NodeId,
-    patience: CallerPatience,
+    patience: PriorWaitEstimator,
     pub(crate) share: ZoneShare,
     pub(crate) table: EndpointTable,
     /// The requests that wait here.
@@ -39,10 +39,10 @@
             dispatcher: Dispatcher::default(),
             entries: u32::try_from(entries).unwrap_or(u32::MAX),
             node,
-            patience: CallerPatience::default(),
+            patience: PriorWaitEstimator::default(),
             share: ZoneShare {
                 entries: near,
-                place: entry / ZONES.len(),
+                rank: entry / ZONES.len(),
             },
             table,
             waiting: IndexMap::new(),
@@ -69,11 +69,11 @@
         let given_ms = deadline_at.since(now);
         let had_waited_ms = self.patience.note(now, SERVICE, given_ms);
         Terms {
-            aim_ms,
-            aim_at: now.before(had_waited_ms) + aim_ms,
+            target_latency_ms: aim_ms,
+            answer_due_at: now.before(had_waited_ms) + aim_ms,
             caller_leaves_at: deadline_at,
             deadline_at,
-            has_come_back: had_waited_ms > 0,
+            is_returning: had_waited_ms > 0,
             is_resume: false,
             workspace,
         }
@@ -83,20 +83,30 @@
     pub(crate) fn ask(
         &mut self,
         now: ClockMs,
-        need: &Need,
+        need: &Requirements,
         terms: &Terms,
         random: &mut ChaCha8Rng,
     ) -> Decision {
         let turns = turns(&self.node, self.share, &self.zone, self.entries);
-        let around = Surroundings { closed: &[], turns };
+        let around = DispatchContext {
+            closed: &[],
+            entry: turns,
+        };
         self.dispatcher
             .ask(now, &self.table, need, terms, &around, || random.random())
     }
 
     /// The next end of a wait.
-    pub(crate) fn next_end(&mut self, now: ClockMs, random: &mut ChaCha8Rng) -> Option<Ended> {
+    pub(crate) fn next_end(
+        &mut self,
+        now: ClockMs,
+        random: &mut ChaCha8Rng,
+    ) -> Option<WaitOutcome> {
         let turns = turns(&self.node, self.share, &self.zone, self.entries);
-        let around = Surroundings { closed: &[], turns };
+        let around = DispatchContext {
+            closed: &[],
+            entry: turns,
+        };
         self.dispatcher
             .next(now, &self.table, &around, || random.random())
     }
@@ -109,8 +119,13 @@
 }
 
 /// Where an entry stands among all.
-fn turns<'a>(node: &'a NodeId, share: ZoneShare, zone: &'a ZoneId, entries: u32) -> Turns<'a> {
-    Turns {
+fn turns<'a>(
+    node: &'a NodeId,
+    share: ZoneShare,
+    zone: &'a ZoneId,
+    entries: u32,
+) -> EntryPosition<'a> {
+    EntryPosition {
         entries,
         node,
         share,
--- a/crates/masticsill_bench/src/lookups/play.rs
+++ b/crates/masticsill_bench/src/lookups/play.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use masticsill_dispatch::{Decision, Ended, Need, Work};
+use masticsill_dispatch::{Decision, Requirements, WaitOutcome, Work};
 use masticsill_registry::{EndpointId, EndpointState};
 use masticsill_types::ClockMs;
 use rand::{Rng, SeedableRng};
@@ -155,7 +155,7 @@
                 .concurrency
                 .note_answer(now, usual_ms, self.plan.aim_ms, in_flight);
             known.in_flight -= 1;
-            known.note_left(now);
+            known.record_release(now);
         }
         self.look(sent.entry);
     }
@@ -167,16 +167,16 @@
         let deadline_at = asking.deadline_at;
         let entry = &mut self.entries[number];
         let terms = entry.terms(now, self.plan.aim_ms, deadline_at, None);
-        let need = Need {
+        let need = Requirements {
             excluded: Vec::new(),
             kept: Vec::new(),
-            place: None,
+            reserved_endpoint: None,
             service: SERVICE.to_owned(),
             work: Work::Whole,
         };
         let decision = entry.ask(now, &need, &terms, &mut self.random);
         match decision {
-            Decision::Nobody => self.refuse(caller, TURNED_AWAY_MS),
+            Decision::NoEndpoint => self.refuse(caller, TURNED_AWAY_MS),
             Decision::Refuse(overload) => self.refuse(caller, overload.retry_after_ms),
             Decision::Send(choice) => self.send(number, caller, &choice.id),
             Decision::Wait(ticket) => {
@@ -192,12 +192,12 @@
             let ended = entry.next_end(self.now, &mut self.random);
             match ended {
                 None => return,
-                Some(Ended::Refuse(ticket, overload)) => {
+                Some(WaitOutcome::Refuse(ticket, overload)) => {
                     if let Some(caller) = entry.waiting.swap_remove(&ticket) {
                         self.refuse(caller, overload.retry_after_ms);
                     }
                 }
-                Some(Ended::Send(ticket, choice)) => {
+                Some(WaitOutcome::Send(ticket, choice)) => {
                     if let Some(caller) = entry.waiting.swap_remove(&ticket) {
                         self.send(number, caller, &choice.id);
                     }
--- a/crates/masticsill_bench/src/overload/play.rs
+++ b/crates/masticsill_bench/src/overload/play.rs
@@ -1,7 +1,9 @@
 //! One overload, from its first request to the last answer.
 
 use indexmap::IndexMap;
-use masticsill_dispatch::{Decision, Ended, Need, Overload, Wanted, Work, choose};
+use masticsill_dispatch::{
+    Decision, Overload, PlacementRequest, Requirements, WaitOutcome, Work, choose,
+};
 use masticsill_registry::{EndpointId, EndpointLoad, PlaceRequest, WatcherBook};
 use masticsill_types::{ClockMs, ZoneId};
 use rand::{Rng, SeedableRng};
@@ -160,7 +162,9 @@
             let loads = self.loads_of_others(listener);
             for zone in ZONES {
                 let zone = ZoneId::new(zone).expect("the name holds letters only");
-                self.entries[listener].table.take_loads(now, &zone, &loads);
+                self.entries[listener]
+                    .table
+                    .update_loads(now, &zone, &loads);
             }
         }
     }
@@ -247,7 +251,7 @@
             }
             endpoint.in_flight -= 1;
             endpoint.held_tokens -= tokens;
-            endpoint.note_left(now);
+            endpoint.record_release(now);
         }
         self.tell(live.entry);
     }
@@ -286,18 +290,18 @@
             let engines: Vec<&EndpointId> = engines.collect();
             let place = self.books[zone].hand_out_place(now, &request, &engines);
             if let Some(load) = place {
-                self.entries[entry].table.take_place(now, &load);
+                self.entries[entry].table.update_load(now, &load);
                 return Some(load.id);
             }
         }
         None
     }
 
-    fn need_of(&self, live: &Live, place: Option<EndpointId>) -> Need {
-        Need {
+    fn need_of(&self, live: &Live, place: Option<EndpointId>) -> Requirements {
+        Requirements {
             excluded: Vec::new(),
             kept: Vec::new(),
-            place,
+            reserved_endpoint: place,
             service: SERVICE.to_owned(),
             work: Work::Stream {
                 memory_tokens: Some(self.plan.engine.memory_tokens),
@@ -318,7 +322,7 @@
         let entry = &mut self.entries[live.entry];
         let decision = entry.ask(now, &need, &terms, &mut self.random);
         match decision {
-            Decision::Nobody => {}
+            Decision::NoEndpoint => {}
             Decision::Refuse(overload) => self.refuse(request, now, overload.retry_after_ms),
             Decision::Send(choice) => self.send(request, &choice.id),
             Decision::Wait(ticket) => {
@@ -336,13 +340,13 @@
         }
     }
 
-    fn end_wait(&mut self, entry: usize, ended: &Ended) {
-        let (Ended::Refuse(ticket, _) | Ended::Send(ticket, _)) = ended;
+    fn end_wait(&mut self, entry: usize, ended: &WaitOutcome) {
+        let (WaitOutcome::Refuse(ticket, _) | WaitOutcome::Send(ticket, _)) = ended;
         let Some(request) = self.entries[entry].waiting.swap_remove(ticket) else {
             return;
         };
         match ended {
-            Ended::Refuse(_, Overload { retry_after_ms, .. }) => {
+            WaitOutcome::Refuse(_, Overload { retry_after_ms, .. }) => {
                 let asked_at = self.records[request].asked_at;
                 let came_at = if self.live[&request].attempts == 1 {
                     asked_at
@@ -351,7 +355,7 @@
                 };
                 self.refuse(request, came_at, *retry_after_ms);
             }
-            Ended::Send(_, choice) => self.send(request, &choice.id),
+            WaitOutcome::Send(_, choice) => self.send(request, &choice.id),
         }
     }
 
@@ -375,12 +379,12 @@
         let now = self.now;
         let entry = &self.entries[self.live[&request].entry];
         let random = &mut self.random;
-        let wanted = Wanted {
+        let wanted = PlacementRequest {
             closed: &[],
             excluded: &[],
             kept: &[],
             not_in_zone: None,
-            place: None,
+            reserved_endpoint: None,
             service: SERVICE,
             share: entry.share,
             zone: &entry.zone,
--- a/crates/masticsill_control/src/endpoints/hub.rs
+++ b/crates/masticsill_control/src/endpoints/hub.rs
@@ -331,7 +331,7 @@
         if !self.is_followed(request) || self.registry().has_left_since(request.revision) {
             return true;
         }
-        if self.suspects().spread_revision() > request.suspects_revision {
+        if self.suspects().broadcast_revision() > request.suspects_revision {
             return true;
         }
         *published.watch_document().borrow() > request.document_seen
@@ -349,8 +349,10 @@
         let loads = watchers.loads_of_others(now, &request.watcher);
         let loads_revision = watchers.loads_revision();
         drop(watchers);
-        let suspects_revision = self.suspects().spread_revision();
-        let suspects = self.suspects().spread_since(self.known_suspects(request));
+        let suspects_revision = self.suspects().broadcast_revision();
+        let suspects = self
+            .suspects()
+            .broadcast_since(self.known_suspects(request));
         let registry = self.registry();
         let heard = match request.watcher {
             Watcher::Entry { .. } => Vec::new(),
--- a/crates/masticsill_control/src/endpoints/memory.rs
+++ b/crates/masticsill_control/src/endpoints/memory.rs
@@ -82,7 +82,7 @@
         }
         let remembered = Remembered {
             endpoints: endpoints.records(),
-            suspects: endpoints.suspects().spread_since(0),
+            suspects: endpoints.suspects().broadcast_since(0),
         };
         if let Err(error) = write(&folder, remembered) {
             log_event!(warn, events::ENDPOINTS_NOT_KEPT, cause = error);
--- a/crates/masticsill_control/src/endpoints/suspects.rs
+++ b/crates/masticsill_control/src/endpoints/suspects.rs
@@ -53,14 +53,14 @@
     }
 
     /// What concerns every watcher and changed after a revision.
-    pub(crate) fn spread_since(&self, revision: u64) -> Vec<RequestRecord> {
+    pub(crate) fn broadcast_since(&self, revision: u64) -> Vec<RequestRecord> {
         let now = self.shared.clock.now();
-        self.ledger().spread_since(now, revision)
+        self.ledger().broadcast_since(now, revision)
     }
 
     /// Revision of the last change that concerns every watcher.
-    pub(crate) fn spread_revision(&self) -> u64 {
-        self.ledger().spread_revision()
+    pub(crate) fn broadcast_revision(&self) -> u64 {
+        self.ledger().broadcast_revision()
     }
 
     /// Follows that revision.
@@ -69,7 +69,7 @@
     }
 
     fn note_change(&self) {
-        let revision = self.spread_revision();
+        let revision = self.broadcast_revision();
         self.shared.spread.send_if_modified(|known| {
             let is_changed = *known != revision;
             *known = revision;
@@ -85,8 +85,8 @@
         }
     }
 
-    fn judged_in_ms(&self) -> u64 {
-        let due_in_ms = self.ledger().judged_in_ms(self.shared.clock.now());
+    fn next_judgement_in_ms(&self) -> u64 {
+        let due_in_ms = self.ledger().next_judgement_in_ms(self.shared.clock.now());
         due_in_ms.unwrap_or(FORGET_INTERVAL_MS)
     }
 
@@ -99,7 +99,7 @@
 /// Judges crashes when they are due, for good.
 pub(crate) async fn run_judging(suspects: Suspects) {
     loop {
-        let due_in = Duration::from_millis(suspects.judged_in_ms());
+        let due_in = Duration::from_millis(suspects.next_judgement_in_ms());
         // What was taken meanwhile may be due sooner.
         let _ = timeout(due_in, suspects.shared.taken.notified()).await;
         suspects.judge();
--- a/crates/masticsill_dispatch/src/capacity.rs
+++ b/crates/masticsill_dispatch/src/capacity.rs
@@ -6,7 +6,7 @@
 
 use crate::endpoint::Endpoint;
 use crate::placement::ZoneShare;
-use crate::service_queue::{Need, Work};
+use crate::service_queue::{Requirements, Work};
 
 /// Prompts that an engine is given to read at once.
 ///
@@ -44,7 +44,7 @@
 
 /// Whose turn it is at engines that get room.
 #[derive(Clone, Copy, Debug)]
-pub struct Turns<'a> {
+pub struct EntryPosition<'a> {
     /// All entries.
     pub entries: u32,
     /// This entry.
@@ -64,7 +64,7 @@
     Contended(u64),
 }
 
-impl Turns<'_> {
+impl EntryPosition<'_> {
     /// For how long room at an engine must have been known before this entry takes it. The entries
     /// of its zone come first.
     ///
@@ -83,7 +83,7 @@
         let said = &endpoint.announcement;
         let near = self.share.entries.max(1) as u64;
         let turn = if said.zone == *self.zone {
-            (hash(&said.id) + self.share.place as u64) % near
+            (hash(&said.id) + self.share.rank as u64) % near
         } else {
             let far = u64::from(self.entries).saturating_sub(near).max(1);
             near + hash((&said.id, self.node)) % far
@@ -103,8 +103,8 @@
 pub(crate) fn has_capacity(
     endpoint: &Endpoint,
     now: ClockMs,
-    need: &Need,
-    turns: &Turns<'_>,
+    need: &Requirements,
+    turns: &EntryPosition<'_>,
     contention: Contention,
 ) -> bool {
     if endpoint.is_full(now) {
@@ -121,9 +121,9 @@
             let least = prompt_tokens.saturating_mul(MIN_KEPT_PERCENT);
             let is_kept = kept_tokens.saturating_mul(100) >= least && kept_tokens > 0;
             let is_idle = endpoint.reading_total(now) < MAX_READING_PROMPTS;
-            let is_handed_out = need.place.as_ref() == Some(&endpoint.announcement.id);
+            let is_reserved = need.reserved_endpoint.as_ref() == Some(&endpoint.announcement.id);
             let is_turn = || {
-                is_handed_out
+                is_reserved
                     || endpoint.capacity_known_ms(now) >= turns.wait_ms(endpoint, contention)
             };
             (is_kept || is_idle && is_turn())
--- a/crates/masticsill_dispatch/src/concurrency_limit.rs
+++ b/crates/masticsill_dispatch/src/concurrency_limit.rs
@@ -60,17 +60,24 @@
 
     /// Takes an answer: its endpoint's usual time, the time aimed at, and the requests that were in
     /// flight with it.
-    pub fn note_answer(&mut self, now: ClockMs, usual_ms: f64, aim_ms: u64, in_flight: u32) {
+    pub fn note_answer(
+        &mut self,
+        now: ClockMs,
+        usual_ms: f64,
+        target_latency_ms: u64,
+        in_flight: u32,
+    ) {
         // Times are far below the precision of the type.
         #[allow(clippy::cast_precision_loss)]
-        let aim_ms = aim_ms as f64;
+        let target_latency_ms = target_latency_ms as f64;
         if self.limit.is_none() {
             let baseline_ms = self.baseline_ms.unwrap_or(usual_ms);
             self.baseline_ms = Some(baseline_ms + (usual_ms - baseline_ms) * BASELINE_WEIGHT);
         }
         let baseline_ms = self.baseline_ms.unwrap_or_default();
-        let slow_ms = (aim_ms * SLOW_TARGET_SHARE).max(baseline_ms * SLOW_BASELINE_FACTOR);
-        if usual_ms > slow_ms.min(aim_ms * MAX_TARGET_SHARE) {
+        let slow_ms =
+            (target_latency_ms * SLOW_TARGET_SHARE).max(baseline_ms * SLOW_BASELINE_FACTOR);
+        if usual_ms > slow_ms.min(target_latency_ms * MAX_TARGET_SHARE) {
             self.cut(now, usual_ms, in_flight, SLOW_FACTOR);
         } else if let Some(limit) = self.limit {
             // Each answer adds its part, so that a full set of them adds the growth once.
--- a/crates/masticsill_dispatch/src/dispatcher.rs
+++ b/crates/masticsill_dispatch/src/dispatcher.rs
@@ -9,13 +9,13 @@
 use masticsill_registry::EndpointId;
 use masticsill_types::ClockMs;
 
-use crate::capacity::{Contention, Turns, has_capacity};
+use crate::capacity::{Contention, EntryPosition, has_capacity};
 use crate::endpoint::Endpoint;
 use crate::endpoints::EndpointTable;
 use crate::estimate::{latest_start, wait_ms};
-use crate::placement::{Choice, Wanted, choose, suspect_zones};
+use crate::placement::{Choice, PlacementRequest, choose, suspect_zones};
 use crate::refusal::{Overload, refuse};
-use crate::service_queue::{Need, Rank, ServiceQueue, Terms, Ticket, Waiting};
+use crate::service_queue::{Rank, Requirements, ServiceQueue, Terms, Ticket, Waiting};
 
 /// Part of the aim (a tenth) after which a request that waits is refused or served for good: who
 /// has waited longer than that is not sent away any more.
@@ -29,18 +29,18 @@
 const MAX_QUEUED_REQUESTS: usize = 256;
 
 /// What surrounds a decision: where this entry is, and whom it may connect to.
-pub struct Surroundings<'a> {
+pub struct DispatchContext<'a> {
     /// Endpoints that accept no further connection of this entry.
     pub closed: &'a [EndpointId],
     /// Where this entry stands among all.
-    pub turns: Turns<'a>,
+    pub entry: EntryPosition<'a>,
 }
 
 /// What is to be done with a request now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// No endpoint of its service is known that it could go to.
-    Nobody,
+    NoEndpoint,
     /// It is refused: it could not be answered in time.
     Refuse(Overload),
     /// It goes there.
@@ -51,7 +51,7 @@
 
 /// The end of a wait.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended {
+pub enum WaitOutcome {
     /// It is refused after all.
     Refuse(Ticket, Overload),
     /// It goes there.
@@ -71,9 +71,9 @@
         &mut self,
         now: ClockMs,
         table: &EndpointTable,
-        need: &Need,
+        need: &Requirements,
         terms: &Terms,
-        around: &Surroundings<'_>,
+        around: &DispatchContext<'_>,
         mut jitter: impl FnMut() -> f64,
     ) -> Decision {
         let queue = self.queues.entry(need.service.clone()).or_default();
@@ -96,10 +96,10 @@
         }
         let anybody = |_: &_| true;
         if choose(table, now, &wanted(need, around), anybody, &mut jitter).is_none() {
-            return Decision::Nobody;
+            return Decision::NoEndpoint;
         }
         queue.note_overloaded(now);
-        let wait_ms = wait_ms(queue, now, table, need, around.turns.entries, ahead);
+        let wait_ms = wait_ms(queue, now, table, need, around.entry.entries, ahead);
         let is_in_time = match rank {
             Rank::Resume => true,
             Rank::Returning | Rank::New => {
@@ -119,8 +119,8 @@
         queue.push(Waiting {
             is_committed: rank == Rank::Resume,
             // A place is kept for a moment only.
-            need: Need {
-                place: None,
+            need: Requirements {
+                reserved_endpoint: None,
                 ..need.clone()
             },
             rank,
@@ -137,29 +137,29 @@
         &mut self,
         now: ClockMs,
         table: &EndpointTable,
-        around: &Surroundings<'_>,
+        around: &DispatchContext<'_>,
         mut jitter: impl FnMut() -> f64,
-    ) -> Option<Ended> {
+    ) -> Option<WaitOutcome> {
         for queue in self.queues.values_mut().filter(|queue| !queue.is_empty()) {
-            if let Some(waiting) = take_expired(queue, now, table, around.turns.entries) {
+            if let Some(waiting) = take_expired(queue, now, table, around.entry.entries) {
                 let ahead = queue.ahead_of(waiting.rank);
                 let wait_ms = wait_ms(
                     queue,
                     now,
                     table,
                     &waiting.need,
-                    around.turns.entries,
+                    around.entry.entries,
                     ahead,
                 );
                 let overload = refuse(queue, now, &waiting.terms, ahead, wait_ms, jitter());
-                return Some(Ended::Refuse(waiting.ticket, overload));
+                return Some(WaitOutcome::Refuse(waiting.ticket, overload));
             }
             let Some((ticket, choice)) = next_start(queue, now, table, around, &mut jitter) else {
                 continue;
             };
             let waiting = queue.take(ticket)?;
             queue.note_start(now, &waiting.need);
-            return Some(Ended::Send(ticket, choice));
+            return Some(WaitOutcome::Send(ticket, choice));
         }
         None
     }
@@ -200,7 +200,7 @@
     queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
-    around: &Surroundings<'_>,
+    around: &DispatchContext<'_>,
     jitter: &mut impl FnMut() -> f64,
 ) -> Option<(Ticket, Choice)> {
     for waiting in queue.in_order() {
@@ -226,36 +226,36 @@
 fn place(
     now: ClockMs,
     table: &EndpointTable,
-    need: &Need,
+    need: &Requirements,
     contention: Contention,
-    around: &Surroundings<'_>,
+    around: &DispatchContext<'_>,
     jitter: &mut impl FnMut() -> f64,
 ) -> Option<Choice> {
     let asked = wanted(need, around);
     let suspect = suspect_zones(table, &need.service, now);
     let is_sound = |it: &Endpoint| {
-        !it.is_silent() && !it.is_held(now) && !suspect.contains(&&it.announcement.zone)
+        !it.is_silent() && !it.is_backing_off(now) && !suspect.contains(&&it.announcement.zone)
     };
     let is_any_sound = table
         .iter()
         .any(|it| asked.is_candidate(it) && is_sound(it));
     let capacity = |it: &Endpoint| {
-        let has_capacity = has_capacity(it, now, need, &around.turns, contention);
+        let has_capacity = has_capacity(it, now, need, &around.entry, contention);
         has_capacity && (is_sound(it) || !is_any_sound)
     };
     choose(table, now, &asked, capacity, jitter)
 }
 
-fn wanted<'a>(need: &'a Need, around: &Surroundings<'a>) -> Wanted<'a> {
-    Wanted {
+fn wanted<'a>(need: &'a Requirements, around: &DispatchContext<'a>) -> PlacementRequest<'a> {
+    PlacementRequest {
         closed: around.closed,
         excluded: &need.excluded,
         kept: &need.kept,
         not_in_zone: None,
-        place: need.place.as_ref(),
+        reserved_endpoint: need.reserved_endpoint.as_ref(),
         service: &need.service,
-        share: around.turns.share,
-        zone: around.turns.zone,
+        share: around.entry.share,
+        zone: around.entry.zone,
     }
 }
 
@@ -263,14 +263,14 @@
     queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
-    need: &Need,
+    need: &Requirements,
     terms: &Terms,
 ) -> Rank {
     if terms.is_resume {
         Rank::Resume
     } else if now > latest_start(queue, table, need, terms) {
         Rank::Late
-    } else if terms.has_come_back {
+    } else if terms.is_returning {
         Rank::Returning
     } else {
         Rank::New
@@ -289,7 +289,8 @@
     let mut overdue = None;
     for (ahead, waiting) in queue.in_order().into_iter().enumerate() {
         let is_over = now >= waiting.terms.deadline_at;
-        let commit_ms = MAX_COMMIT_DELAY_MS.min(waiting.terms.aim_ms / COMMIT_TARGET_DIVISOR);
+        let commit_ms =
+            MAX_COMMIT_DELAY_MS.min(waiting.terms.target_latency_ms / COMMIT_TARGET_DIVISOR);
         let is_due = !waiting.is_committed && now.since(waiting.since) >= commit_ms;
         let is_in_vain = is_due && {
             let wait_ms = wait_ms(queue, now, table, &waiting.need, entries, ahead);
--- a/crates/masticsill_dispatch/src/endpoint.rs
+++ b/crates/masticsill_dispatch/src/endpoint.rs
@@ -138,8 +138,8 @@
 
     /// Whether its last exchange failed here or elsewhere just now, so that it is left alone.
     #[must_use]
-    pub fn is_held(&self, now: ClockMs) -> bool {
-        self.is_reported_failing(now) || self.health.is_held(now)
+    pub fn is_backing_off(&self, now: ClockMs) -> bool {
+        self.is_reported_failing(now) || self.health.is_backing_off(now)
     }
 
     /// Whether another entry told just now that it had failed it.
@@ -160,11 +160,11 @@
     /// Notes that it has read a prompt of this entry, or reads it no more.
     pub fn end_reading(&mut self, now: ClockMs) {
         self.reading = self.reading.saturating_sub(1);
-        self.note_left(now);
+        self.record_release(now);
     }
 
     /// Notes that a request of this entry, or a copy of its run, has ended there.
-    pub fn note_left(&mut self, now: ClockMs) {
+    pub fn record_release(&mut self, now: ClockMs) {
         self.full_until = None;
         self.is_freed_here = true;
         self.capacity_since = now;
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -46,7 +46,7 @@
         let mut changed = Vec::new();
         for record in records {
             let id = &record.announcement.id;
-            if self.is_outlived(id) {
+            if self.is_superseded(id) {
                 continue;
             }
             changed.extend(self.end_previous_incarnation(id));
@@ -76,7 +76,7 @@
     /// Whether a newer life of an incarnation's name is known: it has ended, and nothing that is
     /// still told of it counts.
     #[must_use]
-    pub fn is_outlived(&self, id: &EndpointId) -> bool {
+    pub fn is_superseded(&self, id: &EndpointId) -> bool {
         let newest = self.lives.get(&id.name);
         newest.is_some_and(|newest| id.life < *newest)
     }
@@ -146,13 +146,13 @@
             .endpoints
             .iter()
             .filter(|(_, endpoint)| endpoint.announcement.zone == *zone)
-            .filter(|(_, endpoint)| endpoint.is_used() || endpoint.health.is_held(now));
+            .filter(|(_, endpoint)| endpoint.is_used() || endpoint.health.is_backing_off(now));
         let loads = busy.map(|(id, endpoint)| EndpointLoad {
             id: id.clone(),
             in_flight: endpoint.in_flight,
             reading: endpoint.reading,
             held_tokens: endpoint.held_tokens,
-            is_failing: endpoint.health.is_held(now),
+            is_failing: endpoint.health.is_backing_off(now),
         });
         loads.collect()
     }
@@ -165,7 +165,7 @@
     }
 
     /// Takes what the other entries have at the endpoints of a zone.
-    pub fn take_loads(&mut self, now: ClockMs, zone: &ZoneId, loads: &[EndpointLoad]) {
+    pub fn update_loads(&mut self, now: ClockMs, zone: &ZoneId, loads: &[EndpointLoad]) {
         self.loads_reported_at.insert(zone.clone(), now);
         let reported: IndexMap<&EndpointId, &EndpointLoad> =
             loads.iter().map(|load| (&load.id, load)).collect();
@@ -189,7 +189,7 @@
     }
 
     /// Takes what the other entries have at the endpoint of a place that was handed out here.
-    pub fn take_place(&mut self, now: ClockMs, load: &EndpointLoad) {
+    pub fn update_load(&mut self, now: ClockMs, load: &EndpointLoad) {
         if let Some(endpoint) = self.endpoints.get_mut(&load.id) {
             endpoint.update_others(now, OtherLoad::from(load));
         }
--- a/crates/masticsill_dispatch/src/estimate.rs
+++ b/crates/masticsill_dispatch/src/estimate.rs
@@ -3,7 +3,7 @@
 use masticsill_types::ClockMs;
 
 use crate::endpoints::EndpointTable;
-use crate::service_queue::{Need, ServiceQueue, Terms, Work};
+use crate::service_queue::{Requirements, ServiceQueue, Terms, Work};
 
 /// How much longer than the usual prompt one may be that is still answered in time after the
 /// longest wait. One bound for all: with each prompt's own, long ones would be refused first.
@@ -18,7 +18,7 @@
 pub(crate) fn latest_start(
     queue: &ServiceQueue,
     table: &EndpointTable,
-    need: &Need,
+    need: &Requirements,
     terms: &Terms,
 ) -> ClockMs {
     let usual_ms = typical_work_ms(queue, table, need) * LONG_PROMPT_FACTOR;
@@ -26,12 +26,12 @@
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let usual_ms = usual_ms as u64;
     terms
-        .aim_at
-        .before(usual_ms + terms.aim_ms / MARGIN_DIVISOR)
+        .answer_due_at
+        .before(usual_ms + terms.target_latency_ms / MARGIN_DIVISOR)
 }
 
 /// Time from a usual request's start to its first event, with nothing before it.
-fn typical_work_ms(queue: &ServiceQueue, table: &EndpointTable, need: &Need) -> f64 {
+fn typical_work_ms(queue: &ServiceQueue, table: &EndpointTable, need: &Requirements) -> f64 {
     match need.work {
         Work::Stream { .. } => {
             let ms_per_token = table.median_ms_per_token(&need.service);
@@ -56,7 +56,7 @@
     queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
-    need: &Need,
+    need: &Requirements,
     entries: u32,
     ahead: usize,
 ) -> u64 {
--- a/crates/masticsill_dispatch/src/health.rs
+++ b/crates/masticsill_dispatch/src/health.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes the last failure back: what was thought to have failed goes on.
-    pub fn take_back_failure(&mut self) {
+    pub fn retract_failure(&mut self) {
         self.failures = self.failures.saturating_sub(1);
         self.backoff_until = None;
         self.last_failure_at = None;
@@ -101,7 +101,7 @@
 
     /// Whether the endpoint is left alone now.
     #[must_use]
-    pub fn is_held(&self, now: ClockMs) -> bool {
+    pub fn is_backing_off(&self, now: ClockMs) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -45,7 +45,7 @@
 
 /// What a request wants of an endpoint.
 #[derive(Clone, Debug)]
-pub struct Wanted<'a> {
+pub struct PlacementRequest<'a> {
     /// Endpoints that accept no further connection.
     pub closed: &'a [EndpointId],
     /// Endpoints that it was sent to already.
@@ -55,7 +55,7 @@
     /// The zone to avoid, for a copy that is to survive the zone.
     pub not_in_zone: Option<&'a ZoneId>,
     /// The endpoint at which a place was handed out to the request.
-    pub place: Option<&'a EndpointId>,
+    pub reserved_endpoint: Option<&'a EndpointId>,
     /// The service.
     pub service: &'a str,
     /// This entry's part of its zone's endpoints.
@@ -64,7 +64,7 @@
     pub zone: &'a ZoneId,
 }
 
-impl Wanted<'_> {
+impl PlacementRequest<'_> {
     /// Whether an endpoint may be chosen at all.
     pub(crate) fn is_candidate(&self, endpoint: &Endpoint) -> bool {
         let said = &endpoint.announcement;
@@ -85,14 +85,14 @@
     /// Entries of the zone.
     pub entries: usize,
     /// Which of them this one is, from zero.
-    pub place: usize,
+    pub rank: usize,
 }
 
 impl Default for ZoneShare {
     fn default() -> Self {
         Self {
             entries: 1,
-            place: 0,
+            rank: 0,
         }
     }
 }
@@ -109,7 +109,7 @@
     /// Requests that it works on, as far as is known.
     pub in_flight: u32,
     /// Whether a place there was handed out to the request.
-    pub is_handed_out: bool,
+    pub is_reserved: bool,
     /// Tokens of the prompt that it keeps.
     pub kept_tokens: u64,
     /// Those requests whose prompt it still reads.
@@ -123,7 +123,7 @@
 pub fn choose(
     table: &EndpointTable,
     now: ClockMs,
-    wanted: &Wanted<'_>,
+    wanted: &PlacementRequest<'_>,
     has_capacity: impl Fn(&Endpoint) -> bool,
     mut jitter: impl FnMut() -> f64,
 ) -> Option<Choice> {
@@ -142,7 +142,7 @@
         if others.contains(&&endpoint.announcement.id) {
             cost += OTHER_ENTRY_COST;
         }
-        if wanted.place == Some(&endpoint.announcement.id) {
+        if wanted.reserved_endpoint == Some(&endpoint.announcement.id) {
             cost -= RESERVATION_GAIN;
         }
         cost -= kept_tokens(endpoint, wanted).min(MAX_KEPT_TOKENS) as f64 * KEPT_TOKEN_GAIN;
@@ -154,7 +154,7 @@
         cost,
         id: best.announcement.id.clone(),
         in_flight: best.in_flight + best.others.in_flight,
-        is_handed_out: wanted.place == Some(&best.announcement.id),
+        is_reserved: wanted.reserved_endpoint == Some(&best.announcement.id),
         kept_tokens: kept_tokens(best, wanted),
         reading: best.reading + best.others.reading,
     })
@@ -169,14 +169,14 @@
 pub fn choose_holder<'a>(
     table: &'a EndpointTable,
     now: ClockMs,
-    wanted: &Wanted<'_>,
+    wanted: &PlacementRequest<'_>,
     has_capacity: impl Fn(&Endpoint) -> bool,
     mut random: impl FnMut() -> f64,
 ) -> Option<&'a Endpoint> {
     let suspect_zones = suspect_zones(table, wanted.service, now);
     let is_sound = |it: &Endpoint| {
         let zone = &it.announcement.zone;
-        !it.is_silent() && !it.is_held(now) && !suspect_zones.contains(&zone)
+        !it.is_silent() && !it.is_backing_off(now) && !suspect_zones.contains(&zone)
     };
     let candidates = table.iter().filter(|it| wanted.is_candidate(it));
     let candidates: Vec<&Endpoint> = candidates
@@ -200,7 +200,7 @@
 }
 
 /// Tokens of the prompt that an engine keeps.
-fn kept_tokens(endpoint: &Endpoint, wanted: &Wanted<'_>) -> u64 {
+fn kept_tokens(endpoint: &Endpoint, wanted: &PlacementRequest<'_>) -> u64 {
     let id = &endpoint.announcement.id;
     let kept = wanted.kept.iter().find(|kept| kept.endpoint == *id);
     kept.map_or(0, |kept| kept.tokens)
@@ -209,16 +209,16 @@
 /// Endpoints of the own zone that are other entries' part of it.
 fn other_shares_endpoints<'a>(
     candidates: &[&'a Endpoint],
-    wanted: &Wanted<'_>,
+    wanted: &PlacementRequest<'_>,
 ) -> Vec<&'a EndpointId> {
-    let ZoneShare { entries, place } = wanted.share;
+    let ZoneShare { entries, rank } = wanted.share;
     let near = candidates
         .iter()
         .filter(|it| it.announcement.zone == *wanted.zone);
     let mut near: Vec<&EndpointId> = near.map(|it| &it.announcement.id).collect();
     near.sort();
     let dealt = near.into_iter().enumerate();
-    let others = dealt.filter(|(position, _)| position % entries.max(1) != place);
+    let others = dealt.filter(|(position, _)| position % entries.max(1) != rank);
     others.map(|(_, id)| id).collect()
 }
 
@@ -269,7 +269,7 @@
     if endpoint.announcement.zone != *zone {
         cost += OTHER_ZONE_COST;
     }
-    if endpoint.is_held(now) {
+    if endpoint.is_backing_off(now) {
         cost += BACKOFF_COST;
     }
     if endpoint.is_silent() {
--- a/crates/masticsill_dispatch/src/prior_wait.rs
+++ b/crates/masticsill_dispatch/src/prior_wait.rs
@@ -24,11 +24,11 @@
 
 /// The times that callers gave lately, by route.
 #[derive(Clone, Debug, Default)]
-pub struct CallerPatience {
+pub struct PriorWaitEstimator {
     routes: IndexMap<String, LongestTimeouts>,
 }
 
-impl CallerPatience {
+impl PriorWaitEstimator {
     /// Takes the time that a caller gives; returns how long it has waited before, as far as can be
     /// told: short waits can't be told from less patience.
     pub fn note(&mut self, now: ClockMs, route: &str, given_ms: u64) -> u64 {
--- a/crates/masticsill_dispatch/src/service_queue.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -47,20 +47,20 @@
 
 /// What a request needs of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Need {
+pub struct Requirements {
     /// Endpoints that it was sent to already.
     pub excluded: Vec<EndpointId>,
     /// Engines that keep the beginning of its prompt.
     pub kept: Vec<KeptTokens>,
     /// The engine at which a control replica has just handed out a place to it.
-    pub place: Option<EndpointId>,
+    pub reserved_endpoint: Option<EndpointId>,
     /// The service.
     pub service: String,
     /// What it makes the endpoint do.
     pub work: Work,
 }
 
-impl Need {
+impl Requirements {
     /// Tokens of its prompt that an engine keeps.
     pub(crate) fn kept_at(&self, endpoint: &EndpointId) -> u64 {
         let kept = self.kept.iter().find(|kept| kept.endpoint == *endpoint);
@@ -72,15 +72,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// Time in which callers of its route want an answer, or its first event.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// When it should have been answered, or its first event have come.
-    pub aim_at: ClockMs,
+    pub answer_due_at: ClockMs,
     /// When its caller gives up, in this attempt and in those that may follow.
     pub caller_leaves_at: ClockMs,
     /// When the attempt must have ended.
     pub deadline_at: ClockMs,
     /// Whether its caller was refused before and has come back.
-    pub has_come_back: bool,
+    pub is_returning: bool,
     /// Whether its caller has a part of the answer already.
     pub is_resume: bool,
     /// Whose request it is.
@@ -100,7 +100,7 @@
 /// A request that waits.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub(crate) need: Need,
+    pub(crate) need: Requirements,
     pub(crate) rank: Rank,
     /// Whether it is served however long that takes: it has waited too long to be sent away.
     pub(crate) is_committed: bool,
@@ -226,7 +226,7 @@
     /// Notes that a request is sent.
     // Counts are far below the precision of the type.
     #[allow(clippy::cast_precision_loss)]
-    pub(crate) fn note_start(&mut self, now: ClockMs, need: &Need) {
+    pub(crate) fn note_start(&mut self, now: ClockMs, need: &Requirements) {
         self.starts.push_back(now);
         while self
             .starts
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -1,6 +1,6 @@
 //! Endpoints that start again under their old id, told by several control replicas in any order.
 
-use masticsill_dispatch::{EndpointTable, Wanted, ZoneShare, choose};
+use masticsill_dispatch::{EndpointTable, PlacementRequest, ZoneShare, choose};
 use masticsill_registry::{
     Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens, Life,
 };
@@ -56,12 +56,12 @@
 }
 
 fn chosen(table: &EndpointTable, kept: &[KeptTokens]) -> Option<(EndpointId, u64)> {
-    let wanted = Wanted {
+    let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
         kept,
         not_in_zone: None,
-        place: None,
+        reserved_endpoint: None,
         service: "s",
         share: ZoneShare::default(),
         zone: &zone(),
@@ -119,7 +119,7 @@
             let newest = expected(&words, name).map(|(life, _)| life);
             let is_known_as_it_is = known.iter().all(|it| {
                 let id = &it.announcement.id;
-                Some(id.life) == newest || table.is_outlived(id)
+                Some(id.life) == newest || table.is_superseded(id)
             });
             prop_assert!(is_known_as_it_is);
         }
@@ -143,10 +143,10 @@
         (newest.in_flight, newest.held_tokens, newest.reading),
         (0, 0, 0)
     );
-    assert!(!newest.is_full(NOW) && !newest.health.is_held(NOW));
+    assert!(!newest.is_full(NOW) && !newest.health.is_backing_off(NOW));
     let previous = table.get(&born("e", 1)).unwrap();
     assert_eq!(previous.in_flight, 3, "what is there ends there");
-    assert!(!previous.is_ready() && table.is_outlived(&born("e", 1)));
+    assert!(!previous.is_ready() && table.is_superseded(&born("e", 1)));
 }
 
 #[test]
@@ -171,9 +171,9 @@
         held_tokens: 7_000,
         is_failing: false,
     };
-    table.take_loads(NOW, &zone(), &[load(1)]);
+    table.update_loads(NOW, &zone(), &[load(1)]);
     assert_eq!(table.get(&born("e", 2)).unwrap().others.in_flight, 0);
-    table.take_loads(NOW, &zone(), &[load(1), load(2)]);
+    table.update_loads(NOW, &zone(), &[load(1), load(2)]);
     assert_eq!(table.get(&born("e", 2)).unwrap().others.in_flight, 5);
 }
 
--- a/crates/masticsill_dispatch/tests/health_marks.rs
+++ b/crates/masticsill_dispatch/tests/health_marks.rs
@@ -9,9 +9,9 @@
 fn a_failure_taken_back_leaves_no_hold() {
     let mut health = Health::default();
     health.note_failure(NOW);
-    assert!(health.is_held(NOW));
-    health.take_back_failure();
-    assert!(!health.is_held(NOW));
+    assert!(health.is_backing_off(NOW));
+    health.retract_failure();
+    assert!(!health.is_backing_off(NOW));
     assert!(!health.has_failed_within(NOW, 1_000));
 }
 
@@ -22,9 +22,9 @@
     let mut again = Health::default();
     for _ in 0..5 {
         again.note_failure(NOW);
-        again.take_back_failure();
+        again.retract_failure();
     }
     again.note_failure(NOW);
-    let held_ms = |health: &Health| (0..5_000).find(|ms| !health.is_held(NOW + *ms));
+    let held_ms = |health: &Health| (0..5_000).find(|ms| !health.is_backing_off(NOW + *ms));
     assert_eq!(held_ms(&again), held_ms(&once));
 }
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -2,8 +2,8 @@
 
 use assert_matches::assert_matches;
 use masticsill_dispatch::{
-    CallerPatience, Decision, Dispatcher, Ended, EndpointTable, Failure, Need, Surroundings, Terms,
-    Ticket, Turns, Work, ZoneShare,
+    Decision, DispatchContext, Dispatcher, EndpointTable, EntryPosition, Failure,
+    PriorWaitEstimator, Requirements, Terms, Ticket, WaitOutcome, Work, ZoneShare,
 };
 use masticsill_registry::{
     Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
@@ -45,11 +45,11 @@
     table
 }
 
-fn need() -> Need {
-    Need {
+fn need() -> Requirements {
+    Requirements {
         excluded: Vec::new(),
         kept: Vec::new(),
-        place: None,
+        reserved_endpoint: None,
         service: SERVICE.to_owned(),
         work: Work::Stream {
             memory_tokens: Some(88_000),
@@ -61,11 +61,11 @@
 
 fn terms(workspace: &str) -> Terms {
     Terms {
-        aim_ms: 4_500,
-        aim_at: NOW + 4_500,
+        target_latency_ms: 4_500,
+        answer_due_at: NOW + 4_500,
         caller_leaves_at: NOW + 25_000,
         deadline_at: NOW + 25_000,
-        has_come_back: false,
+        is_returning: false,
         is_resume: false,
         workspace: Some(workspace.to_owned()),
     }
@@ -112,7 +112,7 @@
         self.table.get_mut(&id(name)).unwrap().end_reading(now);
     }
 
-    fn ask(&mut self, now: ClockMs, need: &Need, terms: &Terms) -> Decision {
+    fn ask(&mut self, now: ClockMs, need: &Requirements, terms: &Terms) -> Decision {
         let around = around(&self.node, &self.zone);
         self.dispatcher
             .ask(now, &self.table, need, terms, &around, || 0.0)
@@ -126,16 +126,16 @@
         ticket
     }
 
-    fn next(&mut self, now: ClockMs) -> Option<Ended> {
+    fn next(&mut self, now: ClockMs) -> Option<WaitOutcome> {
         let around = around(&self.node, &self.zone);
         self.dispatcher.next(now, &self.table, &around, || 0.0)
     }
 }
 
-fn around<'a>(node: &'a NodeId, zone: &'a ZoneId) -> Surroundings<'a> {
-    Surroundings {
+fn around<'a>(node: &'a NodeId, zone: &'a ZoneId) -> DispatchContext<'a> {
+    DispatchContext {
         closed: &[],
-        turns: Turns {
+        entry: EntryPosition {
             entries: 1,
             node,
             share: ZoneShare::default(),
@@ -150,7 +150,7 @@
     let ticket = entry.waits(NOW, &terms("w"));
     assert_eq!(entry.next(NOW + 100), None);
     entry.first_event(NOW + 300, "e2");
-    assert_matches!(entry.next(NOW + 500), Some(Ended::Send(sent, choice)) => {
+    assert_matches!(entry.next(NOW + 500), Some(WaitOutcome::Send(sent, choice)) => {
         assert_eq!((sent, choice.id), (ticket, id("e2")));
     });
 }
@@ -181,7 +181,7 @@
         held_tokens: 36_000,
         is_failing: false,
     };
-    entry.table.take_loads(NOW, &zone(), &[load]);
+    entry.table.update_loads(NOW, &zone(), &[load]);
     assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
 }
 
@@ -225,7 +225,7 @@
     };
     let resume = entry.waits(NOW, &resume);
     entry.first_event(NOW + 100, "e1");
-    assert_matches!(entry.next(NOW + 100), Some(Ended::Send(sent, _)) if sent == resume);
+    assert_matches!(entry.next(NOW + 100), Some(WaitOutcome::Send(sent, _)) if sent == resume);
 }
 
 #[test]
@@ -233,12 +233,12 @@
     let mut entry = Entry::busy(&["e1"]);
     let newcomer = entry.waits(NOW, &terms("w1"));
     let back = Terms {
-        has_come_back: true,
+        is_returning: true,
         ..terms("w2")
     };
     let back = entry.waits(NOW, &back);
     entry.first_event(NOW + 100, "e1");
-    assert_matches!(entry.next(NOW + 700), Some(Ended::Send(sent, _)) if sent == back);
+    assert_matches!(entry.next(NOW + 700), Some(WaitOutcome::Send(sent, _)) if sent == back);
     assert_ne!(back, newcomer);
 }
 
@@ -261,19 +261,19 @@
     let endpoint = entry.table.get_mut(&id("e1")).unwrap();
     (0..20).for_each(|_| endpoint.reading_pace.note(8_000, 9_000));
     let ends = (0..500).find_map(|ms| entry.next(NOW + ms));
-    assert_matches!(ends, Some(Ended::Refuse(refused, _)) if refused == ticket);
+    assert_matches!(ends, Some(WaitOutcome::Refuse(refused, _)) if refused == ticket);
 }
 
 #[test]
 fn late_request_is_served_when_nobody_else_waits() {
     let mut entry = Entry::busy(&["e1"]);
     let late = Terms {
-        aim_at: NOW.before(1_000),
+        answer_due_at: NOW.before(1_000),
         ..terms("w")
     };
     let ticket = entry.waits(NOW, &late);
     entry.first_event(NOW + 200, "e1");
-    assert_matches!(entry.next(NOW + 400), Some(Ended::Send(sent, _)) if sent == ticket);
+    assert_matches!(entry.next(NOW + 400), Some(WaitOutcome::Send(sent, _)) if sent == ticket);
 }
 
 #[test]
@@ -295,7 +295,7 @@
         [SERVICE]
     );
     let closed = [id("e1")];
-    let around = Surroundings {
+    let around = DispatchContext {
         closed: &closed,
         ..around(&entry.node, &entry.zone)
     };
@@ -303,13 +303,13 @@
         .dispatcher
         .next(NOW + 300, &entry.table, &around, || 0.0);
     assert_eq!(ended, None);
-    assert_matches!(entry.next(NOW + 300), Some(Ended::Send(sent, _)) if sent == ticket);
+    assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(sent, _)) if sent == ticket);
 }
 
 #[test]
 fn nobody_is_nobody() {
     let mut entry = Entry::new(&[]);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Nobody);
+    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::NoEndpoint);
 }
 
 #[test]
@@ -317,12 +317,12 @@
     let mut entry = Entry::new(&["e1"]);
     entry.table.get_mut(&id("e1")).unwrap().note_full(NOW);
     assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
-    assert_matches!(entry.next(NOW + 300), Some(Ended::Send(..)));
+    assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(..)));
 }
 
 #[test]
 fn less_time_tells_who_came_back() {
-    let mut prior_wait = CallerPatience::default();
+    let mut prior_wait = PriorWaitEstimator::default();
     for given_ms in [25_000, 21_300, 24_000] {
         assert_eq!(prior_wait.note(NOW, "draft", given_ms), 0);
     }
@@ -346,13 +346,13 @@
         for (step, which, passed_ms) in steps {
             now = now + passed_ms;
             let deadline_at = now + 8_000;
-            let terms = Terms { aim_at: now + 4_500, deadline_at, ..terms(names[which]) };
+            let terms = Terms { answer_due_at: now + 4_500, deadline_at, ..terms(names[which]) };
             match step {
                 0 | 1 => match entry.ask(now, &need(), &terms) {
                     Decision::Send(choice) => entry.begin(&choice.id.name),
                     Decision::Wait(ticket) => waiting.push(ticket),
                     Decision::Refuse(overload) => prop_assert!(overload.retry_after_ms >= 200),
-                    Decision::Nobody => prop_assert!(false, "there are engines"),
+                    Decision::NoEndpoint => prop_assert!(false, "there are engines"),
                 },
                 2 => {
                     let endpoint = entry.table.get_mut(&id(names[which])).unwrap();
@@ -369,11 +369,11 @@
                 }
             }
             while let Some(ended) = entry.next(now) {
-                let (Ended::Send(ticket, _) | Ended::Refuse(ticket, _)) = &ended;
+                let (WaitOutcome::Send(ticket, _) | WaitOutcome::Refuse(ticket, _)) = &ended;
                 let place = waiting.iter().position(|it| it == ticket);
                 prop_assert!(place.is_some(), "ended twice");
                 waiting.remove(place.unwrap());
-                if let Ended::Send(_, choice) = ended {
+                if let WaitOutcome::Send(_, choice) = ended {
                     entry.begin(&choice.id.name);
                 }
             }
@@ -383,7 +383,7 @@
             }
         }
         while let Some(ended) = entry.next(now + 60_000) {
-            let (Ended::Send(ticket, _) | Ended::Refuse(ticket, _)) = ended;
+            let (WaitOutcome::Send(ticket, _) | WaitOutcome::Refuse(ticket, _)) = ended;
             waiting.retain(|it| *it != ticket);
         }
         prop_assert!(waiting.is_empty());
--- a/crates/masticsill_dispatch/tests/placement_choice.rs
+++ b/crates/masticsill_dispatch/tests/placement_choice.rs
@@ -1,6 +1,8 @@
 //! Which endpoint is chosen, by load, zone, failures and what control replicas tell.
 
-use masticsill_dispatch::{EndpointTable, Failure, Wanted, ZoneShare, choose, choose_holder};
+use masticsill_dispatch::{
+    EndpointTable, Failure, PlacementRequest, ZoneShare, choose, choose_holder,
+};
 use masticsill_registry::{
     Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
 };
@@ -50,12 +52,12 @@
 
 fn chosen_but(table: &EndpointTable, excluded: &[&str], share: ZoneShare) -> Option<String> {
     let excluded: Vec<EndpointId> = excluded.iter().map(|name| id(name)).collect();
-    let wanted = Wanted {
+    let wanted = PlacementRequest {
         closed: &[],
         excluded: &excluded,
         kept: &[],
         not_in_zone: None,
-        place: None,
+        reserved_endpoint: None,
         service: "s",
         share,
         zone: &zone("a"),
@@ -94,20 +96,20 @@
         held_tokens: 0,
         is_failing: false,
     };
-    table.take_loads(NOW, &zone("a"), &[load]);
+    table.update_loads(NOW, &zone("a"), &[load]);
     assert_eq!(chosen(&table).as_deref(), Some("a2"));
-    table.take_loads(NOW, &zone("a"), &[]);
+    table.update_loads(NOW, &zone("a"), &[]);
     table.get_mut(&id("a2")).unwrap().in_flight = 1;
     assert_eq!(chosen(&table).as_deref(), Some("a1"));
 }
 
 fn chosen_with(table: &EndpointTable, kept: &[KeptTokens]) -> Option<String> {
-    let wanted = Wanted {
+    let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
         kept,
         not_in_zone: None,
-        place: None,
+        reserved_endpoint: None,
         service: "s",
         share: ZoneShare::default(),
         zone: &zone("a"),
@@ -143,7 +145,7 @@
 #[test]
 fn entries_of_a_zone_choose_different_endpoints() {
     let table = table(&["a1", "a2"]);
-    let share = |place| ZoneShare { entries: 2, place };
+    let share = |rank| ZoneShare { entries: 2, rank };
     let first = chosen_but(&table, &[], share(0));
     let second = chosen_but(&table, &[], share(1));
     assert_ne!(first, second);
@@ -155,8 +157,8 @@
     table.note_failure(NOW, &id("a1"), Failure::Broken);
     assert_eq!(chosen(&table).as_deref(), Some("b1"));
     let health = &table.get(&id("a1")).unwrap().health;
-    assert!(health.is_held(NOW));
-    assert!(!health.is_held(NOW + 2_000));
+    assert!(health.is_backing_off(NOW));
+    assert!(!health.is_backing_off(NOW + 2_000));
 }
 
 #[test]
@@ -249,12 +251,12 @@
 /// The endpoint chosen at a time, if a place at one was handed out.
 fn chosen_at(table: &EndpointTable, now: ClockMs, place: Option<&str>) -> Option<String> {
     let place = place.map(id);
-    let wanted = Wanted {
+    let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
         kept: &[],
         not_in_zone: None,
-        place: place.as_ref(),
+        reserved_endpoint: place.as_ref(),
         service: "s",
         share: ZoneShare::default(),
         zone: &zone("a"),
@@ -272,7 +274,7 @@
 #[test]
 fn a_place_that_was_handed_out_beats_an_engine_that_looks_idle() {
     let mut table = table(&["a1", "a2"]);
-    table.take_loads(NOW, &zone("a"), &[others("a2", 2)]);
+    table.update_loads(NOW, &zone("a"), &[others("a2", 2)]);
     assert_eq!(chosen_at(&table, NOW, None).as_deref(), Some("a1"));
     let chosen = chosen_at(&table, NOW, Some("a2"));
     assert_eq!(chosen.as_deref(), Some("a2"));
@@ -290,12 +292,12 @@
 #[test]
 fn old_news_of_idle_engines_decide_nothing() {
     let mut table = table(&["a1", "b1", "b2"]);
-    table.take_loads(NOW, &zone("b"), &[]);
+    table.update_loads(NOW, &zone("b"), &[]);
     let later = NOW + 5_000;
-    table.take_loads(later, &zone("a"), &[others("a1", 3)]);
+    table.update_loads(later, &zone("a"), &[others("a1", 3)]);
     // By the news of 5 s ago the engines of zone b do nothing; they do as much as the usual one.
     assert_eq!(chosen_at(&table, later, None).as_deref(), Some("a1"));
-    table.take_loads(later, &zone("b"), &[]);
+    table.update_loads(later, &zone("b"), &[]);
     assert_eq!(chosen_at(&table, later, None).as_deref(), Some("b1"));
 }
 
@@ -306,7 +308,7 @@
         reading: 1,
         ..others("a1", 1)
     };
-    table.take_loads(NOW, &zone("a"), &[reading]);
+    table.update_loads(NOW, &zone("a"), &[reading]);
     let one = table.get(&id("a1")).unwrap();
     assert_eq!(one.reading_total(NOW + 1_499), 1);
     assert_eq!(one.reading_total(NOW + 1_500), 0);
@@ -319,17 +321,17 @@
         is_failing: true,
         ..others("a1", 0)
     };
-    table.take_loads(NOW, &zone("a"), &[failing, others("a2", 4)]);
+    table.update_loads(NOW, &zone("a"), &[failing, others("a2", 4)]);
     assert_eq!(chosen_at(&table, NOW, None).as_deref(), Some("a2"));
-    assert!(!table.get(&id("a1")).unwrap().is_held(NOW + 1_000));
+    assert!(!table.get(&id("a1")).unwrap().is_backing_off(NOW + 1_000));
 }
 
 #[test]
 fn news_of_a_replica_that_stopped_answering_are_dropped() {
     let mut table = table(&["a1", "b1"]);
     let loads = [others("a1", 1)];
-    table.take_loads(NOW, &zone("a"), &loads);
-    table.take_loads(NOW, &zone("b"), &[others("b1", 9)]);
+    table.update_loads(NOW, &zone("a"), &loads);
+    table.update_loads(NOW, &zone("b"), &[others("b1", 9)]);
     table.forget_loads(&zone("b"));
     let age_ms = table.get(&id("b1")).unwrap().others_age_ms(NOW);
     assert!(age_ms >= 1_500, "{age_ms}");
@@ -337,12 +339,12 @@
 
 /// Engines that hold copies of runs of the own zone, for entries that have heard the same.
 fn holders(table: &EndpointTable, entries: u32) -> Vec<String> {
-    let wanted = Wanted {
+    let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
         kept: &[],
         not_in_zone: Some(&zone("a")),
-        place: None,
+        reserved_endpoint: None,
         service: "s",
         share: ZoneShare::default(),
         zone: &zone("a"),
@@ -362,7 +364,7 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut table = table(&names);
     let loads: Vec<EndpointLoad> = names[1..].iter().map(|name| others(name, 1)).collect();
-    table.take_loads(NOW, &zone("b"), &loads);
+    table.update_loads(NOW, &zone("b"), &loads);
     let holders = holders(&table, 72);
     for name in names {
         let copies = holders.iter().filter(|holder| **holder == name).count();
@@ -377,7 +379,7 @@
         held_tokens: 40_000,
         ..others("b1", 4)
     };
-    table.take_loads(NOW, &zone("b"), &[full]);
+    table.update_loads(NOW, &zone("b"), &[full]);
     let holders = holders(&table, 100);
     let at = |name: &str| holders.iter().filter(|holder| *holder == name).count();
     assert_eq!(at("a1"), 0);
@@ -392,8 +394,8 @@
         is_failing: true,
         ..others(name, 1)
     });
-    table.take_loads(NOW, &zone("a"), &failing);
-    table.take_loads(NOW, &zone("b"), &[others("b1", 8)]);
+    table.update_loads(NOW, &zone("a"), &failing);
+    table.update_loads(NOW, &zone("b"), &[others("b1", 8)]);
     assert_eq!(chosen_at(&table, NOW, None).as_deref(), Some("b1"));
     // Nobody says so any more: the own zone is used again.
     let later = chosen_at(&table, NOW + 1_000, None).unwrap();
@@ -413,7 +415,7 @@
             is_failing: engine < 3,
             ..others(name, 1)
         });
-    table.take_loads(NOW, &zone("a"), &loads.collect::<Vec<_>>());
+    table.update_loads(NOW, &zone("a"), &loads.collect::<Vec<_>>());
     let chosen = chosen_at(&table, NOW, None).unwrap();
     assert_ne!(chosen, "b1");
 }
--- a/crates/masticsill_quarantine/src/fingerprint.rs
+++ b/crates/masticsill_quarantine/src/fingerprint.rs
@@ -35,7 +35,7 @@
     /// Every entry finds the same, so that requests which may have crashed endpoints together go
     /// different ways without a word between their entries.
     #[must_use]
-    pub fn is_kept_at(&self, endpoint: &EndpointId) -> bool {
+    pub fn is_isolated_to(&self, endpoint: &EndpointId) -> bool {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.0);
         hasher.update(endpoint.to_string().as_bytes());
--- a/crates/masticsill_quarantine/src/ledger.rs
+++ b/crates/masticsill_quarantine/src/ledger.rs
@@ -57,7 +57,7 @@
     /// Whether it has been suspicious, so that every change concerns all.
     is_spread: bool,
     /// Revision of its last change that this process noted itself.
-    noted_revision: u64,
+    local_revision: u64,
     revision: u64,
     suspect: Suspect,
 }
@@ -67,10 +67,10 @@
 pub struct CrashLedger {
     completed: CompletedRuns,
     /// Revision of the last change that this process noted itself.
-    noted_revision: u64,
+    local_revision: u64,
     revision: u64,
     /// Revision of the last change that concerns every entry.
-    spread_revision: u64,
+    broadcast_revision: u64,
     suspects: IndexMap<Fingerprint, Entry>,
 }
 
@@ -177,18 +177,18 @@
         self.revision += 1;
         entry.revision = self.revision;
         if origin == Origin::Here {
-            entry.noted_revision = self.revision;
-            self.noted_revision = self.revision;
+            entry.local_revision = self.revision;
+            self.local_revision = self.revision;
         }
         entry.is_spread |= entry.suspect.is_suspicious();
         if entry.is_spread {
-            self.spread_revision = self.revision;
+            self.broadcast_revision = self.revision;
         }
     }
 
     /// How long until a crash is to be judged; none while there is nothing to judge.
     #[must_use]
-    pub fn judged_in_ms(&self, now: ClockMs) -> Option<u64> {
+    pub fn next_judgement_in_ms(&self, now: ClockMs) -> Option<u64> {
         let now = moment(now);
         let crashes = self.suspects.values().flat_map(|it| it.suspect.crashes());
         let pending = crashes.filter(|it| it.weight == Weight::Pending);
@@ -367,7 +367,7 @@
 
     /// Whether one crash more may have a request sent nowhere.
     #[must_use]
-    pub fn is_one_crash_short(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn is_near_quarantine(&self, fingerprint: &Fingerprint) -> bool {
         let entry = self.suspects.get(fingerprint);
         entry.is_some_and(|it| it.suspect.is_suspicious())
     }
@@ -392,25 +392,25 @@
 
     /// Revision of the last change that this process noted itself.
     #[must_use]
-    pub fn noted_revision(&self) -> u64 {
-        self.noted_revision
+    pub fn local_revision(&self) -> u64 {
+        self.local_revision
     }
 
     /// Revision of the last change that concerns every entry.
     #[must_use]
-    pub fn spread_revision(&self) -> u64 {
-        self.spread_revision
+    pub fn broadcast_revision(&self) -> u64 {
+        self.broadcast_revision
     }
 
     /// Requests of which this process noted something itself after a revision.
     #[must_use]
-    pub fn noted_since(&self, now: ClockMs, revision: u64) -> Vec<RequestRecord> {
-        self.records(now, |entry| entry.noted_revision > revision)
+    pub fn local_since(&self, now: ClockMs, revision: u64) -> Vec<RequestRecord> {
+        self.records(now, |entry| entry.local_revision > revision)
     }
 
     /// Requests that concern every entry and changed after a revision.
     #[must_use]
-    pub fn spread_since(&self, now: ClockMs, revision: u64) -> Vec<RequestRecord> {
+    pub fn broadcast_since(&self, now: ClockMs, revision: u64) -> Vec<RequestRecord> {
         self.records(now, |entry| entry.is_spread && entry.revision > revision)
     }
 
--- a/crates/masticsill_quarantine/tests/crash_ledger.rs
+++ b/crates/masticsill_quarantine/tests/crash_ledger.rs
@@ -152,13 +152,13 @@
     // Nobody judges.
     assert_eq!(standing(&ledger, 2_850), Standing::Free);
     let now = ClockMs(2_050);
-    assert_eq!(ledger.judged_in_ms(now), Some(500));
+    assert_eq!(ledger.next_judgement_in_ms(now), Some(500));
     assert!(ledger.judge(ClockMs(2_400)).is_empty());
     let judged = ledger.judge(ClockMs(2_550));
     assert_eq!(judged.len(), 1);
     assert_eq!(judged[0].weight, Weight::Counted);
     assert!(is_quarantined(&ledger, ClockMs(2_550), 1));
-    assert_eq!(ledger.judged_in_ms(now), None);
+    assert_eq!(ledger.next_judgement_in_ms(now), None);
 }
 
 #[test]
@@ -187,10 +187,10 @@
     crash_in_turn(&mut ledger, 1, 3, 1_000);
     crash_in_turn(&mut ledger, 2, 1, 1_000);
     ledger.forget_old(ClockMs(1_050 + TEN_MINUTES_MS));
-    assert_eq!(ledger.spread_since(ClockMs(0), 0).len(), 1);
-    assert_eq!(ledger.noted_since(ClockMs(0), 0).len(), 1);
+    assert_eq!(ledger.broadcast_since(ClockMs(0), 0).len(), 1);
+    assert_eq!(ledger.local_since(ClockMs(0), 0).len(), 1);
     ledger.forget_old(ClockMs(1_250 + 2 * TEN_MINUTES_MS));
-    assert!(ledger.noted_since(ClockMs(0), 0).is_empty());
+    assert!(ledger.local_since(ClockMs(0), 0).is_empty());
 }
 
 #[test]
@@ -206,7 +206,7 @@
         );
     }
     let now = ClockMs(30_000);
-    assert_eq!(ledger.noted_since(now, 0).len(), 1_024);
+    assert_eq!(ledger.local_since(now, 0).len(), 1_024);
     assert!(is_quarantined(&ledger, now, 1));
     // Of one request, only the newest crashes are kept.
     for number in 0..100 {
@@ -217,7 +217,7 @@
             &Run::new(20_000 + number, began_ms, began_ms + 50),
         );
     }
-    let records = ledger.noted_since(ClockMs(60_000), 0);
+    let records = ledger.local_since(ClockMs(60_000), 0);
     let of_first = records.iter().find(|it| it.fingerprint == fingerprint(1));
     assert_eq!(of_first.unwrap().crashes.len(), 16);
 }
@@ -230,8 +230,8 @@
     // It never crashed anything here, but was run to an end after the crashes.
     entry.note_completion(ClockMs(1_400), fingerprint(1));
     let now = ClockMs(2_000);
-    entry.merge(now, &replica.spread_since(now, 0));
-    let told = entry.noted_since(now, 0);
+    entry.merge(now, &replica.broadcast_since(now, 0));
+    let told = entry.local_since(now, 0);
     assert_eq!(told.len(), 1);
     replica.merge(now, &told);
     note(&mut replica, 1, &Run::new(9, 2_000, 2_050));
@@ -244,14 +244,14 @@
     let mut ledger = CrashLedger::default();
     crash_in_turn(&mut ledger, 1, 1, 1_000);
     let now = ClockMs(2_000);
-    assert!(ledger.spread_since(now, 0).is_empty());
-    let before = ledger.spread_revision();
+    assert!(ledger.broadcast_since(now, 0).is_empty());
+    let before = ledger.broadcast_revision();
     crash_in_turn(&mut ledger, 1, 2, 1_000);
-    assert!(ledger.spread_revision() > before);
-    assert_eq!(ledger.spread_since(now, before).len(), 1);
+    assert!(ledger.broadcast_revision() > before);
+    assert_eq!(ledger.broadcast_since(now, before).len(), 1);
     assert!(
         ledger
-            .spread_since(now, ledger.spread_revision())
+            .broadcast_since(now, ledger.broadcast_revision())
             .is_empty()
     );
 }
@@ -261,7 +261,7 @@
     let mut former = CrashLedger::default();
     former.note_completion(ClockMs(999_000), fingerprint(1));
     let now = crash_in_turn(&mut former, 1, 6, 1_000_000);
-    let records = former.spread_since(now, 0);
+    let records = former.broadcast_since(now, 0);
     // Just started: its clock begins with zero.
     let mut started = CrashLedger::default();
     started.merge(ClockMs(5), &records);
--- a/crates/masticsill_quarantine/tests/innocent_requests.rs
+++ b/crates/masticsill_quarantine/tests/innocent_requests.rs
@@ -113,9 +113,9 @@
     assert!(is_quarantined(&replica, now, INNOCENT));
     // Another entry has a run of it that got further.
     let mut entry = CrashLedger::default();
-    entry.merge(now, &replica.spread_since(now, 0));
+    entry.merge(now, &replica.broadcast_since(now, 0));
     entry.note_progress(fingerprint(INNOCENT), 2_000);
     assert!(!is_quarantined(&entry, now, INNOCENT));
-    replica.merge(now, &entry.noted_since(now, 0));
+    replica.merge(now, &entry.local_since(now, 0));
     assert!(!is_quarantined(&replica, now, INNOCENT));
 }
--- a/crates/masticsill_quarantine/tests/joined_records.rs
+++ b/crates/masticsill_quarantine/tests/joined_records.rs
@@ -79,7 +79,7 @@
             }
         }
         let words: Vec<Vec<RequestRecord>> =
-            entries.iter().map(|it| it.noted_since(NOW, 0)).collect();
+            entries.iter().map(|it| it.local_since(NOW, 0)).collect();
         let mut first = CrashLedger::default();
         for word in &words {
             first.merge(NOW, word);
@@ -96,7 +96,7 @@
         second.judge(NOW);
         prop_assert_eq!(standings(&first), standings(&second));
         // One that hears only what all must know decides the same, and finds nothing new in it twice.
-        let spread = [first.spread_since(NOW, 0), second.spread_since(NOW, 0)];
+        let spread = [first.broadcast_since(NOW, 0), second.broadcast_since(NOW, 0)];
         let mut third = CrashLedger::default();
         for word in &spread {
             third.merge(NOW, word);
--- a/crates/masticsill_relay/src/admission.rs
+++ b/crates/masticsill_relay/src/admission.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use masticsill_catalogue::{Route, RouteIndex};
-use masticsill_dispatch::CallerPatience;
+use masticsill_dispatch::PriorWaitEstimator;
 use masticsill_http1::RequestHead;
 use masticsill_quarantine::{Fingerprint, RequestContent};
 use masticsill_types::ClockMs;
@@ -44,7 +44,7 @@
 pub(crate) fn admit(
     entitled: Entitled,
     names: &HeaderNames,
-    patience: &mut CallerPatience,
+    patience: &mut PriorWaitEstimator,
     received_at: ClockMs,
     head: RequestHead,
     body: Bytes,
--- a/crates/masticsill_relay/src/choosing.rs
+++ b/crates/masticsill_relay/src/choosing.rs
@@ -4,8 +4,8 @@
 
 use masticsill_catalogue::RouteKind;
 use masticsill_dispatch::{
-    Choice, Endpoint, EndpointTable, Need, Terms, Wanted, Work, choose_holder, has_memory_for_copy,
-    suspect_zones,
+    Choice, Endpoint, EndpointTable, PlacementRequest, Requirements, Terms, Work, choose_holder,
+    has_memory_for_copy, suspect_zones,
 };
 use masticsill_registry::{Announcement, EndpointId};
 use masticsill_types::{ZoneId, log_event};
@@ -39,12 +39,12 @@
         }
         let endpoints = self.endpoints.borrow();
         let closed = self.full_endpoints(&endpoints, &request.service);
-        let wanted = Wanted {
+        let wanted = PlacementRequest {
             closed: &closed,
             excluded: &[excluded, std::slice::from_ref(&running.id)].concat(),
             kept: &[],
             not_in_zone: Some(&running.zone),
-            place: None,
+            reserved_endpoint: None,
             service: &request.service,
             share: self.share.get(),
             zone: &self.config.zone,
@@ -104,7 +104,7 @@
     }
 
     /// What a request needs of an endpoint.
-    async fn need_of(self: &Rc<Self>, request: &RelayRequest, tries: &Tries) -> Need {
+    async fn need_of(self: &Rc<Self>, request: &RelayRequest, tries: &Tries) -> Requirements {
         let names = &self.config.headers;
         let (kept, place) = match request.route.kind {
             RouteKind::Stream => {
@@ -127,11 +127,11 @@
             }
             RouteKind::Idempotent | RouteKind::NonIdempotent => Work::Whole,
         };
-        Need {
+        Requirements {
             // Filled in for each choice.
             excluded: Vec::new(),
             kept,
-            place,
+            reserved_endpoint: place,
             service: request.service.clone(),
             work,
         }
@@ -158,7 +158,7 @@
             candidates = choice.candidates,
             cost = format_args!("{:.2}", choice.cost),
             in_flight = choice.in_flight,
-            is_handed_out = choice.is_handed_out,
+            is_handed_out = choice.is_reserved,
             kept_tokens = choice.kept_tokens,
             reading = choice.reading,
             loads_age_ms = loads_age_ms.map_or(-1, u64::cast_signed),
@@ -197,7 +197,7 @@
         let closed = self.full_endpoints(&endpoints, service);
         let is_avoided = |it: &&Endpoint| {
             let id = &it.announcement.id;
-            let is_known_bad = it.is_held(now) || it.is_silent() || it.is_full(now);
+            let is_known_bad = it.is_backing_off(now) || it.is_silent() || it.is_full(now);
             is_known_bad || closed.contains(id) || tries.excluded.contains(id)
         };
         let ready = endpoints.iter().filter(|it| it.is_ready());
@@ -219,7 +219,7 @@
         match endpoints.get(id) {
             None => Some("forgotten"),
             Some(endpoint) if !endpoint.is_ready() => Some("gone or draining"),
-            Some(endpoint) if endpoint.is_held(self.now()) => Some("failed just now"),
+            Some(endpoint) if endpoint.is_backing_off(self.now()) => Some("failed just now"),
             Some(_) => None,
         }
     }
@@ -229,11 +229,11 @@
 fn terms_of(request: &RelayRequest, is_resume: bool) -> Terms {
     let asked_at = request.received_at.before(request.had_waited_ms);
     Terms {
-        aim_ms: request.route.target_latency_ms,
-        aim_at: asked_at + request.route.target_latency_ms,
+        target_latency_ms: request.route.target_latency_ms,
+        answer_due_at: asked_at + request.route.target_latency_ms,
         caller_leaves_at: request.caller_leaves_at,
         deadline_at: request.deadline_at,
-        has_come_back: request.had_waited_ms > 0,
+        is_returning: request.had_waited_ms > 0,
         is_resume,
         workspace: request.workspace.clone(),
     }
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -110,7 +110,7 @@
             let Some(endpoint) = endpoints.get(&id) else {
                 continue;
             };
-            if endpoints.is_outlived(&id) {
+            if endpoints.is_superseded(&id) {
                 self.relay.end_life(&id);
             }
             log_event!(
@@ -206,7 +206,7 @@
         relay
             .endpoints
             .borrow_mut()
-            .take_loads(relay.now(), &reply.zone, &reply.loads);
+            .update_loads(relay.now(), &reply.zone, &reply.loads);
         if zone.is_none() {
             let telling = tell_loads(
                 Rc::clone(&discovery),
--- a/crates/masticsill_relay/src/dispatching.rs
+++ b/crates/masticsill_relay/src/dispatching.rs
@@ -5,7 +5,8 @@
 
 use indexmap::IndexMap;
 use masticsill_dispatch::{
-    Choice, Decision, Ended, Need, Overload, Surroundings, Terms, Ticket, Turns,
+    Choice, Decision, DispatchContext, EntryPosition, Overload, Requirements, Terms, Ticket,
+    WaitOutcome,
 };
 use masticsill_registry::{Announcement, EndpointId};
 use masticsill_types::log_event;
@@ -61,7 +62,7 @@
 pub(crate) async fn dispatch(
     relay: &Rc<Relay>,
     request: &RelayRequest,
-    need: &Need,
+    need: &Requirements,
     terms: &Terms,
 ) -> Dispatched {
     let place = Place::from(&need.work);
@@ -74,7 +75,7 @@
         dispatcher.ask(now, &endpoints, need, terms, &around, rand::random)
     };
     let ticket = match decision {
-        Decision::Nobody => return Dispatched::Nobody,
+        Decision::NoEndpoint => return Dispatched::Nobody,
         Decision::Refuse(overload) => {
             note_overload(relay, request, overload, 0);
             return Dispatched::Refused(overload);
@@ -130,7 +131,7 @@
     }
 }
 
-fn next_end(relay: &Rc<Relay>) -> Option<Ended> {
+fn next_end(relay: &Rc<Relay>) -> Option<WaitOutcome> {
     let mut dispatcher = relay.dispatcher.borrow_mut();
     if dispatcher.waiting() == 0 {
         return None;
@@ -143,16 +144,16 @@
     dispatcher.next(relay.now(), &endpoints, &around, rand::random)
 }
 
-fn end_wait(relay: &Rc<Relay>, ended: Ended) {
+fn end_wait(relay: &Rc<Relay>, ended: WaitOutcome) {
     let (ticket, choice) = match ended {
-        Ended::Refuse(ticket, overload) => {
+        WaitOutcome::Refuse(ticket, overload) => {
             if let Some(waiter) = relay.waiters.borrow_mut().swap_remove(&ticket) {
                 // A caller that has just left needs no word.
                 let _ = waiter.end.send(WaitEnd::Refused(overload));
             }
             return;
         }
-        Ended::Send(ticket, choice) => (ticket, choice),
+        WaitOutcome::Send(ticket, choice) => (ticket, choice),
     };
     let waiter = relay.waiters.borrow_mut().swap_remove(&ticket);
     let endpoint = announcement_of(relay, &choice);
@@ -165,10 +166,10 @@
     }
 }
 
-fn surroundings<'a>(relay: &'a Relay, closed: &'a [EndpointId]) -> Surroundings<'a> {
-    Surroundings {
+fn surroundings<'a>(relay: &'a Relay, closed: &'a [EndpointId]) -> DispatchContext<'a> {
+    DispatchContext {
         closed,
-        turns: Turns {
+        entry: EntryPosition {
             entries: relay.entry_count(),
             node: &relay.config.node,
             share: relay.share.get(),
--- a/crates/masticsill_relay/src/doubt.rs
+++ b/crates/masticsill_relay/src/doubt.rs
@@ -123,7 +123,7 @@
 
 /// Notes that a send which was doubted goes on: its endpoint bears no mark of that.
 fn note_went_on(relay: &Relay, request: &RelayRequest, endpoint: &Announcement, heard_at: ClockMs) {
-    relay.with_endpoint(&endpoint.id, |it| it.health.take_back_failure());
+    relay.with_endpoint(&endpoint.id, |it| it.health.retract_failure());
     log_event!(
         info,
         events::RUN_WENT_ON,
--- a/crates/masticsill_relay/src/places.rs
+++ b/crates/masticsill_relay/src/places.rs
@@ -38,7 +38,7 @@
         };
         if let Some(load) = place {
             let now = relay.now();
-            relay.endpoints.borrow_mut().take_place(now, &load);
+            relay.endpoints.borrow_mut().update_load(now, &load);
             return Some(load.id);
         }
     }
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -12,7 +12,7 @@
 use masticsill_catalogue::RouteIndex;
 use masticsill_control_client::{AddressBook, ControlClient};
 use masticsill_dispatch::{
-    CallerPatience, Dispatcher, Endpoint, EndpointTable, EntryCount, Failure, RetryBudget,
+    Dispatcher, Endpoint, EndpointTable, EntryCount, Failure, PriorWaitEstimator, RetryBudget,
     ZoneShare,
 };
 use masticsill_quarantine::{CrashLedger, Fingerprint};
@@ -98,7 +98,7 @@
     /// The document in force here; swapped as a whole, so that no request sees two versions.
     pub(crate) index: RefCell<Option<Arc<RouteIndex>>>,
     /// What callers' attempts tell of those before.
-    pub(crate) patience: RefCell<CallerPatience>,
+    pub(crate) patience: RefCell<PriorWaitEstimator>,
     pub(crate) pool: RefCell<Pool>,
     /// Told whenever an endpoint may have room for a request that waits.
     pub(crate) room_changed: Notify,
@@ -226,7 +226,10 @@
         let place = nearby.iter().position(|node| *node == self.config.node);
         if let Some(place) = place {
             let entries = nearby.len();
-            self.share.set(ZoneShare { entries, place });
+            self.share.set(ZoneShare {
+                entries,
+                rank: place,
+            });
         }
     }
 
@@ -281,7 +284,7 @@
     /// Whether an endpoint's life is known to have ended, so that nothing more can come of it.
     pub(crate) fn has_ended(&self, id: &EndpointId) -> bool {
         let endpoints = self.endpoints.borrow();
-        endpoints.is_outlived(id) || endpoints.get(id).is_some_and(Endpoint::is_replaced)
+        endpoints.is_superseded(id) || endpoints.get(id).is_some_and(Endpoint::is_replaced)
     }
 
     pub(crate) fn note_request(&self, service: &str) {
@@ -432,13 +435,14 @@
     }
 
     /// Notes the time that a whole answer of an endpoint took, and the time aimed at.
-    pub(crate) fn note_answer_ms(&self, id: &EndpointId, answer_ms: u64, aim_ms: u64) {
+    pub(crate) fn note_answer_ms(&self, id: &EndpointId, answer_ms: u64, target_latency_ms: u64) {
         let now = self.now();
         self.with_concurrency(id, |it| {
             it.health.note_pace(answer_ms);
             let usual_ms = it.health.pace_ms().unwrap_or_default();
             let in_flight = it.in_flight;
-            it.concurrency.note_answer(now, usual_ms, aim_ms, in_flight);
+            it.concurrency
+                .note_answer(now, usual_ms, target_latency_ms, in_flight);
         });
     }
 
--- a/crates/masticsill_relay/src/reservation.rs
+++ b/crates/masticsill_relay/src/reservation.rs
@@ -168,7 +168,7 @@
             }
             it.in_flight = it.in_flight.saturating_sub(1);
             it.held_tokens = it.held_tokens.saturating_sub(self.place.tokens());
-            it.note_left(now);
+            it.record_release(now);
         });
         self.tell();
         self.relay.room_changed.notify_one();
@@ -200,7 +200,7 @@
         let mut zone = None;
         let now = self.relay.now();
         self.relay.with_endpoint(&self.endpoint, |it| {
-            it.note_left(now);
+            it.record_release(now);
             it.held_tokens = it.held_tokens.saturating_sub(self.tokens);
             zone = Some(it.announcement.zone.clone());
         });
--- a/crates/masticsill_relay/src/suspects.rs
+++ b/crates/masticsill_relay/src/suspects.rs
@@ -58,9 +58,9 @@
     pub(crate) fn note_completion(&self, request: &RelayRequest) {
         let (now, fingerprint) = (self.now(), request.fingerprint);
         let mut ledger = self.crashes.borrow_mut();
-        let before = ledger.noted_revision();
+        let before = ledger.local_revision();
         ledger.note_completion(now, fingerprint);
-        if ledger.noted_revision() != before {
+        if ledger.local_revision() != before {
             self.wake_tellers();
         }
     }
@@ -68,9 +68,9 @@
     /// Notes that an endpoint has answered a request for so long, with the runs that it goes on from.
     pub(crate) fn note_progress(&self, request: &RelayRequest, reached_ms: u64) {
         let mut ledger = self.crashes.borrow_mut();
-        let before = ledger.noted_revision();
+        let before = ledger.local_revision();
         ledger.note_progress(request.fingerprint, reached_ms);
-        if ledger.noted_revision() != before {
+        if ledger.local_revision() != before {
             self.wake_tellers();
         }
     }
@@ -123,12 +123,12 @@
     pub(crate) fn endpoints_kept_from(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
         let beside = self.endpoints_of_other_suspects(request);
         let mut lists = Vec::new();
-        if self.is_one_crash_short(request) {
+        if self.is_near_quarantine(request) {
             let fingerprint = &request.fingerprint;
             let endpoints = self.endpoints.borrow();
             let said = endpoints.iter().map(|it| &it.announcement);
             let of_service = said.filter(|it| it.service == request.service);
-            let others = of_service.filter(|it| !fingerprint.is_kept_at(&it.id));
+            let others = of_service.filter(|it| !fingerprint.is_isolated_to(&it.id));
             let others: Vec<EndpointId> = others.map(|it| it.id.clone()).collect();
             lists.push([beside.as_slice(), &others].concat());
         }
@@ -141,14 +141,14 @@
     /// Whether a request which another crash may have sent nowhere would meet one of this entry under
     /// which an endpoint has crashed as well.
     pub(crate) fn would_meet_suspect(&self, request: &RelayRequest, endpoint: &EndpointId) -> bool {
-        let is_short = self.is_one_crash_short(request);
+        let is_short = self.is_near_quarantine(request);
         is_short && self.endpoints_of_other_suspects(request).contains(endpoint)
     }
 
-    fn is_one_crash_short(&self, request: &RelayRequest) -> bool {
+    fn is_near_quarantine(&self, request: &RelayRequest) -> bool {
         self.crashes
             .borrow()
-            .is_one_crash_short(&request.fingerprint)
+            .is_near_quarantine(&request.fingerprint)
     }
 
     /// Endpoints where another request runs under which an endpoint has crashed, if one has under this.
@@ -182,7 +182,7 @@
     pub(crate) fn check_crashes(&self, request: &RelayRequest) -> Result<(), Obstacle> {
         let fingerprint = &request.fingerprint;
         let is_checked = self.checked.borrow().contains(fingerprint);
-        if is_checked && self.is_one_crash_short(request) {
+        if is_checked && self.is_near_quarantine(request) {
             return Err(Obstacle::Held { left_ms: PROBE_MS });
         }
         match self.standing(request) {
@@ -220,10 +220,10 @@
         loop {
             let (revision, records) = {
                 let ledger = relay.crashes.borrow();
-                if ledger.noted_revision() <= told.revision.get() {
+                if ledger.local_revision() <= told.revision.get() {
                     break;
                 }
-                let records = ledger.noted_since(relay.now(), told.revision.get());
+                let records = ledger.local_since(relay.now(), told.revision.get());
                 (ledger.revision(), records)
             };
             if relay.control.tell_crashes(address, &records).await {
