--- a/crates/masticsill_dispatch/src/budget.rs
+++ b/crates/masticsill_dispatch/src/budget.rs
@@ -1,27 +1,28 @@
-//! The retry budget of one service, as this entry's share of what all entries may spend.
+//! The retry budget of a service: this entry's share of the retries of all entries.
 //!
-//! The bound is linear in the requests, so the entries need not talk: each keeps to the ratio of
-//! its own requests, and to its part of what is free.
+//! The bound is linear in the number of requests, so that entries need no coordination: each
+//! applies the ratio to its own requests and uses its share of the fixed part.
 
 use std::collections::VecDeque;
 
 use masticsill_types::ClockMs;
 
-/// Extra sends that all entries together may make to a service in any window.
+/// Limit of the extra sends (retries) that all entries together may make to a service within any
+/// window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Extra sends whatever the number of requests.
+    /// Extra sends allowed regardless of the number of requests.
     pub extra: u32,
-    /// Extra sends for each request.
+    /// Extra sends allowed per request.
     pub ratio: f64,
-    /// Length of the window.
+    /// Length of the window in milliseconds.
     pub window_ms: u64,
 }
 
-/// Part of the bound that is used: the rest covers requests that other parties count elsewhere
-/// in their windows than this entry does.
+/// Share of the bound that is used. The rest covers requests that other parties assign to different
+/// windows than this entry does.
 const USED_SHARE: f64 = 0.85;
-/// Length of the pieces into which a window is counted.
+/// Length of the buckets in which a window is counted.
 const BUCKET_MS: u64 = 500;
 
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +32,7 @@
     requests: u32,
 }
 
-/// Counts requests and extra sends to one service.
+/// Counts requests and extra sends to one service within a sliding window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     buckets: VecDeque<Bucket>,
@@ -39,7 +40,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates an unspent budget.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
@@ -53,9 +54,9 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Counts an extra send if the budget allows it; returns whether it does.
+    /// Counts an extra send and returns true if the budget allows it; otherwise returns false.
     ///
-    /// `entries` is the number of entries that share what is free.
+    /// `entries` is the number of entries that share the fixed part.
     pub fn try_spend(&mut self, now: ClockMs, entries: u32) -> bool {
         let left = self.left(now, entries);
         if left == 0 {
@@ -65,7 +66,7 @@
         true
     }
 
-    /// Extra sends that are left.
+    /// Extra sends that remain in the current window.
     #[must_use]
     pub fn left(&self, now: ClockMs, entries: u32) -> u32 {
         let window = self
--- a/crates/masticsill_dispatch/src/capacity.rs
+++ b/crates/masticsill_dispatch/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What an endpoint can bear beside what it does already.
+//! Checks whether an endpoint has capacity for another request beside its current work.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -8,85 +8,90 @@
 use crate::placement::ZoneShare;
 use crate::service_queue::{Requirements, Work};
 
-/// Prompts that an engine is given to read at once.
+/// Number of prompts that an engine is given to read (prefill) at once.
 ///
-/// Prompts are read one after the other, so a second one only waits there, where it can't turn to
-/// an engine that becomes free first, and slows every stream beside it for as long again. Answers
-/// load beyond what all engines read: with more, each engine's queue grows until first events come
-/// too late for anybody (at four times the usual load, 10 prompts at each engine and 1 of 5 streams
-/// in time).
+/// An engine reads prompts one after the other. A second prompt would only wait there, unable to
+/// move to an engine that becomes free first, and would slow down every stream at that engine for
+/// as long again. When the load exceeds what all engines can read and more prompts are allowed,
+/// each engine's queue grows until first events come too late for every caller: at four times the
+/// usual load there were 10 prompts at each engine, and 1 of 5 streams was in time.
 const MAX_READING_PROMPTS: u32 = 1;
-/// Part of a prompt, in hundredths, that an engine must keep to take it beside one that it reads:
-/// little is left to read, and anywhere else all of it would be.
-const MIN_KEPT_PERCENT: u64 = 60;
-/// Part of an engine's memory that runs and copies may fill, in hundredths. The rest is for what
-/// others have just begun and has not been told yet; beyond the memory, engines throw out runs and
-/// read them again.
+/// Minimum share of a prompt, in percent, that an engine must have cached to take the prompt while
+/// it reads another one: little is left to read there, whereas any other engine would read all of
+/// it.
+const MIN_CACHED_PERCENT: u64 = 60;
+/// Share of an engine's KV cache, in percent, that runs and copies may fill. The rest is reserved
+/// for requests that other entries have just started and that are not reported yet. When its KV
+/// cache is exceeded, an engine evicts runs and has to read their prompts again.
 const MAX_MEMORY_PERCENT: u64 = 92;
-/// Part of it up to which copies are taken: a copy saves a run only if its engine dies, a run is
-/// sure to need the place.
+/// Share of an engine's KV cache, in percent, up to which copies of runs are accepted. A copy helps
+/// only if the engine of its run dies, whereas a run is sure to need the space.
 const MAX_COPY_MEMORY_PERCENT: u64 = 50;
-/// How long an endpoint that refused for want of room is left alone, unless one of its own
-/// requests ends there sooner: as long as its queue takes to change.
+/// How long an endpoint that refused a request for lack of capacity gets no more requests, unless
+/// one of this entry's requests ends there sooner: about the time in which its queue changes.
 pub(crate) const FULL_BACKOFF_MS: u64 = 250;
 
-/// Head start of each entry over the next at an engine that has just got room: about the time that
-/// the word of a start takes to the other entries (20 ms within a zone, 80 ms between zones).
-/// Without it, of 402 prompts that were sent at four times the usual load, 149 met another one at
-/// an engine that each entry had thought idle.
+/// Delay between entries at an engine that has just got capacity: about the time until a start is
+/// reported to the other entries (20 ms within a zone, 80 ms between zones). Without the delay, of
+/// 402 prompts sent at four times the usual load, 149 met another prompt at an engine that each
+/// entry had taken to be idle.
 const TURN_STAGGER_MS: u64 = 40;
 
-/// Wait at room that has just become known, for a request that has waited for none: as long as the
-/// word of that room takes to the other entries, where others may wait for longer.
+/// Delay before a request that has not waited yet takes capacity that has just become known: the
+/// time until this capacity is reported to the other entries, where requests may have waited
+/// longer.
 const NEW_REQUEST_DELAY_MS: u64 = 120;
-/// Wait of a request after which it takes room at once.
+/// Wait after which a request takes capacity without the delay for new requests.
 const IMMEDIATE_START_WAIT_MS: u64 = 600;
 
-/// Whose turn it is at engines that get room.
+/// This entry's position among all entries, which decides in what order entries use capacity that
+/// becomes free at an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryPosition<'a> {
-    /// All entries.
+    /// Number of entries.
     pub entries: u32,
-    /// This entry.
+    /// This entry's node.
     pub node: &'a NodeId,
-    /// Its place among those of its zone.
+    /// This entry's rank among the entries of its zone.
     pub share: ZoneShare,
-    /// Its zone.
+    /// This entry's availability zone.
     pub zone: &'a ZoneId,
 }
 
-/// How long a request has waited where more is asked for than fits.
+/// Whether other requests compete for capacity, and how long the request has waited for it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Contention {
-    /// Nobody else waits, here or elsewhere as far as is known: no turns are needed.
+    /// No other request is known to wait, here or at other entries, so that entries need not take
+    /// turns.
     Uncontended,
-    /// For so long, in milliseconds.
+    /// Requests compete for capacity; this one has waited for the given number of milliseconds.
     Contended(u64),
 }
 
 impl EntryPosition<'_> {
-    /// For how long room at an engine must have been known before this entry takes it. The entries
-    /// of its zone come first.
+    /// How long capacity at an engine must have been known, in milliseconds, before this entry uses
+    /// it. The entries of the engine's zone go first.
     ///
-    /// The longer a request has waited, the sooner it goes: an entry that has many places would
-    /// fill each of them again for good, and another with as many callers find none.
+    /// The delay shrinks with the time that a request has waited. Otherwise an entry with work at
+    /// many engines would always refill the capacity that it frees, and another entry with as many
+    /// callers would find none.
     fn wait_ms(&self, endpoint: &Endpoint, contention: Contention) -> u64 {
         let contention_ms = match contention {
             Contention::Uncontended => return 0,
             Contention::Contended(contention_ms) => contention_ms,
         };
-        let left_ms = IMMEDIATE_START_WAIT_MS.saturating_sub(contention_ms);
-        let new_request_delay_ms = NEW_REQUEST_DELAY_MS * left_ms / IMMEDIATE_START_WAIT_MS;
+        let remaining_ms = IMMEDIATE_START_WAIT_MS.saturating_sub(contention_ms);
+        let new_request_delay_ms = NEW_REQUEST_DELAY_MS * remaining_ms / IMMEDIATE_START_WAIT_MS;
         if endpoint.is_freed_here() {
             return new_request_delay_ms;
         }
-        let said = &endpoint.announcement;
-        let near = self.share.entries.max(1) as u64;
-        let turn = if said.zone == *self.zone {
-            (hash(&said.id) + self.share.rank as u64) % near
+        let announcement = &endpoint.announcement;
+        let local_entries = self.share.entries.max(1) as u64;
+        let turn = if announcement.zone == *self.zone {
+            (hash(&announcement.id) + self.share.rank as u64) % local_entries
         } else {
-            let far = u64::from(self.entries).saturating_sub(near).max(1);
-            near + hash((&said.id, self.node)) % far
+            let remote_entries = u64::from(self.entries).saturating_sub(local_entries).max(1);
+            local_entries + hash((&announcement.id, self.node)) % remote_entries
         };
         new_request_delay_ms + turn * TURN_STAGGER_MS
     }
@@ -95,7 +100,7 @@
 fn hash(of: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     of.hash(&mut hasher);
-    // A shorter number leaves room to add to it.
+    // The shift leaves headroom for the additions in `wait_ms`.
     hasher.finish() >> 8
 }
 
@@ -103,36 +108,38 @@
 pub(crate) fn has_capacity(
     endpoint: &Endpoint,
     now: ClockMs,
-    need: &Requirements,
+    requirements: &Requirements,
     turns: &EntryPosition<'_>,
     contention: Contention,
 ) -> bool {
     if endpoint.is_full(now) {
         return false;
     }
-    match &need.work {
+    match &requirements.work {
         Work::Whole => endpoint.concurrency.has_capacity(now, endpoint.in_flight),
         Work::Stream {
             memory_tokens,
             prompt_tokens,
             tokens,
         } => {
-            let kept_tokens = need.kept_at(&endpoint.announcement.id);
-            let least = prompt_tokens.saturating_mul(MIN_KEPT_PERCENT);
-            let is_kept = kept_tokens.saturating_mul(100) >= least && kept_tokens > 0;
+            let cached_tokens = requirements.cached_at(&endpoint.announcement.id);
+            let min_cached = prompt_tokens.saturating_mul(MIN_CACHED_PERCENT);
+            let is_cached = cached_tokens.saturating_mul(100) >= min_cached && cached_tokens > 0;
             let is_idle = endpoint.reading_total(now) < MAX_READING_PROMPTS;
-            let is_reserved = need.reserved_endpoint.as_ref() == Some(&endpoint.announcement.id);
+            let is_reserved =
+                requirements.reserved_endpoint.as_ref() == Some(&endpoint.announcement.id);
             let is_turn = || {
                 is_reserved
                     || endpoint.capacity_known_ms(now) >= turns.wait_ms(endpoint, contention)
             };
-            (is_kept || is_idle && is_turn())
+            (is_cached || is_idle && is_turn())
                 && fits(endpoint, *memory_tokens, *tokens, MAX_MEMORY_PERCENT)
         }
     }
 }
 
-/// Whether an engine with so much memory can hold a copy of a run beside its own runs.
+/// Whether an engine whose KV cache holds `memory_tokens` has space for a copy of a run of `tokens`
+/// beside its own runs. An engine of unknown capacity always has.
 #[must_use]
 pub fn has_memory_for_copy(endpoint: &Endpoint, memory_tokens: Option<u64>, tokens: u64) -> bool {
     fits(endpoint, memory_tokens, tokens, MAX_COPY_MEMORY_PERCENT)
@@ -143,6 +150,6 @@
         return true;
     };
     let held = endpoint.held_tokens + endpoint.others.held_tokens;
-    // An engine that holds nothing takes whatever it can: it says itself if that is too much.
+    // An empty engine may be given any request; it refuses the request itself if that is too large.
     held == 0 || held + tokens <= memory_tokens * percent / 100
 }
--- a/crates/masticsill_dispatch/src/concurrency_limit.rs
+++ b/crates/masticsill_dispatch/src/concurrency_limit.rs
@@ -1,48 +1,50 @@
-//! How many requests a plain service's endpoint is given at once, learned from its answers.
+//! Adaptive limit of the requests in flight at an endpoint of a plain service, learned from its
+//! answers.
 //!
-//! Endpoints queue a few requests and then refuse. A queue that is always full makes every answer
-//! late and is of no use to anybody: with 20 times the usual lookups 4,228 of 17,088 came in time,
-//! though the endpoints made 12,000. The limit is unknown until answers slow down or an endpoint
-//! says that it is full; then it follows the time that answers take, as far as callers' aim allows.
-//! All entries share an endpoint and know nothing of each other's lookups, so it may fall below
-//! one.
+//! Endpoints queue a few requests and then refuse more. A queue that is always full makes every
+//! answer late: with 20 times the usual lookups 4,228 of 17,088 were answered in time, though the
+//! endpoints could answer 12,000. There is no limit until answers slow down or an endpoint reports
+//! that it is full; from then on the limit follows the latency of answers, as far as the target
+//! latency allows. All entries share an endpoint without knowing each other's lookups, so an
+//! entry's limit may fall below one.
 
 use masticsill_types::ClockMs;
 
-/// Part of the time aimed at that answers may take before the limit falls: the rest is for the way,
-/// for a wait at the entry and for answers that take longer than others. With 0.55 of it one answer
-/// of five came late at 20 times the usual lookups, with 0.4 one of ten.
+/// Share of the target latency that answers may take before the limit falls. The rest is left for
+/// the network, for the wait at the entry and for answers that take longer than others. With a
+/// share of 0.55 one of five answers was late at 20 times the usual lookups, with 0.4 one of ten.
 const SLOW_TARGET_SHARE: f64 = 0.4;
-/// How many times its time without an overload an endpoint's answers may take at least: one that is
-/// always slow is not a full one.
+/// Minimum ratio of the latency to its baseline before the limit falls: an endpoint that is always
+/// slow is not a full one.
 const SLOW_BASELINE_FACTOR: f64 = 1.8;
-/// Part of the time aimed at beyond which even an endpoint that is always slow counts as full.
+/// Share of the target latency beyond which even an endpoint that is always slow counts as full.
 const MAX_TARGET_SHARE: f64 = 0.9;
-/// Weight of the newest answer in the time without an overload.
+/// Weight of the newest answer in the moving average of the baseline.
 const BASELINE_WEIGHT: f64 = 0.05;
-/// What is left of the limit when answers are slow, and when the endpoint says that it is full.
+/// Factors applied to the limit when answers are slow, and when the endpoint reports that it is
+/// full.
 const SLOW_FACTOR: f64 = 0.85;
 const FULL_FACTOR: f64 = 0.7;
-/// What the limit grows by in the time of one answer.
+/// Growth of the limit in the time of one answer.
 const GROWTH: f64 = 0.5;
-/// Least limit: 32 entries leave an endpoint of six slots two requests.
+/// Minimum limit: with it, 32 entries together leave an endpoint of six slots about two requests.
 const MIN_LIMIT: f64 = 0.06;
-/// Limit from which there is none: an entry has no more connections to one endpoint.
+/// Value at which the limit is dropped: an entry opens no more connections to one endpoint.
 const UNLIMITED: f64 = 64.0;
 
-/// The limit of one entry at one endpoint.
+/// The limit of requests in flight from this entry to one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConcurrencyLimit {
-    /// Time of an answer while there is no limit, as a moving average.
+    /// Baseline latency: the moving average while there is no limit, in milliseconds.
     baseline_ms: Option<f64>,
     changed_at: ClockMs,
     limit: Option<f64>,
-    /// When the next request may start, where less than one is allowed at once.
+    /// Earliest start of the next request while the limit is below one.
     next_start_at: ClockMs,
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more request may start beside those in flight.
+    /// Whether another request may start beside those in flight.
     #[must_use]
     pub fn has_capacity(&self, now: ClockMs, in_flight: u32) -> bool {
         let Some(limit) = self.limit else {
@@ -52,18 +54,18 @@
         f64::from(in_flight) + 1.0 <= limit || is_first && now >= self.next_start_at
     }
 
-    /// Whether a limit is known.
+    /// Whether there is a limit at present.
     #[must_use]
     pub fn is_limited(&self) -> bool {
         self.limit.is_some()
     }
 
-    /// Takes an answer: its endpoint's usual time, the time aimed at, and the requests that were in
-    /// flight with it.
+    /// Records an answer. `average_ms` is the endpoint's usual latency, `in_flight` the number of
+    /// requests that were in flight with this one.
     pub fn note_answer(
         &mut self,
         now: ClockMs,
-        usual_ms: f64,
+        average_ms: f64,
         target_latency_ms: u64,
         in_flight: u32,
     ) {
@@ -71,50 +73,52 @@
         #[allow(clippy::cast_precision_loss)]
         let target_latency_ms = target_latency_ms as f64;
         if self.limit.is_none() {
-            let baseline_ms = self.baseline_ms.unwrap_or(usual_ms);
-            self.baseline_ms = Some(baseline_ms + (usual_ms - baseline_ms) * BASELINE_WEIGHT);
+            let baseline_ms = self.baseline_ms.unwrap_or(average_ms);
+            self.baseline_ms = Some(baseline_ms + (average_ms - baseline_ms) * BASELINE_WEIGHT);
         }
         let baseline_ms = self.baseline_ms.unwrap_or_default();
         let slow_ms =
             (target_latency_ms * SLOW_TARGET_SHARE).max(baseline_ms * SLOW_BASELINE_FACTOR);
-        if usual_ms > slow_ms.min(target_latency_ms * MAX_TARGET_SHARE) {
-            self.cut(now, usual_ms, in_flight, SLOW_FACTOR);
+        if average_ms > slow_ms.min(target_latency_ms * MAX_TARGET_SHARE) {
+            self.cut(now, average_ms, in_flight, SLOW_FACTOR);
         } else if let Some(limit) = self.limit {
-            // Each answer adds its part, so that a full set of them adds the growth once.
+            // Each answer adds a fraction, so that a round of answers to all requests in flight
+            // adds `GROWTH` once.
             let grown = limit + GROWTH / limit.max(1.0);
             let is_used = f64::from(in_flight) + 1.0 >= limit;
             if is_used {
                 self.limit = Some(grown).filter(|grown| *grown < UNLIMITED);
             }
         }
-        self.space_starts(now, usual_ms);
+        self.space_starts(now, average_ms);
     }
 
-    /// Takes an endpoint's word that it is full.
-    pub fn note_full(&mut self, now: ClockMs, usual_ms: f64, in_flight: u32) {
-        self.cut(now, usual_ms, in_flight, FULL_FACTOR);
-        self.space_starts(now, usual_ms);
+    /// Records that the endpoint refused a request because it is full.
+    pub fn note_full(&mut self, now: ClockMs, average_ms: f64, in_flight: u32) {
+        self.cut(now, average_ms, in_flight, FULL_FACTOR);
+        self.space_starts(now, average_ms);
     }
 
-    /// Lowers the limit, once in the time of an answer: those under way were sent before.
+    /// Lowers the limit, at most once in the time of an answer: later answers belong to requests
+    /// that were sent before the change.
     // The time is positive and far below the type's range.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn cut(&mut self, now: ClockMs, usual_ms: f64, in_flight: u32, left: f64) {
-        if self.limit.is_some() && now.since(self.changed_at) < usual_ms as u64 {
+    fn cut(&mut self, now: ClockMs, average_ms: f64, in_flight: u32, factor: f64) {
+        if self.limit.is_some() && now.since(self.changed_at) < average_ms as u64 {
             return;
         }
         self.changed_at = now;
         let used = f64::from(in_flight.max(1)).min(UNLIMITED);
         let limit = self.limit.map_or(used, |limit| limit.min(used));
-        self.limit = Some((limit * left).max(MIN_LIMIT));
+        self.limit = Some((limit * factor).max(MIN_LIMIT));
     }
 
-    /// Spaces requests out where less than one is allowed at once.
+    /// Delays the next start while the limit is below one.
     // The time is positive and far below the type's range.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn space_starts(&mut self, now: ClockMs, usual_ms: f64) {
+    fn space_starts(&mut self, now: ClockMs, average_ms: f64) {
         if let Some(limit) = self.limit.filter(|limit| *limit < 1.0) {
-            let spacing_ms = usual_ms * (1.0 / limit - 1.0);
+            let spacing_ms = average_ms * (1.0 / limit - 1.0);
             self.next_start_at = now + spacing_ms as u64;
         }
     }
--- a/crates/masticsill_dispatch/src/dispatcher.rs
+++ b/crates/masticsill_dispatch/src/dispatcher.rs
@@ -1,9 +1,10 @@
-//! Who is sent where now, who waits, and who is refused.
+//! Admission control and dispatch: sends requests to endpoints, queues them or refuses them.
 //!
-//! The load that this answers is any beyond what the endpoints can bear, from a zone's loss to ten
-//! times the usual number of requests: what does not fit is not sent, since every prompt that an
-//! engine reads for nobody takes the place of one that could be answered in time. What can still
-//! be answered in time waits here for the first free place; all else is refused at once.
+//! The dispatcher handles any load beyond the capacity of the endpoints, from the loss of a zone to
+//! ten times the usual number of requests. Excess requests are not sent, since every prompt that an
+//! engine reads for a caller that has given up takes the place of one that could be answered in
+//! time. Requests that can still be answered in time wait for the first endpoint with capacity; all
+//! others are refused at once.
 
 use indexmap::IndexMap;
 use masticsill_registry::EndpointId;
@@ -17,48 +18,50 @@
 use crate::refusal::{Overload, refuse};
 use crate::service_queue::{Rank, Requirements, ServiceQueue, Terms, Ticket, Waiting};
 
-/// Part of the aim (a tenth) after which a request that waits is refused or served for good: who
-/// has waited longer than that is not sent away any more.
+/// Divisor of the target latency: after this part of it (a tenth), a queued request is either
+/// refused or committed. A committed request is not refused any more unless its deadline passes.
 const COMMIT_TARGET_DIVISOR: u64 = 10;
-/// The most of it: callers hear of a refusal within half a second.
+/// Upper bound of the time until a queued request is refused or committed: callers learn of a
+/// refusal within half a second.
 const MAX_COMMIT_DELAY_MS: u64 = 400;
-/// Longest wait of what is late already: about two prompts of every engine's.
+/// Longest wait of a request that can't meet its target latency any more: the time in which every
+/// engine reads about two prompts.
 const MAX_LATE_WAIT_MS: u64 = 3_000;
-/// Requests that may wait for one service at one entry: more than are ever served in time, so
-/// that a wrong estimate can't fill the memory.
+/// Requests that may wait for one service at one entry: more than can be served in time, so that a
+/// wrong estimate can't exhaust memory.
 const MAX_QUEUED_REQUESTS: usize = 256;
 
-/// What surrounds a decision: where this entry is, and whom it may connect to.
+/// This entry's circumstances that a decision depends on.
 pub struct DispatchContext<'a> {
-    /// Endpoints that accept no further connection of this entry.
+    /// Endpoints that accept no further connections from this entry.
     pub closed: &'a [EndpointId],
-    /// Where this entry stands among all.
+    /// This entry's position among all entries.
     pub entry: EntryPosition<'a>,
 }
 
-/// What is to be done with a request now.
+/// The decision on a new request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// No endpoint of its service is known that it could go to.
+    /// No usable endpoint of the requested service is known.
     NoEndpoint,
-    /// It is refused: it could not be answered in time.
+    /// The request is refused because it could not be answered in time.
     Refuse(Overload),
-    /// It goes there.
+    /// The request is sent to the chosen endpoint.
     Send(Choice),
-    /// It waits; [`Dispatcher::next`] ends the wait.
+    /// The request is queued; [`Dispatcher::next`] returns the outcome of its wait.
     Wait(Ticket),
 }
 
-/// The end of a wait.
+/// The outcome of a queued request's wait.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WaitOutcome {
-    /// It is refused after all.
+    /// The request is refused: it can't be answered in time any more.
     Refuse(Ticket, Overload),
-    /// It goes there.
+    /// The request is sent to the chosen endpoint.
     Send(Ticket, Choice),
 }
 
-/// The requests that wait at this entry.
+/// The queues of this entry, one per service.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     queues: IndexMap<String, ServiceQueue>,
@@ -66,24 +69,24 @@
 }
 
 impl Dispatcher {
-    /// Decides on a request. `jitter` gives numbers from zero to one.
+    /// Decides on a new request. `jitter` returns random numbers between 0 and 1.
     pub fn ask(
         &mut self,
         now: ClockMs,
         table: &EndpointTable,
-        need: &Requirements,
+        requirements: &Requirements,
         terms: &Terms,
-        around: &DispatchContext<'_>,
+        context: &DispatchContext<'_>,
         mut jitter: impl FnMut() -> f64,
     ) -> Decision {
-        let queue = self.queues.entry(need.service.clone()).or_default();
+        let queue = self.queues.entry(requirements.service.clone()).or_default();
         queue.note_workspace(now, terms);
-        let rank = rank_of(queue, now, table, need, terms);
+        let rank = rank_of(queue, now, table, requirements, terms);
         let ahead = queue.ahead_of(rank);
         let contention = queue.contention(now, now);
         let yields = rank == Rank::Late && queue.is_overload_sustained(now);
         let choice = if ahead == 0 && !yields {
-            place(now, table, need, contention, around, &mut jitter)
+            choose_available(now, table, requirements, contention, context, &mut jitter)
         } else {
             None
         };
@@ -91,22 +94,37 @@
             queue.note_placement(choice.is_some());
         }
         if let Some(choice) = choice {
-            queue.note_start(now, need);
+            queue.note_start(now, requirements);
             return Decision::Send(choice);
         }
-        let anybody = |_: &_| true;
-        if choose(table, now, &wanted(need, around), anybody, &mut jitter).is_none() {
+        let any_endpoint = |_: &_| true;
+        if choose(
+            table,
+            now,
+            &placement_request(requirements, context),
+            any_endpoint,
+            &mut jitter,
+        )
+        .is_none()
+        {
             return Decision::NoEndpoint;
         }
         queue.note_overloaded(now);
-        let wait_ms = wait_ms(queue, now, table, need, around.entry.entries, ahead);
+        let wait_ms = wait_ms(
+            queue,
+            now,
+            table,
+            requirements,
+            context.entry.entries,
+            ahead,
+        );
         let is_in_time = match rank {
             Rank::Resume => true,
             Rank::Returning | Rank::New => {
-                let longest_ms = latest_start(queue, table, need, terms).since(now);
-                let one_ms = (wait_ms / (ahead as u64 + 1)).max(1);
-                let places = usize::try_from(longest_ms / one_ms).unwrap_or(usize::MAX);
-                wait_ms <= longest_ms && !queue.is_share_exhausted(terms, places)
+                let max_wait_ms = latest_start(queue, table, requirements, terms).since(now);
+                let per_request_ms = (wait_ms / (ahead as u64 + 1)).max(1);
+                let places = usize::try_from(max_wait_ms / per_request_ms).unwrap_or(usize::MAX);
+                wait_ms <= max_wait_ms && !queue.is_share_exhausted(terms, places)
             }
             Rank::Late => !yields,
         };
@@ -118,10 +136,10 @@
         let ticket = Ticket(self.last_ticket);
         queue.push(Waiting {
             is_committed: rank == Rank::Resume,
-            // A place is kept for a moment only.
-            need: Requirements {
+            // A reservation lapses within moments, so a queued request doesn't keep it.
+            requirements: Requirements {
                 reserved_endpoint: None,
-                ..need.clone()
+                ..requirements.clone()
             },
             rank,
             since: now,
@@ -131,40 +149,42 @@
         Decision::Wait(ticket)
     }
 
-    /// The next end of a wait, if one has come. Call it after each change of an endpoint until it
-    /// gives `None`, and again within a few tens of milliseconds.
+    /// Returns the next queued request whose wait has ended, with its outcome.
+    ///
+    /// Call this after each change of an endpoint until it returns `None`, and again within a few
+    /// tens of milliseconds, since waits also end by the passage of time.
     pub fn next(
         &mut self,
         now: ClockMs,
         table: &EndpointTable,
-        around: &DispatchContext<'_>,
+        context: &DispatchContext<'_>,
         mut jitter: impl FnMut() -> f64,
     ) -> Option<WaitOutcome> {
         for queue in self.queues.values_mut().filter(|queue| !queue.is_empty()) {
-            if let Some(waiting) = take_expired(queue, now, table, around.entry.entries) {
+            if let Some(waiting) = take_expired(queue, now, table, context.entry.entries) {
                 let ahead = queue.ahead_of(waiting.rank);
                 let wait_ms = wait_ms(
                     queue,
                     now,
                     table,
-                    &waiting.need,
-                    around.entry.entries,
+                    &waiting.requirements,
+                    context.entry.entries,
                     ahead,
                 );
                 let overload = refuse(queue, now, &waiting.terms, ahead, wait_ms, jitter());
                 return Some(WaitOutcome::Refuse(waiting.ticket, overload));
             }
-            let Some((ticket, choice)) = next_start(queue, now, table, around, &mut jitter) else {
+            let Some((ticket, choice)) = next_start(queue, now, table, context, &mut jitter) else {
                 continue;
             };
             let waiting = queue.take(ticket)?;
-            queue.note_start(now, &waiting.need);
+            queue.note_start(now, &waiting.requirements);
             return Some(WaitOutcome::Send(ticket, choice));
         }
         None
     }
 
-    /// Takes out a request whose caller has left.
+    /// Removes a queued request whose caller has disconnected.
     pub fn withdraw(&mut self, ticket: Ticket) {
         for queue in self.queues.values_mut() {
             if queue.take(ticket).is_some() {
@@ -173,34 +193,36 @@
         }
     }
 
-    /// Whether more is asked of a service than fits.
+    /// Whether a request for the service found no capacity lately.
     #[must_use]
     pub fn is_overloaded(&self, now: ClockMs, service: &str) -> bool {
         let queue = self.queues.get(service);
         queue.is_some_and(|queue| queue.is_overloaded(now))
     }
 
-    /// Services for which requests wait.
+    /// Services that have queued requests.
     pub fn waiting_services(&self) -> impl Iterator<Item = &str> {
         let queues = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
         queues.map(|(service, _)| service.as_str())
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queues.values().map(ServiceQueue::len).sum()
     }
 }
 
-/// The first in order that can start, and where. One that finds no place holds up those behind it,
-/// or small requests would take every place before a large one; one that must avoid some endpoints
-/// does not.
+/// Returns the first queued request that can start, and its endpoint.
+///
+/// A request that finds no capacity blocks those behind it; otherwise small requests would take all
+/// capacity before a large one could start. A request that excludes some endpoints doesn't block
+/// others.
 fn next_start(
     queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
-    around: &DispatchContext<'_>,
+    context: &DispatchContext<'_>,
     jitter: &mut impl FnMut() -> f64,
 ) -> Option<(Ticket, Choice)> {
     for waiting in queue.in_order() {
@@ -208,54 +230,64 @@
             Rank::Resume => Contention::Uncontended,
             Rank::Returning | Rank::New | Rank::Late => queue.contention(now, waiting.since),
         };
-        let choice = place(now, table, &waiting.need, contention, around, jitter);
+        let choice = choose_available(
+            now,
+            table,
+            &waiting.requirements,
+            contention,
+            context,
+            jitter,
+        );
         if let Some(choice) = choice {
             return Some((waiting.ticket, choice));
         }
-        if waiting.need.excluded.is_empty() {
+        if waiting.requirements.excluded.is_empty() {
             return None;
         }
     }
     None
 }
 
-/// The best endpoint that has room.
+/// Chooses the best endpoint with capacity.
 ///
-/// One that has just failed, or whose zone has, often has room for that very reason: it is chosen
-/// only where every endpoint is such.
-fn place(
+/// An endpoint that has just failed, or whose zone has, often has capacity for that very reason. It
+/// is chosen only if all candidates are unhealthy.
+fn choose_available(
     now: ClockMs,
     table: &EndpointTable,
-    need: &Requirements,
+    requirements: &Requirements,
     contention: Contention,
-    around: &DispatchContext<'_>,
+    context: &DispatchContext<'_>,
     jitter: &mut impl FnMut() -> f64,
 ) -> Option<Choice> {
-    let asked = wanted(need, around);
-    let suspect = suspect_zones(table, &need.service, now);
-    let is_sound = |it: &Endpoint| {
+    let request = placement_request(requirements, context);
+    let suspect = suspect_zones(table, &requirements.service, now);
+    let is_healthy = |it: &Endpoint| {
         !it.is_silent() && !it.is_backing_off(now) && !suspect.contains(&&it.announcement.zone)
     };
-    let is_any_sound = table
+    let is_any_healthy = table
         .iter()
-        .any(|it| asked.is_candidate(it) && is_sound(it));
-    let capacity = |it: &Endpoint| {
-        let has_capacity = has_capacity(it, now, need, &around.entry, contention);
-        has_capacity && (is_sound(it) || !is_any_sound)
+        .any(|it| request.is_candidate(it) && is_healthy(it));
+    let is_available = |it: &Endpoint| {
+        let has_capacity = has_capacity(it, now, requirements, &context.entry, contention);
+        has_capacity && (is_healthy(it) || !is_any_healthy)
     };
-    choose(table, now, &asked, capacity, jitter)
+    choose(table, now, &request, is_available, jitter)
 }
 
-fn wanted<'a>(need: &'a Requirements, around: &DispatchContext<'a>) -> PlacementRequest<'a> {
+fn placement_request<'a>(
+    requirements: &'a Requirements,
+    context: &DispatchContext<'a>,
+) -> PlacementRequest<'a> {
     PlacementRequest {
-        closed: around.closed,
-        excluded: &need.excluded,
-        kept: &need.kept,
+        closed: context.closed,
+        excluded: &requirements.excluded,
+        kept: &requirements.kept,
         not_in_zone: None,
-        reserved_endpoint: need.reserved_endpoint.as_ref(),
-        service: &need.service,
-        share: around.entry.share,
-        zone: around.entry.zone,
+        reserved_endpoint: requirements.reserved_endpoint.as_ref(),
+        service: &requirements.service,
+        share: context.entry.share,
+        zone: context.entry.zone,
     }
 }
 
@@ -263,12 +295,12 @@
     queue: &ServiceQueue,
     now: ClockMs,
     table: &EndpointTable,
-    need: &Requirements,
+    requirements: &Requirements,
     terms: &Terms,
 ) -> Rank {
     if terms.is_resume {
         Rank::Resume
-    } else if now > latest_start(queue, table, need, terms) {
+    } else if now > latest_start(queue, table, requirements, terms) {
         Rank::Late
     } else if terms.is_returning {
         Rank::Returning
@@ -277,8 +309,10 @@
     }
 }
 
-/// Takes out a request that waits in vain. Each is looked at once more when it has waited for a
-/// while, by what is known then, and is served for good if it can still be in time.
+/// Removes the first queued request that can't be served in time.
+///
+/// Each request is checked against the latest estimates once it has waited for the commit delay,
+/// and is committed if it can still be answered in time.
 fn take_expired(
     queue: &mut ServiceQueue,
     now: ClockMs,
@@ -286,15 +320,15 @@
     entries: u32,
 ) -> Option<Waiting> {
     let mut committed = Vec::new();
-    let mut overdue = None;
+    let mut expired = None;
     for (ahead, waiting) in queue.in_order().into_iter().enumerate() {
-        let is_over = now >= waiting.terms.deadline_at;
+        let is_past_deadline = now >= waiting.terms.deadline_at;
         let commit_ms =
             MAX_COMMIT_DELAY_MS.min(waiting.terms.target_latency_ms / COMMIT_TARGET_DIVISOR);
         let is_due = !waiting.is_committed && now.since(waiting.since) >= commit_ms;
-        let is_in_vain = is_due && {
-            let wait_ms = wait_ms(queue, now, table, &waiting.need, entries, ahead);
-            let latest = latest_start(queue, table, &waiting.need, &waiting.terms);
+        let is_hopeless = is_due && {
+            let wait_ms = wait_ms(queue, now, table, &waiting.requirements, entries, ahead);
+            let latest = latest_start(queue, table, &waiting.requirements, &waiting.terms);
             match waiting.rank {
                 Rank::Late => {
                     queue.is_overload_sustained(now) || now.since(waiting.since) >= MAX_LATE_WAIT_MS
@@ -302,8 +336,8 @@
                 Rank::Resume | Rank::Returning | Rank::New => now + wait_ms > latest,
             }
         };
-        if is_over || is_in_vain {
-            overdue = Some(waiting.ticket);
+        if is_past_deadline || is_hopeless {
+            expired = Some(waiting.ticket);
             break;
         }
         if is_due && waiting.rank != Rank::Late {
@@ -311,5 +345,5 @@
         }
     }
     queue.commit(&committed);
-    queue.take(overdue?)
+    queue.take(expired?)
 }
--- a/crates/masticsill_dispatch/src/endpoint.rs
+++ b/crates/masticsill_dispatch/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what it says of itself, what requests tell of it, and what it does.
+//! The state of one endpoint: its announcement, the health seen by requests, and its current load.
 
 use masticsill_registry::{Announcement, EndpointLoad, EndpointState};
 use masticsill_types::{ClockMs, NodeId};
@@ -8,21 +8,21 @@
 use crate::health::Health;
 use crate::reading::ReadingPace;
 
-/// Time after which a prompt has been read, and what was told of it means nothing any more.
+/// How long another entry's report of prompts being read counts: by then a prompt has been read.
 const PEER_READING_TTL_MS: u64 = 1_500;
-/// How long another entry's word counts that an endpoint has failed it: endpoints come back.
+/// How long another entry's report of a failure counts: endpoints recover.
 const PEER_FAILURE_TTL_MS: u64 = 1_000;
 
-/// Requests of the other entries at an endpoint.
+/// The load of the other entries at an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OtherLoad {
-    /// Requests that it works on.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Those of them whose prompt it still reads.
+    /// Requests in flight whose prompts the endpoint still reads.
     pub reading: u32,
-    /// Tokens that they hold in its memory, copies included.
+    /// Tokens that the requests hold in the KV cache, including copies of runs.
     pub held_tokens: u64,
-    /// Whether it has just failed one of them.
+    /// Whether the endpoint has just failed a request.
     pub is_failing: bool,
 }
 
@@ -40,40 +40,40 @@
 /// One incarnation of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What it says of itself.
+    /// What the endpoint announces about itself.
     pub announcement: Announcement,
-    /// What requests tell of it.
+    /// The endpoint's health as seen by requests of this entry.
     pub health: Health,
-    /// How many whole answers it makes at once for this entry.
+    /// Limit of requests in flight from this entry, for a plain service.
     pub concurrency: ConcurrencyLimit,
-    /// Until when it takes nothing, as it said itself.
+    /// When the endpoint may be used again after it has refused a request as full.
     full_until: Option<ClockMs>,
-    /// Tokens that requests of this entry hold in its memory, copies included.
+    /// Tokens that requests of this entry hold in the KV cache, including copies of runs.
     pub held_tokens: u64,
-    /// When it became known here that something ended there, which may have left room.
+    /// When this entry learned that work ended at the endpoint, which may have freed capacity.
     capacity_since: ClockMs,
-    /// Requests of this entry that it works on.
+    /// Requests in flight from this entry.
     pub in_flight: u32,
-    /// Whether it was this entry's own work that ended there last.
+    /// Whether the work that ended last was this entry's own.
     is_freed_here: bool,
-    /// Those of them whose prompt it still reads.
+    /// Requests in flight from this entry whose prompts the endpoint still reads.
     pub reading: u32,
-    /// How fast it reads prompts.
+    /// How fast the endpoint reads prompts.
     pub reading_pace: ReadingPace,
-    /// Requests of the other entries, as a control replica told last.
+    /// The load of the other entries, as a control replica reported it last.
     pub others: OtherLoad,
-    /// When it told them.
+    /// When that load was reported.
     others_reported_at: Option<ClockMs>,
-    /// Whether an answer said that the address belongs to another incarnation.
+    /// Whether an answer has shown that the address belongs to another incarnation.
     pub(crate) is_replaced: bool,
-    /// Order in which incarnations became known; a later one of an address goes first.
+    /// Order in which incarnations became known; the latest one at an address takes precedence.
     pub(crate) order: u64,
-    /// Control replicas that have not heard it for long.
+    /// Control replicas that report the endpoint as silent.
     silent_to: Vec<NodeId>,
 }
 
 impl Endpoint {
-    /// An incarnation of which nothing but its own word is known.
+    /// Creates an incarnation of which only its announcement is known.
     pub(crate) fn new(announcement: Announcement, order: u64) -> Self {
         Self {
             announcement,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes a control replica's word of whether it has heard the incarnation lately.
+    /// Records whether a control replica reports the incarnation as silent.
     pub(crate) fn note_liveness(&mut self, from: &NodeId, is_silent: bool) {
         self.silent_to.retain(|node| node != from);
         if is_silent {
@@ -102,25 +102,25 @@
         }
     }
 
-    /// Whether it takes new requests, as far as is known.
+    /// Whether the endpoint accepts new requests, as far as is known.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.announcement.state == EndpointState::Ready && !self.is_replaced
     }
 
-    /// Whether its life has ended, since another one has its id or its address.
+    /// Whether another incarnation has taken over the endpoint's address.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
     }
 
-    /// Whether requests of this entry, or copies of their runs, are there.
+    /// Whether requests of this entry or copies of their runs are at the endpoint.
     pub(crate) fn is_used(&self) -> bool {
         self.in_flight > 0 || self.held_tokens > 0
     }
 
-    /// Prompts of all entries that it reads, as far as is known. A prompt of which an entry told
-    /// long ago has been read since, though nobody could say so.
+    /// Prompts of all entries that the endpoint reads at `now`, as far as is known. An old report
+    /// of other entries' prompts is ignored, since those have been read in the meantime.
     #[must_use]
     pub fn reading_total(&self, now: ClockMs) -> u32 {
         if self.others_age_ms(now) < PEER_READING_TTL_MS {
@@ -130,47 +130,48 @@
         }
     }
 
-    /// Age of what is known of the other entries' requests; none where nobody has told of any.
+    /// Age of the last report of the other entries' load, in milliseconds; zero if there was none.
     #[must_use]
     pub fn others_age_ms(&self, now: ClockMs) -> u64 {
         self.others_reported_at.map_or(0, |at| now.since(at))
     }
 
-    /// Whether its last exchange failed here or elsewhere just now, so that it is left alone.
+    /// Whether the endpoint is avoided because an exchange of this or another entry has just
+    /// failed.
     #[must_use]
     pub fn is_backing_off(&self, now: ClockMs) -> bool {
         self.is_reported_failing(now) || self.health.is_backing_off(now)
     }
 
-    /// Whether another entry told just now that it had failed it.
+    /// Whether another entry has just reported a failure of the endpoint.
     pub(crate) fn is_reported_failing(&self, now: ClockMs) -> bool {
         self.others.is_failing && self.others_age_ms(now) < PEER_FAILURE_TTL_MS
     }
 
-    /// Whether requests of any entry are there, as far as is known.
+    /// Whether requests of any entry are in flight there, as far as is known.
     pub(crate) fn is_at_work(&self) -> bool {
         self.in_flight + self.others.in_flight > 0
     }
 
-    /// Notes that it reads a prompt of this entry.
+    /// Records that the endpoint starts to read a prompt of this entry.
     pub fn begin_reading(&mut self) {
         self.reading += 1;
     }
 
-    /// Notes that it has read a prompt of this entry, or reads it no more.
+    /// Records that the endpoint has read a prompt of this entry, or has stopped reading it.
     pub fn end_reading(&mut self, now: ClockMs) {
         self.reading = self.reading.saturating_sub(1);
         self.record_release(now);
     }
 
-    /// Notes that a request of this entry, or a copy of its run, has ended there.
+    /// Records that a request of this entry, or a copy of its run, has ended at the endpoint.
     pub fn record_release(&mut self, now: ClockMs) {
         self.full_until = None;
         self.is_freed_here = true;
         self.capacity_since = now;
     }
 
-    /// Takes what the other entries have there.
+    /// Replaces the reported load of the other entries.
     pub(crate) fn update_others(&mut self, now: ClockMs, others: OtherLoad) {
         let is_less =
             others.reading < self.others.reading || others.held_tokens < self.others.held_tokens;
@@ -186,35 +187,35 @@
         }
     }
 
-    /// Notes that what the other entries have there is not known any more.
+    /// Marks the reported load of the other entries as out of date.
     pub(crate) fn forget_others(&mut self) {
         self.others_reported_at = Some(ClockMs(0));
     }
 
-    /// For how long the room there has been known here.
+    /// How long capacity at the endpoint has been known to this entry, in milliseconds.
     #[must_use]
     pub fn capacity_known_ms(&self, now: ClockMs) -> u64 {
         now.since(self.capacity_since)
     }
 
-    /// Whether it was this entry's own work that left the room: nobody else knows of it yet.
+    /// Whether the capacity was freed by this entry's own work, of which no other entry knows yet.
     #[must_use]
     pub fn is_freed_here(&self) -> bool {
         self.is_freed_here
     }
 
-    /// Notes that it refused a request for want of room.
+    /// Records that the endpoint refused a request for lack of capacity.
     pub fn note_full(&mut self, now: ClockMs) {
         self.full_until = Some(now + FULL_BACKOFF_MS);
     }
 
-    /// Whether it has just refused for want of room.
+    /// Whether the endpoint has just refused a request for lack of capacity.
     #[must_use]
     pub fn is_full(&self, now: ClockMs) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Whether every control replica that knows it has not heard it for long.
+    /// Whether at least one control replica reports the endpoint as silent.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         !self.silent_to.is_empty()
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoints that this entry may use, joined from what the control replicas tell and from
-//! its own requests.
+//! The endpoints that this entry may use, merged from the reports of control replicas and the
+//! results of this entry's requests.
 
 use std::net::SocketAddr;
 
@@ -12,36 +12,38 @@
 use crate::endpoint::{Endpoint, OtherLoad};
 use crate::health::Failure;
 
-/// Endpoints of a zone that are at work when their common silence tells of the zone.
+/// Minimum number of busy endpoints of a zone that must all be silent for the zone to count as
+/// stalled.
 const MIN_BUSY_ENDPOINTS: usize = 2;
-/// Silence of each of them: above the usual gap between events beside a long prompt (180 ms).
+/// Minimum silence of each of them: longer than the usual gap between events beside a long prompt
+/// (180 ms).
 const ZONE_SILENCE_MS: u64 = 250;
-/// Incarnations that have ended and are still remembered.
+/// Number of ended incarnations that are remembered.
 const MAX_ENDED_INCARNATIONS: usize = 512;
 
-/// Prompts that are being read.
+/// Number of prompts being read.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Reading {
-    /// Those of all entries.
+    /// Prompts of all entries.
     pub(crate) all: u32,
-    /// Those of this entry.
+    /// Prompts of this entry.
     pub(crate) own: u32,
 }
 
-/// All endpoints.
+/// All known endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     endpoints: IndexMap<EndpointId, Endpoint>,
     last_order: u64,
-    /// The newest life of each name.
-    lives: IndexMap<String, Life>,
-    /// When the other entries' requests in each zone were told last.
+    /// The newest incarnation of each name.
+    newest_lives: IndexMap<String, Life>,
+    /// When the other entries' loads in each zone were last reported.
     loads_reported_at: IndexMap<ZoneId, ClockMs>,
 }
 
 impl EndpointTable {
-    /// Joins what a control replica tells; returns ids whose state is another now, former lives
-    /// that a newer one has ended included.
+    /// Merges the records of a control replica. Returns the ids whose state has changed, including
+    /// those of previous incarnations that a newer one has ended.
     pub fn merge(&mut self, from: &NodeId, records: &[EndpointRecord]) -> Vec<EndpointId> {
         let mut changed = Vec::new();
         for record in records {
@@ -68,25 +70,26 @@
         let state = known.announcement.state;
         match known.announcement.join(announcement) {
             Joined::Same => false,
-            // A former life is not in the place of this one: lives are kept apart by their ids.
+            // A previous incarnation is a separate table entry, since its id differs.
             Joined::Changed | Joined::Reborn => state != known.announcement.state,
         }
     }
 
-    /// Whether a newer life of an incarnation's name is known: it has ended, and nothing that is
-    /// still told of it counts.
+    /// Whether a newer incarnation under the same name is known. The older one has ended, and late
+    /// reports of it are ignored.
     #[must_use]
     pub fn is_superseded(&self, id: &EndpointId) -> bool {
-        let newest = self.lives.get(&id.name);
+        let newest = self.newest_lives.get(&id.name);
         newest.is_some_and(|newest| id.life < *newest)
     }
 
-    /// Notes a name's newest life, and ends the one that was known before; returns that.
+    /// Records the newest incarnation of a name. Marks the previously known one as gone and returns
+    /// its id.
     ///
-    /// It stays in the table with what this entry still has there, so that nothing of it is counted
-    /// at its successor.
+    /// The previous incarnation stays in the table with the requests that this entry still has
+    /// there, so that these aren't counted at its successor.
     fn end_previous_incarnation(&mut self, newest: &EndpointId) -> Option<EndpointId> {
-        let life = self.lives.insert(newest.name.clone(), newest.life)?;
+        let life = self.newest_lives.insert(newest.name.clone(), newest.life)?;
         if life == newest.life {
             return None;
         }
@@ -107,7 +110,8 @@
         self.endpoints.insert(id, endpoint);
     }
 
-    /// A later incarnation at an address ends the earlier ones there.
+    /// Marks all incarnations at an address but the latest one as replaced, and drops the oldest
+    /// ended incarnations.
     fn mark_replaced(&mut self) {
         let mut newest: IndexMap<SocketAddr, u64> = IndexMap::new();
         for endpoint in self.endpoints.values().filter(|it| it.is_ready()) {
@@ -120,14 +124,15 @@
                 endpoint.is_replaced = true;
             }
         }
-        let is_over = |it: &Endpoint| !it.is_ready() && it.in_flight == 0;
-        // Endings are remembered while other control replicas may still tell of the life before.
-        let over = self.endpoints.values().filter(|it| is_over(it)).count();
-        if over > MAX_ENDED_INCARNATIONS {
-            let mut left_over = over - MAX_ENDED_INCARNATIONS;
+        let is_ended = |it: &Endpoint| !it.is_ready() && it.in_flight == 0;
+        // Ended incarnations are remembered, since other control replicas may still report them as
+        // ready.
+        let ended = self.endpoints.values().filter(|it| is_ended(it)).count();
+        if ended > MAX_ENDED_INCARNATIONS {
+            let mut excess = ended - MAX_ENDED_INCARNATIONS;
             self.endpoints.retain(|_, endpoint| {
-                let is_dropped = left_over > 0 && is_over(endpoint);
-                left_over -= usize::from(is_dropped);
+                let is_dropped = excess > 0 && is_ended(endpoint);
+                excess -= usize::from(is_dropped);
                 !is_dropped
             });
             let endpoints = &self.endpoints;
@@ -135,11 +140,11 @@
                 let name = name.clone();
                 endpoints.contains_key(&EndpointId { life, name })
             };
-            self.lives.retain(|name, life| is_known(name, *life));
+            self.newest_lives.retain(|name, life| is_known(name, *life));
         }
     }
 
-    /// This entry's requests at the endpoints of a zone, and which of those have just failed it.
+    /// This entry's load at each endpoint of a zone, and which of them have just failed it.
     #[must_use]
     pub fn loads_in(&self, now: ClockMs, zone: &ZoneId) -> Vec<EndpointLoad> {
         let busy = self
@@ -157,14 +162,15 @@
         loads.collect()
     }
 
-    /// Age of what is known of the other entries' requests in a zone.
+    /// Age of the last report of the other entries' loads in a zone, in milliseconds; none if there
+    /// was no report.
     #[must_use]
     pub fn loads_age_ms(&self, now: ClockMs, zone: &ZoneId) -> Option<u64> {
         let reported_at = self.loads_reported_at.get(zone)?;
         Some(now.since(*reported_at))
     }
 
-    /// Takes what the other entries have at the endpoints of a zone.
+    /// Replaces the reported loads of the other entries at all endpoints of a zone.
     pub fn update_loads(&mut self, now: ClockMs, zone: &ZoneId, loads: &[EndpointLoad]) {
         self.loads_reported_at.insert(zone.clone(), now);
         let reported: IndexMap<&EndpointId, &EndpointLoad> =
@@ -178,8 +184,8 @@
         }
     }
 
-    /// Notes that nobody tells any more what the other entries have in a zone: what was told last
-    /// counts as long past.
+    /// Marks the loads of the other entries in a zone as out of date, because no control replica
+    /// reports them any more.
     pub fn forget_loads(&mut self, zone: &ZoneId) {
         self.loads_reported_at.swap_remove(zone);
         let endpoints = self.endpoints.values_mut();
@@ -188,35 +194,36 @@
         }
     }
 
-    /// Takes what the other entries have at the endpoint of a place that was handed out here.
+    /// Replaces the reported load of the other entries at the endpoint where capacity was reserved.
     pub fn update_load(&mut self, now: ClockMs, load: &EndpointLoad) {
         if let Some(endpoint) = self.endpoints.get_mut(&load.id) {
             endpoint.update_others(now, OtherLoad::from(load));
         }
     }
 
-    /// An incarnation.
+    /// Returns an incarnation.
     #[must_use]
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
 
-    /// An incarnation, to note something about it.
+    /// Returns an incarnation for changes.
     pub fn get_mut(&mut self, id: &EndpointId) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(id)
     }
 
-    /// Requests of this entry that the endpoints of a service work on.
+    /// Requests in flight from this entry at all endpoints of a service.
     pub(crate) fn own_in_flight(&self, service: &str) -> u32 {
         self.of_service(service).map(|it| it.in_flight).sum()
     }
 
-    /// Time of an answer, or of an event, at the middle one of a service's endpoints.
+    /// Median time of an answer, or of an event, across the endpoints of a service, in
+    /// milliseconds.
     pub(crate) fn median_pace_ms(&self, service: &str) -> Option<f64> {
         self.median_of(service, |it| it.health.pace_ms())
     }
 
-    /// Prompts that the endpoints of a service read.
+    /// Prompts being read at the endpoints of a service.
     pub(crate) fn reading(&self, now: ClockMs, service: &str) -> Reading {
         let mut reading = Reading::default();
         for endpoint in self.of_service(service) {
@@ -226,12 +233,12 @@
         reading
     }
 
-    /// Milliseconds that a token of a prompt takes at the middle one of a service's engines.
+    /// Median time per prompt token across the engines of a service, in milliseconds.
     pub(crate) fn median_ms_per_token(&self, service: &str) -> Option<f64> {
         self.median_of(service, |it| it.reading_pace.ms_per_token())
     }
 
-    /// The middle one of what is known of a service's endpoints.
+    /// Median of the known values across the endpoints of a service.
     fn median_of(&self, service: &str, of: impl Fn(&Endpoint) -> Option<f64>) -> Option<f64> {
         let known = self.of_service(service).filter_map(of);
         let mut known: Vec<f64> = known.collect();
@@ -244,12 +251,12 @@
         endpoints.filter(move |it| it.announcement.service == service)
     }
 
-    /// Every incarnation.
+    /// Iterates over all known incarnations.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// Notes a failed exchange; returns whether the endpoint's whole zone is suspect now.
+    /// Records a failed exchange. Returns true if the endpoint's whole zone appears to be stalled.
     pub fn note_failure(&mut self, now: ClockMs, id: &EndpointId, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return false;
@@ -262,9 +269,10 @@
         failure == Failure::Stalled && self.is_zone_stalled(now, &failed)
     }
 
-    /// Whether no endpoint of the zone and service says anything, though several are at work.
+    /// Whether all busy endpoints of the zone and service are silent, and there are several of
+    /// them.
     ///
-    /// One that does speaks for its neighbours: then a single endpoint is slow, not the zone down.
+    /// If any of them still sends, a single endpoint is slow and the zone is not down.
     fn is_zone_stalled(&self, now: ClockMs, failed: &Announcement) -> bool {
         let is_busy_neighbor = |it: &&Endpoint| {
             it.announcement.service == failed.service
--- a/crates/masticsill_dispatch/src/health.rs
+++ b/crates/masticsill_dispatch/src/health.rs
@@ -1,10 +1,10 @@
-//! What this entry's own requests tell of an endpoint.
+//! The health of an endpoint as seen by this entry's requests.
 
 use masticsill_types::ClockMs;
 
-/// First time that an endpoint is left alone after a failure.
+/// Duration of the backoff after the first failure.
 const INITIAL_BACKOFF_MS: u64 = 150;
-/// Longest time that an endpoint is left alone: one request then finds out.
+/// Longest backoff; after it, a request probes the endpoint.
 const MAX_BACKOFF_MS: u64 = 1_200;
 /// Weight of the newest observation in a moving average.
 const NEWEST_WEIGHT: f64 = 0.15;
@@ -12,20 +12,20 @@
 /// How an exchange with an endpoint failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// It broke the connection, or refused it.
+    /// The endpoint closed or refused the connection.
     Broken,
-    /// Another incarnation has the address.
+    /// Another incarnation owns the address.
     Replaced,
-    /// It said nothing for too long.
+    /// The endpoint sent nothing for too long.
     Silent,
-    /// Its stream stood still for too long, or its neighbours' did and its own as well.
+    /// The endpoint's stream stalled for too long, or stalled together with those of its neighbors.
     Stalled,
-    /// What it sent is no answer to the request.
+    /// The endpoint sent something that is no valid answer.
     Malformed,
 }
 
 impl Failure {
-    /// The name in logs and metrics.
+    /// The name of the failure in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -38,23 +38,23 @@
     }
 }
 
-/// The health of one endpoint, as seen from here.
+/// Health of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// Share of answers that were failures, as a moving average.
+    /// Moving average of the share of answers that were failures.
     error_rate: f64,
     failures: u32,
-    /// When a byte of an answer came last.
+    /// When the last byte of an answer arrived.
     heard_at: Option<ClockMs>,
     backoff_until: Option<ClockMs>,
     last_failure_at: Option<ClockMs>,
-    /// Time that it takes for one unit of work, as a moving average: an answer of a plain
-    /// service, an event of an engine.
+    /// Moving average of the time per unit of work, in milliseconds. A unit is an answer of a plain
+    /// service or an event of an engine.
     pace_ms: Option<f64>,
 }
 
 impl Health {
-    /// Notes a failed exchange; the endpoint is left alone, longer each time.
+    /// Records a failed exchange and starts a backoff, which doubles with each consecutive failure.
     pub fn note_failure(&mut self, now: ClockMs) {
         let doubled = INITIAL_BACKOFF_MS << self.failures.min(8);
         self.failures += 1;
@@ -63,34 +63,34 @@
         self.error_rate = moving_average(self.error_rate, 1.0);
     }
 
-    /// Takes the last failure back: what was thought to have failed goes on.
+    /// Retracts the last failure, because the exchange has continued after all.
     pub fn retract_failure(&mut self) {
         self.failures = self.failures.saturating_sub(1);
         self.backoff_until = None;
         self.last_failure_at = None;
     }
 
-    /// Notes that a byte of an answer came.
+    /// Records that a byte of an answer arrived.
     pub fn note_heard(&mut self, now: ClockMs) {
         self.heard_at = Some(now);
     }
 
-    /// Whether a byte of an answer came within a time.
+    /// Whether a byte of an answer arrived within the last `time_ms` milliseconds.
     #[must_use]
     pub fn is_heard_within(&self, now: ClockMs, time_ms: u64) -> bool {
         self.heard_at.is_some_and(|at| now.since(at) < time_ms)
     }
 
-    /// Notes the head of an answer.
+    /// Records the head of an answer, which ends the backoff.
     pub fn note_answer(&mut self, is_error: bool) {
         self.failures = 0;
         self.backoff_until = None;
         self.error_rate = moving_average(self.error_rate, if is_error { 1.0 } else { 0.0 });
     }
 
-    /// Notes the time that one unit of work took.
+    /// Records the time that one unit of work took, in milliseconds.
     ///
-    /// The time to the first event of a stream is none: it depends on the prompt.
+    /// The time to the first event of a stream doesn't belong here, since it depends on the prompt.
     pub fn note_pace(&mut self, pace_ms: u64) {
         // Times are far below the precision of the type.
         #[allow(clippy::cast_precision_loss)]
@@ -99,26 +99,26 @@
         self.pace_ms = Some(moving_average(before, pace_ms));
     }
 
-    /// Whether the endpoint is left alone now.
+    /// Whether the endpoint is in backoff.
     #[must_use]
     pub fn is_backing_off(&self, now: ClockMs) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Whether an exchange failed within a time.
+    /// Whether an exchange failed within the last `time_ms` milliseconds.
     #[must_use]
     pub fn has_failed_within(&self, now: ClockMs, time_ms: u64) -> bool {
         let at = self.last_failure_at;
         at.is_some_and(|at| now.since(at) < time_ms)
     }
 
-    /// Share of answers that were failures.
+    /// Moving average of the share of answers that were failures, from 0 to 1.
     #[must_use]
     pub fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// Usual time of one unit of work.
+    /// Average time per unit of work, in milliseconds; none before the first one.
     #[must_use]
     pub fn pace_ms(&self) -> Option<f64> {
         self.pace_ms
--- a/crates/masticsill_dispatch/src/lib.rs
+++ b/crates/masticsill_dispatch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which request goes to which endpoint now, which waits here, and which is refused.
+//! Decides which endpoint each request is sent to, which requests wait, and which are refused.
 //!
-//! All of it is pure: what is known of the endpoints and of the requests goes in with its time,
-//! decisions come out. There is no network and no clock here, and nothing is configured by
-//! deployment: what an endpoint can bear is learned from its answers.
+//! The crate is pure logic: callers pass in the current time and what is known of endpoints and
+//! requests, and get decisions back. There is no network access and no clock. Endpoint capacity is
+//! not configured per deployment; it is learned from the endpoints' answers.
 
 mod budget;
 mod capacity;
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -1,4 +1,7 @@
-//! Which endpoint a request goes to.
+//! Chooses the endpoint that a request is sent to.
+//!
+//! Each candidate has a cost, in units of one request in flight. The candidate with the lowest cost
+//! is chosen.
 
 use indexmap::IndexMap;
 use masticsill_registry::{EndpointId, KeptTokens, is_zone_down};
@@ -7,84 +10,87 @@
 use crate::endpoint::Endpoint;
 use crate::endpoints::EndpointTable;
 
-/// What another zone costs, in requests in flight: bytes between zones are dear, a queue is worse.
+/// Cost of an endpoint in another zone: traffic between zones is expensive, but a queue is worse.
 const OTHER_ZONE_COST: f64 = 2.0;
-/// What an endpoint of another entry's part costs: less than one request in flight there.
+/// Cost of an endpoint in another entry's share of the zone: less than one request in flight there.
 const OTHER_ENTRY_COST: f64 = 0.4;
-/// What a prompt that is being read costs beyond any request in flight: the next one waits about
-/// a second behind it, and slows the streams there for as long again.
+/// Cost of a prompt being read, beyond that of any request in flight: the next prompt waits about a
+/// second behind it and slows down the streams there for as long again.
 const READING_COST: f64 = 1.5;
-/// What a token costs less that an engine keeps: 8,000 of them are read in a second, which all
-/// streams there would spend at a sixth of their pace.
-const KEPT_TOKEN_GAIN: f64 = 6.0 / 8_000.0;
-/// Tokens beyond which nothing more is gained: no load is worth a longer queue.
-const MAX_KEPT_TOKENS: u64 = 12_000;
-/// What an endpoint costs that fails every answer, in requests in flight.
+/// Cost reduction per cached token of the prompt. 8,000 tokens are read in about a second, during
+/// which all streams at the engine would run at a sixth of their usual speed.
+const CACHED_TOKEN_GAIN: f64 = 6.0 / 8_000.0;
+/// Number of cached tokens beyond which the cost is not reduced further: no cached prompt is worth
+/// a longer queue.
+const MAX_CACHED_TOKENS: u64 = 12_000;
+/// Cost of an endpoint that fails every answer.
 const ERROR_COST: f64 = 12.0;
-/// What a silent endpoint costs: it is used only where no other is left.
+/// Cost of a silent endpoint: it is used only if there is no other.
 const SILENT_COST: f64 = 1_000.0;
-/// What an endpoint costs that is left alone after a failure: below silence, above all else.
+/// Cost of an endpoint in backoff after a failure: below that of a silent one, above all others.
 const BACKOFF_COST: f64 = 500.0;
-/// What an endpoint costs while its zone has just failed elsewhere.
+/// Cost of an endpoint in a suspect zone, in which other endpoints have just failed.
 const SUSPECT_ZONE_COST: f64 = 50.0;
-/// Endpoints of a zone that have just failed when the zone itself is suspect.
+/// Number of endpoints that must have failed this entry for their zone to be suspect.
 const MIN_SUSPECT_FAILURES: usize = 2;
-/// How long the failures of neighbours count against a zone.
+/// How long failures count against the zone.
 const SUSPECT_WINDOW_MS: u64 = 700;
-/// How many times slower than usual an endpoint may count, so that no measure outweighs a failure.
+/// Upper bound of the ratio of an endpoint's pace to the median, so that slowness never outweighs a
+/// failure.
 const MAX_SLOWNESS: f64 = 5.0;
-/// What an endpoint costs less at which a place was handed out to the request: nobody else begins
-/// there now, as may be at those that only look idle.
+/// Cost reduction of the endpoint at which capacity is reserved for the request: no other request
+/// starts there now, unlike at endpoints that only appear idle.
 const RESERVATION_GAIN: f64 = 3.0;
-/// Age at which what was told of the other entries' requests says nothing any more of a single
-/// endpoint: by then an engine has read a prompt. Each is taken to do as much as the usual one, so
-/// that entries which hear nothing new don't all go on to the ones that were idle once.
+/// Age at which a report of the other entries' load no longer says anything about a single
+/// endpoint, since an engine has read a prompt by then. Every endpoint is then assumed to have the
+/// mean load, so that entries without new reports don't all choose the endpoints that were idle
+/// last.
 const STALE_LOAD_MS: u64 = 1_000;
-/// Longest of the random differences that keep entries from choosing alike.
+/// Upper bound of the random cost that keeps entries from choosing the same endpoint.
 const MAX_JITTER_COST: f64 = 0.5;
 
-/// What a request wants of an endpoint.
+/// The criteria by which an endpoint is chosen for a request.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// Endpoints that accept no further connection.
+    /// Endpoints that accept no further connections from this entry.
     pub closed: &'a [EndpointId],
-    /// Endpoints that it was sent to already.
+    /// Endpoints that the request has already been sent to.
     pub excluded: &'a [EndpointId],
-    /// Engines that keep the beginning of its prompt.
+    /// Engines that have a prefix of the prompt cached.
     pub kept: &'a [KeptTokens],
-    /// The zone to avoid, for a copy that is to survive the zone.
+    /// A zone to avoid, for a copy of a run that is to survive the loss of that zone.
     pub not_in_zone: Option<&'a ZoneId>,
-    /// The endpoint at which a place was handed out to the request.
+    /// The endpoint at which a control replica has reserved capacity for the request.
     pub reserved_endpoint: Option<&'a EndpointId>,
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
-    /// This entry's part of its zone's endpoints.
+    /// This entry's share of the endpoints in its zone.
     pub share: ZoneShare,
     /// The zone of this entry.
     pub zone: &'a ZoneId,
 }
 
 impl PlacementRequest<'_> {
-    /// Whether an endpoint may be chosen at all.
+    /// Whether the endpoint may be chosen at all.
     pub(crate) fn is_candidate(&self, endpoint: &Endpoint) -> bool {
-        let said = &endpoint.announcement;
+        let announcement = &endpoint.announcement;
         endpoint.is_ready()
-            && said.service == self.service
-            && self.not_in_zone != Some(&said.zone)
-            && !self.excluded.contains(&said.id)
-            && !self.closed.contains(&said.id)
+            && announcement.service == self.service
+            && self.not_in_zone != Some(&announcement.zone)
+            && !self.excluded.contains(&announcement.id)
+            && !self.closed.contains(&announcement.id)
     }
 }
 
-/// The place of an entry among those of its zone.
+/// The rank of an entry among the entries of its zone.
 ///
-/// Entries hear of each other's requests a little late. Each prefers a part of its zone's
-/// endpoints of its own, so that two seldom send to the same one at once.
+/// Entries learn of each other's requests with a delay. Each prefers its own share of the endpoints
+/// in its zone, so that two entries seldom send to the same endpoint at once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ZoneShare {
-    /// Entries of the zone.
+    /// Number of entries in the zone.
     pub entries: usize,
-    /// Which of them this one is, from zero.
+    /// Rank of this entry, starting at zero.
     pub rank: usize,
 }
 
@@ -97,55 +103,55 @@
     }
 }
 
-/// The endpoint chosen and why.
+/// The chosen endpoint, with the figures behind the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Candidates that were weighed.
+    /// Number of candidates that were compared.
     pub candidates: usize,
-    /// Its cost; lower is better.
+    /// Cost of the endpoint, in units of one request in flight; lower is better.
     pub cost: f64,
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// Requests that it works on, as far as is known.
+    /// Requests of all entries in flight there, as far as is known.
     pub in_flight: u32,
-    /// Whether a place there was handed out to the request.
+    /// Whether a control replica has reserved capacity for the request there.
     pub is_reserved: bool,
-    /// Tokens of the prompt that it keeps.
+    /// Tokens of the prompt that the engine has cached.
     pub kept_tokens: u64,
-    /// Those requests whose prompt it still reads.
+    /// Requests of all entries whose prompts the endpoint still reads.
     pub reading: u32,
 }
 
-/// Chooses the endpoint of the lowest cost among those with room; `jitter` gives numbers from zero
-/// to one.
+/// Chooses the candidate with the lowest cost among those with capacity; none if there is no such
+/// candidate. `jitter` returns random numbers between 0 and 1.
 // Numbers of tokens are far below the precision of the type.
 #[allow(clippy::cast_precision_loss)]
 pub fn choose(
     table: &EndpointTable,
     now: ClockMs,
-    wanted: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     has_capacity: impl Fn(&Endpoint) -> bool,
     mut jitter: impl FnMut() -> f64,
 ) -> Option<Choice> {
-    let candidates = table.iter().filter(|it| wanted.is_candidate(it));
+    let candidates = table.iter().filter(|it| request.is_candidate(it));
     let candidates: Vec<&Endpoint> = candidates.filter(|it| has_capacity(it)).collect();
-    let suspect_zones = suspect_zones(table, wanted.service, now);
-    let usual_ms = median_pace_ms(&candidates);
-    let others = other_shares_endpoints(&candidates, wanted);
+    let suspect_zones = suspect_zones(table, request.service, now);
+    let median_ms = median_pace_ms(&candidates);
+    let others = other_shares_endpoints(&candidates, request);
     let mean_load = mean_others_load(&candidates);
     let costs = candidates.iter().map(|endpoint| {
         let mut cost =
-            cost(endpoint, now, wanted.zone, usual_ms, mean_load) + jitter() * MAX_JITTER_COST;
+            cost(endpoint, now, request.zone, median_ms, mean_load) + jitter() * MAX_JITTER_COST;
         if suspect_zones.contains(&&endpoint.announcement.zone) {
             cost += SUSPECT_ZONE_COST;
         }
         if others.contains(&&endpoint.announcement.id) {
             cost += OTHER_ENTRY_COST;
         }
-        if wanted.reserved_endpoint == Some(&endpoint.announcement.id) {
+        if request.reserved_endpoint == Some(&endpoint.announcement.id) {
             cost -= RESERVATION_GAIN;
         }
-        cost -= kept_tokens(endpoint, wanted).min(MAX_KEPT_TOKENS) as f64 * KEPT_TOKEN_GAIN;
+        cost -= kept_tokens(endpoint, request).min(MAX_CACHED_TOKENS) as f64 * CACHED_TOKEN_GAIN;
         (cost, endpoint)
     });
     let (cost, best) = costs.min_by(|(left, _), (right, _)| left.total_cmp(right))?;
@@ -154,40 +160,40 @@
         cost,
         id: best.announcement.id.clone(),
         in_flight: best.in_flight + best.others.in_flight,
-        is_reserved: wanted.reserved_endpoint == Some(&best.announcement.id),
-        kept_tokens: kept_tokens(best, wanted),
+        is_reserved: request.reserved_endpoint == Some(&best.announcement.id),
+        kept_tokens: kept_tokens(best, request),
         reading: best.reading + best.others.reading,
     })
 }
 
-/// Chooses the engine that is to hold a copy of a run: of two drawn at random among those with room
-/// the one whose memory is less in use.
+/// Chooses the engine that is to hold a copy of a run: of two candidates drawn at random, the one
+/// with less KV cache in use.
 ///
-/// Every entry chooses holders in other zones, of whose memory it hears late. Were it always the
-/// emptiest one, the copies of many runs would meet there, queue on its link and find no room.
-/// `random` gives numbers from zero to one.
+/// Entries choose holders in other zones, whose memory usage they learn with a delay. If the
+/// emptiest engine were always chosen, the copies of many runs would go to the same engine, queue
+/// on its network link and exceed its memory. `random` returns numbers between 0 and 1.
 pub fn choose_holder<'a>(
     table: &'a EndpointTable,
     now: ClockMs,
-    wanted: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     has_capacity: impl Fn(&Endpoint) -> bool,
     mut random: impl FnMut() -> f64,
 ) -> Option<&'a Endpoint> {
-    let suspect_zones = suspect_zones(table, wanted.service, now);
-    let is_sound = |it: &Endpoint| {
+    let suspect_zones = suspect_zones(table, request.service, now);
+    let is_healthy = |it: &Endpoint| {
         let zone = &it.announcement.zone;
         !it.is_silent() && !it.is_backing_off(now) && !suspect_zones.contains(&zone)
     };
-    let candidates = table.iter().filter(|it| wanted.is_candidate(it));
+    let candidates = table.iter().filter(|it| request.is_candidate(it));
     let candidates: Vec<&Endpoint> = candidates
-        .filter(|it| is_sound(it) && has_capacity(it))
+        .filter(|it| is_healthy(it) && has_capacity(it))
         .collect();
     let drawn = [random(), random()].map(|part| candidate_at(&candidates, part));
     let drawn = drawn.into_iter().flatten();
     drawn.min_by_key(|it| it.held_tokens + it.others.held_tokens)
 }
 
-/// The candidate at a part of the list.
+/// Returns the candidate at a fraction of the list.
 // The number is not negative and below the count, which is far below the precision of the type.
 #[allow(
     clippy::cast_possible_truncation,
@@ -199,30 +205,30 @@
     candidates.get(place).copied()
 }
 
-/// Tokens of the prompt that an engine keeps.
-fn kept_tokens(endpoint: &Endpoint, wanted: &PlacementRequest<'_>) -> u64 {
+/// Number of prompt tokens that the engine has cached.
+fn kept_tokens(endpoint: &Endpoint, request: &PlacementRequest<'_>) -> u64 {
     let id = &endpoint.announcement.id;
-    let kept = wanted.kept.iter().find(|kept| kept.endpoint == *id);
+    let kept = request.kept.iter().find(|kept| kept.endpoint == *id);
     kept.map_or(0, |kept| kept.tokens)
 }
 
-/// Endpoints of the own zone that are other entries' part of it.
+/// Endpoints of this entry's zone that belong to the shares of other entries.
 fn other_shares_endpoints<'a>(
     candidates: &[&'a Endpoint],
-    wanted: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Vec<&'a EndpointId> {
-    let ZoneShare { entries, rank } = wanted.share;
-    let near = candidates
+    let ZoneShare { entries, rank } = request.share;
+    let local = candidates
         .iter()
-        .filter(|it| it.announcement.zone == *wanted.zone);
-    let mut near: Vec<&EndpointId> = near.map(|it| &it.announcement.id).collect();
-    near.sort();
-    let dealt = near.into_iter().enumerate();
-    let others = dealt.filter(|(position, _)| position % entries.max(1) != rank);
+        .filter(|it| it.announcement.zone == *request.zone);
+    let mut local: Vec<&EndpointId> = local.map(|it| &it.announcement.id).collect();
+    local.sort();
+    let ranked = local.into_iter().enumerate();
+    let others = ranked.filter(|(position, _)| position % entries.max(1) != rank);
     others.map(|(_, id)| id).collect()
 }
 
-/// What requests cost a further one beside them.
+/// Cost of the given load for a further request.
 fn load_cost(in_flight: u32, reading: u32) -> f64 {
     f64::from(in_flight) + f64::from(reading) * READING_COST
 }
@@ -231,7 +237,7 @@
     load_cost(endpoint.others.in_flight, endpoint.others.reading)
 }
 
-/// What the other entries' requests are at the mean endpoint.
+/// Mean cost of the other entries' load per endpoint.
 // Counts are far below the precision of the type.
 #[allow(clippy::cast_precision_loss)]
 fn mean_others_load(candidates: &[&Endpoint]) -> f64 {
@@ -239,29 +245,29 @@
     sum / candidates.len().max(1) as f64
 }
 
-/// What the other entries' requests at an endpoint are believed to be: the older the news, the
-/// closer to the usual.
+/// Estimated cost of the other entries' load at an endpoint. The older the report, the closer the
+/// estimate is to the mean.
 // Times are far below the precision of the type.
 #[allow(clippy::cast_precision_loss)]
-fn estimated_others_load(endpoint: &Endpoint, now: ClockMs, usual: f64) -> f64 {
+fn estimated_others_load(endpoint: &Endpoint, now: ClockMs, mean: f64) -> f64 {
     let age_ms = endpoint.others_age_ms(now).min(STALE_LOAD_MS);
     let forgotten = age_ms as f64 / STALE_LOAD_MS as f64;
     let reported = others_load(endpoint);
-    reported + (usual - reported) * forgotten
+    reported + (mean - reported) * forgotten
 }
 
 fn cost(
     endpoint: &Endpoint,
     now: ClockMs,
     zone: &ZoneId,
-    usual_ms: Option<f64>,
+    median_ms: Option<f64>,
     mean_load: f64,
 ) -> f64 {
     let own = load_cost(endpoint.in_flight, endpoint.reading);
     let load = own + estimated_others_load(endpoint, now, mean_load);
-    let slowness = match (endpoint.health.pace_ms(), usual_ms) {
-        (Some(pace_ms), Some(usual_ms)) if usual_ms > 0.0 => {
-            (pace_ms / usual_ms).clamp(1.0, MAX_SLOWNESS)
+    let slowness = match (endpoint.health.pace_ms(), median_ms) {
+        (Some(pace_ms), Some(median_ms)) if median_ms > 0.0 => {
+            (pace_ms / median_ms).clamp(1.0, MAX_SLOWNESS)
         }
         _ => 1.0,
     };
@@ -278,11 +284,12 @@
     cost
 }
 
-/// Zones in which several endpoints of a service failed just now: two of them this entry, or a part
-/// of those at work there any entry. Engines of a zone that is down lose their work, and those that
-/// nobody has tried since would look the idlest of all.
+/// Zones in which several endpoints of a service have just failed: two of them failed this entry,
+/// or a certain part of the busy ones failed any entry. Engines of a zone that is down lose their
+/// work, so that those which no request has tried since would appear to be the least loaded of all.
 ///
-/// Those that the request went to already count as well: it is they that failed.
+/// Endpoints that the current request was sent to count as well, since they are the ones that
+/// failed.
 #[must_use]
 pub fn suspect_zones<'a>(table: &'a EndpointTable, service: &str, now: ClockMs) -> Vec<&'a ZoneId> {
     let mut zones: IndexMap<&ZoneId, ZoneFailures> = IndexMap::new();
@@ -298,13 +305,13 @@
     zones.into_keys().collect()
 }
 
-/// Endpoints of a zone and service that failed lately.
+/// Number of endpoints of a zone and service that failed lately.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneFailures {
     at_work: usize,
-    /// Those that failed this entry.
+    /// Endpoints that failed this entry.
     own: usize,
-    /// Those that failed any entry.
+    /// Endpoints that failed any entry.
     reported: usize,
 }
 
@@ -314,11 +321,11 @@
     }
 }
 
-/// The median of the endpoints' paces.
+/// Median of the candidates' paces, in milliseconds.
 fn median_pace_ms(candidates: &[&Endpoint]) -> Option<f64> {
     let known = candidates.iter().filter_map(|it| it.health.pace_ms());
     let mut known: Vec<f64> = known.collect();
     known.sort_by(f64::total_cmp);
-    // Of two, the faster one is the usual one.
+    // For an even count, the faster of the two middle ones.
     known.get(known.len().saturating_sub(1) / 2).copied()
 }
--- a/crates/masticsill_dispatch/src/prior_wait.rs
+++ b/crates/masticsill_dispatch/src/prior_wait.rs
@@ -1,57 +1,58 @@
-//! How long callers have waited already when they ask.
+//! Estimates how long callers have already waited in earlier attempts.
 //!
-//! A caller that was refused comes back as another attempt, with less time than its first one had.
-//! Nothing else tells it from a newcomer.
+//! A refused caller retries with a new attempt and a shorter timeout than its first one. Nothing
+//! else distinguishes it from a new caller.
 
 use indexmap::IndexMap;
 use masticsill_types::ClockMs;
 
-/// For how long the longest time that callers of a route gave is remembered: it must outlast an
-/// overload, in which most of those who ask may have been refused before, and forget a route's
-/// former habits within a minute.
+/// How long the longest timeout given by callers of a route is remembered. The period must outlast
+/// an overload, in which most requests may be retries, and a change of the timeouts of a route must
+/// be picked up within a minute.
 const RETENTION_MS: u64 = 30_000;
-/// Part of the longest time given, in hundredths, below which a caller counts as one that has come
-/// back: first attempts of callers of one route differ by a sixth.
+/// Share of the longest timeout, in percent, below which a request counts as a retry: the timeouts
+/// of first attempts of callers of one route differ by a sixth.
 const RETRY_PERCENT: u64 = 80;
 
-/// The longest time given in this part of the memory and in the one before.
+/// The longest timeouts in the current and the previous retention period.
 #[derive(Clone, Copy, Debug, Default)]
 struct LongestTimeouts {
     began_at: ClockMs,
-    before_ms: u64,
-    now_ms: u64,
+    previous_ms: u64,
+    current_ms: u64,
 }
 
-/// The times that callers gave lately, by route.
+/// The longest timeouts that callers gave lately, by route.
 #[derive(Clone, Debug, Default)]
 pub struct PriorWaitEstimator {
     routes: IndexMap<String, LongestTimeouts>,
 }
 
 impl PriorWaitEstimator {
-    /// Takes the time that a caller gives; returns how long it has waited before, as far as can be
-    /// told: short waits can't be told from less patience.
-    pub fn note(&mut self, now: ClockMs, route: &str, given_ms: u64) -> u64 {
-        let longest = if let Some(longest) = self.routes.get_mut(route) {
-            longest
+    /// Records the timeout given by a caller, in milliseconds, and returns the estimated time that
+    /// the caller has waited in earlier attempts, in milliseconds. Short waits can't be told apart
+    /// from a shorter timeout and count as zero.
+    pub fn note(&mut self, now: ClockMs, route: &str, timeout_ms: u64) -> u64 {
+        let timeouts = if let Some(timeouts) = self.routes.get_mut(route) {
+            timeouts
         } else {
-            let began = LongestTimeouts {
+            let started = LongestTimeouts {
                 began_at: now,
                 ..LongestTimeouts::default()
             };
-            self.routes.entry(route.to_owned()).or_insert(began)
+            self.routes.entry(route.to_owned()).or_insert(started)
         };
-        if now.since(longest.began_at) > RETENTION_MS {
-            longest.began_at = now;
-            longest.before_ms = longest.now_ms;
-            longest.now_ms = 0;
+        if now.since(timeouts.began_at) > RETENTION_MS {
+            timeouts.began_at = now;
+            timeouts.previous_ms = timeouts.current_ms;
+            timeouts.current_ms = 0;
         }
-        longest.now_ms = longest.now_ms.max(given_ms);
-        let usual_ms = longest.now_ms.max(longest.before_ms);
-        if given_ms * 100 >= usual_ms * RETRY_PERCENT {
+        timeouts.current_ms = timeouts.current_ms.max(timeout_ms);
+        let longest_ms = timeouts.current_ms.max(timeouts.previous_ms);
+        if timeout_ms * 100 >= longest_ms * RETRY_PERCENT {
             0
         } else {
-            usual_ms - given_ms
+            longest_ms - timeout_ms
         }
     }
 }
--- a/crates/masticsill_dispatch/src/reading.rs
+++ b/crates/masticsill_dispatch/src/reading.rs
@@ -1,17 +1,18 @@
-//! How long an engine takes to read a prompt, learned from its first events.
+//! The time that an engine takes to read (prefill) a prompt, learned from its first events.
 
-/// Weight of the newest reading: four or five of them make up the figure, so that an engine that
-/// turns slow is known within seconds.
+/// Weight of the newest prompt in the moving average. Four or five prompts dominate the average, so
+/// that an engine that becomes slow is recognized within seconds.
 const NEWEST_WEIGHT: f64 = 0.3;
 
-/// Time that one token of a prompt takes to be read, as a moving average.
+/// Moving average of the time in which an engine reads one prompt token.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReadingPace {
     ms_per_token: Option<f64>,
 }
 
 impl ReadingPace {
-    /// Notes a prompt of which `tokens` were read in `elapsed_ms`, with none before it.
+    /// Records that `tokens` tokens of a prompt were read in `elapsed_ms`, with no other prompt
+    /// before it.
     // Times and counts are far below the precision of the type.
     #[allow(clippy::cast_precision_loss)]
     pub fn note(&mut self, tokens: u64, elapsed_ms: u64) {
@@ -23,7 +24,7 @@
         self.ms_per_token = Some(before + (newest - before) * NEWEST_WEIGHT);
     }
 
-    /// Milliseconds a token, once something was read.
+    /// Milliseconds per token; none before the first prompt.
     #[must_use]
     pub fn ms_per_token(self) -> Option<f64> {
         self.ms_per_token
--- a/crates/masticsill_dispatch/src/refusal.rs
+++ b/crates/masticsill_dispatch/src/refusal.rs
@@ -1,33 +1,35 @@
-//! Refusals, and when their callers may come back.
+//! Refuses requests and assigns the times after which their callers may retry.
 
 use masticsill_types::ClockMs;
 
 use crate::service_queue::{ServiceQueue, Terms};
 
-/// Part of the time left, in hundredths, for which a caller is sent away by an overload that lasts.
-/// One that comes back sooner can't be told from a newcomer, and takes the place of one that can
-/// still be answered in time: 95 of 380 answers of the model at six times the usual load.
+/// Minimum time until a retry in a sustained overload, as a percentage of the caller's remaining
+/// time. A caller that retries sooner can't be told apart from a new one and takes the place of a
+/// request that can still be answered in time: 95 of 380 answers in the simulation at six times the
+/// usual load.
 const SUSTAINED_RETRY_PERCENT: u64 = 25;
-/// Soonest time to come back.
+/// Minimum time until a retry.
 const MIN_RETRY_AFTER_MS: u64 = 200;
-/// Part of the time left (a third) after which callers come back whatever they are told.
+/// Divisor of the caller's remaining time (a third) after which callers retry whatever they are
+/// told.
 const RETRY_TIME_DIVISOR: u64 = 3;
-/// Part of a time to come back by which it is drawn longer at random, so that those who were
-/// refused by several entries at once don't return at once.
+/// Largest random extension of the time until a retry, as a fraction of it, so that callers refused
+/// by several entries at once don't retry at once.
 const RETRY_SPREAD: f64 = 0.25;
 
-/// Why a request is refused, and when its caller may come back.
+/// Details of a refusal due to overload.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Overload {
-    /// Requests that wait before it.
+    /// Number of requests that would be served before this one.
     pub ahead: usize,
-    /// When to come back.
+    /// Time after which the caller may retry, in milliseconds.
     pub retry_after_ms: u64,
-    /// How long it would wait, as far as can be told.
+    /// Estimated wait of the request, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Refuses a request and books a time to come back: after those who were told one before, at the
+/// Refuses a request and assigns a time for its retry, after the retries assigned before, at the
 /// rate at which requests start here.
 // Times are positive and far below the types' range and precision.
 #[allow(
@@ -43,22 +45,23 @@
     wait_ms: u64,
     random: f64,
 ) -> Overload {
-    let left_ms = terms.caller_leaves_at.since(now);
-    let longest_ms = left_ms / RETRY_TIME_DIVISOR;
-    let one_ms = wait_ms / (ahead as u64 + 1);
-    // Nobody knows how long an overload stays: as a rule as long again as it has been there.
+    let remaining_ms = terms.caller_leaves_at.since(now);
+    let longest_ms = remaining_ms / RETRY_TIME_DIVISOR;
+    let per_request_ms = wait_ms / (ahead as u64 + 1);
+    // The duration of an overload is unknown; assume that it lasts as long again as it has lasted.
     let mut soonest_ms = wait_ms.max(queue.overloaded_ms(now));
     if queue.is_overload_sustained(now) {
-        soonest_ms = soonest_ms.max(left_ms * SUSTAINED_RETRY_PERCENT / 100);
+        soonest_ms = soonest_ms.max(remaining_ms * SUSTAINED_RETRY_PERCENT / 100);
     }
-    let scheduled = queue.retries_scheduled_until.max(now + soonest_ms) + one_ms;
-    let wanted_ms = scheduled.since(now);
+    let scheduled = queue.retries_scheduled_until.max(now + soonest_ms) + per_request_ms;
+    let delay_ms = scheduled.since(now);
     let spread = 1.0 + random * RETRY_SPREAD;
-    let retry_after_ms = if wanted_ms <= longest_ms {
+    let retry_after_ms = if delay_ms <= longest_ms {
         queue.retries_scheduled_until = scheduled;
-        (wanted_ms as f64 * spread) as u64
+        (delay_ms as f64 * spread) as u64
     } else {
-        // All that can be told is booked: they come back when most of the overload may be gone.
+        // All times that can be assigned are taken. Spread the retries over the end of the range,
+        // when most of the overload may be over.
         let least_ms = soonest_ms.min(longest_ms).max(longest_ms / 2);
         least_ms + ((longest_ms - least_ms) as f64 * random) as u64
     };
--- a/crates/masticsill_dispatch/src/service_queue.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for one service, and what is known of its pace.
+//! The queue of requests that wait for one service, and the rate at which its requests start.
 
 use std::collections::VecDeque;
 
@@ -8,87 +8,90 @@
 
 use crate::capacity::Contention;
 
-/// Time over which starts are counted: about two prompts of every engine's.
+/// Period over which starts are counted: the time in which every engine reads about two prompts.
 const RATE_WINDOW_MS: u64 = 2_500;
-/// Age of an overload from which what is late already makes way: a shorter one is over before its
-/// callers are, and they are served then.
+/// Age from which an overload counts as sustained and requests that can't meet their target latency
+/// any more give way. A shorter overload ends before its callers time out, and they are served then.
 const SUSTAINED_OVERLOAD_MS: u64 = 1_500;
-/// Part of the requests that find no room at once from which it makes way. Where fewer do, there is
-/// room to spare for all.
+/// Minimum share of requests without capacity on arrival in a sustained overload. Below this share
+/// there is capacity left for all requests.
 const SUSTAINED_QUEUED_SHARE: f64 = 0.3;
-/// Weight of the newest request in that part.
+/// Weight of the newest request in the moving average of that share.
 const QUEUED_SHARE_WEIGHT: f64 = 0.1;
-/// Time without a request that finds no room after which an overload is over.
+/// Time without a request that finds no capacity after which an overload has ended.
 const OVERLOAD_OVER_MS: u64 = 1_000;
-/// Time for which a workspace that asked counts among those that share the queue.
+/// How long a workspace counts among those that share the queue after its last request.
 const ACTIVE_WORKSPACE_MS: u64 = 2_000;
-/// Weight of the newest prompt in their usual length.
+/// Weight of the newest prompt in the moving average of the prompt length.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Names one waiting request.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Ticket(pub(crate) u64);
 
-/// What a request makes an endpoint do.
+/// The work that a request causes at an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// It reads a prompt and makes events.
+    /// An engine reads a prompt and streams events.
     Stream {
-        /// Tokens that each engine of the service holds in its memory, if the document says.
+        /// Capacity of each engine's KV cache, in tokens, if the document gives it.
         memory_tokens: Option<u64>,
-        /// Tokens of the prompt.
+        /// Length of the prompt, in tokens.
         prompt_tokens: u64,
-        /// Tokens that the run holds in the end: the prompt and the longest output.
+        /// Largest number of tokens that the run holds in the KV cache: the prompt and the longest
+        /// output.
         tokens: u64,
     },
-    /// It makes one whole answer.
+    /// A plain service returns one complete answer.
     Whole,
 }
 
-/// What a request needs of an endpoint.
+/// What a request requires of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Requirements {
-    /// Endpoints that it was sent to already.
+    /// Endpoints that the request has already been sent to.
     pub excluded: Vec<EndpointId>,
-    /// Engines that keep the beginning of its prompt.
+    /// Engines that have a prefix of the prompt cached.
     pub kept: Vec<KeptTokens>,
-    /// The engine at which a control replica has just handed out a place to it.
+    /// The engine at which a control replica has just reserved capacity for the request.
     pub reserved_endpoint: Option<EndpointId>,
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// What it makes the endpoint do.
+    /// The work that the request causes.
     pub work: Work,
 }
 
 impl Requirements {
-    /// Tokens of its prompt that an engine keeps.
-    pub(crate) fn kept_at(&self, endpoint: &EndpointId) -> u64 {
+    /// Number of prompt tokens that the endpoint has cached.
+    pub(crate) fn cached_at(&self, endpoint: &EndpointId) -> u64 {
         let kept = self.kept.iter().find(|kept| kept.endpoint == *endpoint);
         kept.map_or(0, |kept| kept.tokens)
     }
 }
 
-/// For how long a request may wait, and who goes before whom.
+/// The time limits of a request, and what decides its order in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
-    /// Time in which callers of its route want an answer, or its first event.
+    /// Target latency of the route, in milliseconds: the time until the answer or, for a stream,
+    /// its first event.
     pub target_latency_ms: u64,
-    /// When it should have been answered, or its first event have come.
+    /// When the answer or its first event is due by the target latency.
     pub answer_due_at: ClockMs,
-    /// When its caller gives up, in this attempt and in those that may follow.
+    /// When the caller gives up, including any further attempts that it may make.
     pub caller_leaves_at: ClockMs,
-    /// When the attempt must have ended.
+    /// Deadline of this attempt.
     pub deadline_at: ClockMs,
-    /// Whether its caller was refused before and has come back.
+    /// Whether the caller was refused before and retries.
     pub is_returning: bool,
-    /// Whether its caller has a part of the answer already.
+    /// Whether the caller has already received a part of the answer.
     pub is_resume: bool,
-    /// Whose request it is.
+    /// The workspace of the caller; none for an anonymous caller.
     pub workspace: Option<String>,
 }
 
-/// Who goes first. Started work is finished before new work is begun; who was sent away once is
-/// not sent away again for the sake of newcomers; what is late anyway takes what is left over.
+/// Order of queued requests. Resumed answers go before new ones, so that started work is finished
+/// first. Retries of refused callers go next, so that they are not refused again in favor of new
+/// requests. Requests that can't meet their target latency any more get what capacity is left.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Rank {
     Resume,
@@ -97,36 +100,36 @@
     Late,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub(crate) need: Requirements,
+    pub(crate) requirements: Requirements,
     pub(crate) rank: Rank,
-    /// Whether it is served however long that takes: it has waited too long to be sent away.
+    /// Whether the request has waited too long to be refused; it then waits until its deadline.
     pub(crate) is_committed: bool,
     pub(crate) since: ClockMs,
     pub(crate) terms: Terms,
     pub(crate) ticket: Ticket,
 }
 
-/// The requests that wait for one service.
+/// The queue of one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceQueue {
-    /// Since when more is asked for than fits, and when it was so last.
+    /// Start of the current overload, and when a request last found no capacity.
     overloaded: Option<(ClockMs, ClockMs)>,
-    /// When each workspace asked last.
+    /// Time of each workspace's last request.
     active_workspaces: IndexMap<String, ClockMs>,
-    /// Until when those who were refused have been given times to come back.
+    /// The latest retry time that has been assigned to a refused request.
     pub(crate) retries_scheduled_until: ClockMs,
     starts: VecDeque<ClockMs>,
-    /// Part of the latest requests that found no room at once.
+    /// Moving average of the share of requests that found no capacity on arrival.
     queued_share: f64,
     average_prompt_tokens: Option<f64>,
     waiting: Vec<Waiting>,
 }
 
 impl ServiceQueue {
-    /// For how long more has been asked for than fits.
+    /// Age of the current overload, in milliseconds; zero if there is none.
     pub(crate) fn overloaded_ms(&self, now: ClockMs) -> u64 {
         let overloaded = self
             .overloaded
@@ -134,32 +137,32 @@
         overloaded.map_or(0, |(since, _)| now.since(since))
     }
 
-    /// Whether a request has found no room lately.
+    /// Whether a request found no capacity lately.
     pub(crate) fn is_overloaded(&self, now: ClockMs) -> bool {
         let overloaded = self.overloaded;
         overloaded.is_some_and(|(_, last)| now.since(last) < OVERLOAD_OVER_MS)
     }
 
-    /// Whether more has been asked for than fits for so long, and so much more, that room which
-    /// is free now is needed by those who can still be answered in time.
+    /// Whether an overload has lasted so long, and exceeds the capacity by so much, that free
+    /// capacity is needed for requests that can still be answered in time.
     pub(crate) fn is_overload_sustained(&self, now: ClockMs) -> bool {
         self.overloaded_ms(now) >= SUSTAINED_OVERLOAD_MS
             && self.queued_share > SUSTAINED_QUEUED_SHARE
     }
 
-    /// Notes whether a new request finds room at once.
+    /// Records whether a new request found capacity on arrival.
     pub(crate) fn note_placement(&mut self, has_capacity: bool) {
         let newest = if has_capacity { 0.0 } else { 1.0 };
         self.queued_share += (newest - self.queued_share) * QUEUED_SHARE_WEIGHT;
     }
 
-    /// Notes that a request finds no room.
+    /// Records that a request found no capacity.
     pub(crate) fn note_overloaded(&mut self, now: ClockMs) {
         let since = now.before(self.overloaded_ms(now));
         self.overloaded = Some((since, now));
     }
 
-    /// How long a request counts as having waited that came at `since`.
+    /// The contention that a request which arrived at `since` faces.
     pub(crate) fn contention(&self, now: ClockMs, since: ClockMs) -> Contention {
         if self.is_overloaded(now) {
             Contention::Contended(now.since(since))
@@ -176,7 +179,7 @@
         self.waiting.len()
     }
 
-    /// Requests that go before a new one of a rank.
+    /// Number of queued requests that go before a new one of the given rank.
     pub(crate) fn ahead_of(&self, rank: Rank) -> usize {
         let before = self.waiting.iter().filter(|it| it.rank <= rank);
         before.count()
@@ -186,7 +189,7 @@
         self.waiting.push(waiting);
     }
 
-    /// Has requests served however long that takes.
+    /// Marks requests as committed: they are not refused any more unless their deadlines pass.
     pub(crate) fn commit(&mut self, tickets: &[Ticket]) {
         for waiting in &mut self.waiting {
             waiting.is_committed |= tickets.contains(&waiting.ticket);
@@ -198,16 +201,18 @@
         Some(self.waiting.remove(place))
     }
 
-    /// The waiting requests in the order in which they go: by rank, then the one that has waited
-    /// longest. One that could be overtaken by newcomers would wait longer than it was admitted
-    /// for; workspaces are kept apart when requests are admitted.
+    /// The queued requests in the order in which they start: by rank, then by arrival.
+    ///
+    /// The order is not changed in favour of newer requests: a request that could be overtaken
+    /// would wait longer than estimated at its admission. Fairness between workspaces is enforced
+    /// at admission.
     pub(crate) fn in_order(&self) -> Vec<&Waiting> {
         let mut order: Vec<&Waiting> = self.waiting.iter().collect();
         order.sort_by_key(|it| (it.rank, it.since));
         order
     }
 
-    /// Notes that a workspace asks.
+    /// Records that a workspace sent a request.
     pub(crate) fn note_workspace(&mut self, now: ClockMs, terms: &Terms) {
         self.active_workspaces
             .retain(|_, last| now.since(*last) < ACTIVE_WORKSPACE_MS);
@@ -215,7 +220,7 @@
         self.active_workspaces.insert(workspace, now);
     }
 
-    /// Whether a workspace has its part of the places in the queue, if `places` may wait.
+    /// Whether a workspace has used up its share of a queue of `places` requests.
     pub(crate) fn is_share_exhausted(&self, terms: &Terms, places: usize) -> bool {
         let part = (places / self.active_workspaces.len().max(1)).max(1);
         let own = self.waiting.iter();
@@ -223,10 +228,10 @@
         own.count() >= part
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request has been sent.
     // Counts are far below the precision of the type.
     #[allow(clippy::cast_precision_loss)]
-    pub(crate) fn note_start(&mut self, now: ClockMs, need: &Requirements) {
+    pub(crate) fn note_start(&mut self, now: ClockMs, requirements: &Requirements) {
         self.starts.push_back(now);
         while self
             .starts
@@ -235,15 +240,15 @@
         {
             self.starts.pop_front();
         }
-        if let Work::Stream { prompt_tokens, .. } = &need.work {
+        if let Work::Stream { prompt_tokens, .. } = &requirements.work {
             let newest = *prompt_tokens as f64;
             let before = self.average_prompt_tokens.unwrap_or(newest);
             self.average_prompt_tokens = Some(before + (newest - before) * NEWEST_WEIGHT);
         }
     }
 
-    /// Starts in a second while more has been asked for than fits, once that has lasted long enough
-    /// to tell: before, they say how much was asked for, not how much fits.
+    /// Starts per second in an overload. The rate is known only once the overload has lasted for
+    /// the whole period; before, starts reflect the demand instead of the capacity.
     // Counts and times are far below the precision of the type.
     #[allow(clippy::cast_precision_loss)]
     pub(crate) fn starts_per_s(&self, now: ClockMs) -> Option<f64> {
@@ -257,7 +262,7 @@
         Some(recent.count() as f64 * 1_000.0 / RATE_WINDOW_MS as f64)
     }
 
-    /// Tokens of the prompts that came lately.
+    /// Moving average of the prompt length, in tokens.
     pub(crate) fn average_prompt_tokens(&self) -> f64 {
         self.average_prompt_tokens.unwrap_or_default()
     }
--- a/crates/masticsill_dispatch/tests/concurrency_limit.rs
+++ b/crates/masticsill_dispatch/tests/concurrency_limit.rs
@@ -10,7 +10,7 @@
 /// the end.
 fn answer(limit: &mut ConcurrencyLimit, load: u32, work_ms: f64, answers: u32) -> (u32, f64) {
     let mut now = ClockMs(1_000);
-    let mut usual_ms = work_ms;
+    let mut average_ms = work_ms;
     let mut in_flight = 0;
     for _ in 0..answers {
         for _ in 0..3 {
@@ -19,12 +19,12 @@
         }
         let queued = f64::from(in_flight.saturating_sub(6));
         let answer_ms = work_ms + queued * work_ms / 6.0;
-        usual_ms += (answer_ms - usual_ms) * 0.15;
+        average_ms += (answer_ms - average_ms) * 0.15;
         now = now + 5;
-        limit.note_answer(now, usual_ms, AIM_MS, in_flight);
+        limit.note_answer(now, average_ms, AIM_MS, in_flight);
         in_flight = in_flight.saturating_sub(1);
     }
-    (in_flight, usual_ms)
+    (in_flight, average_ms)
 }
 
 #[test]
@@ -37,11 +37,11 @@
 #[test]
 fn overload_is_held_where_answers_stay_in_time() {
     let mut limit = ConcurrencyLimit::default();
-    let (in_flight, usual_ms) = answer(&mut limit, 500, 30.0, 2_000);
+    let (in_flight, average_ms) = answer(&mut limit, 500, 30.0, 2_000);
     assert!(limit.is_limited());
     // All slots are used, and answers take less than two thirds of the aim.
     assert!(in_flight >= 5, "{in_flight}");
-    assert!(usual_ms < 100.0, "{usual_ms}");
+    assert!(average_ms < 100.0, "{average_ms}");
 }
 
 #[test]
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -45,7 +45,7 @@
     table
 }
 
-fn need() -> Requirements {
+fn requirements() -> Requirements {
     Requirements {
         excluded: Vec::new(),
         kept: Vec::new(),
@@ -95,7 +95,10 @@
         for name in names {
             let endpoint = entry.table.get_mut(&id(name)).unwrap();
             endpoint.reading_pace.note(8_000, 1_200);
-            assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Send(_));
+            assert_matches!(
+                entry.ask(NOW, &requirements(), &terms("w")),
+                Decision::Send(_)
+            );
             entry.begin(name);
         }
         entry
@@ -112,14 +115,14 @@
         self.table.get_mut(&id(name)).unwrap().end_reading(now);
     }
 
-    fn ask(&mut self, now: ClockMs, need: &Requirements, terms: &Terms) -> Decision {
-        let around = around(&self.node, &self.zone);
+    fn ask(&mut self, now: ClockMs, requirements: &Requirements, terms: &Terms) -> Decision {
+        let context = context(&self.node, &self.zone);
         self.dispatcher
-            .ask(now, &self.table, need, terms, &around, || 0.0)
+            .ask(now, &self.table, requirements, terms, &context, || 0.0)
     }
 
     fn waits(&mut self, now: ClockMs, terms: &Terms) -> Ticket {
-        let decision = self.ask(now, &need(), terms);
+        let decision = self.ask(now, &requirements(), terms);
         let Decision::Wait(ticket) = decision else {
             panic!("{decision:?}");
         };
@@ -127,12 +130,12 @@
     }
 
     fn next(&mut self, now: ClockMs) -> Option<WaitOutcome> {
-        let around = around(&self.node, &self.zone);
-        self.dispatcher.next(now, &self.table, &around, || 0.0)
+        let context = context(&self.node, &self.zone);
+        self.dispatcher.next(now, &self.table, &context, || 0.0)
     }
 }
 
-fn around<'a>(node: &'a NodeId, zone: &'a ZoneId) -> DispatchContext<'a> {
+fn context<'a>(node: &'a NodeId, zone: &'a ZoneId) -> DispatchContext<'a> {
     DispatchContext {
         closed: &[],
         entry: EntryPosition {
@@ -162,9 +165,9 @@
         endpoint: id("e1"),
         tokens: 7_900,
     };
-    let mut need = need();
-    need.kept.push(kept);
-    assert_matches!(entry.ask(NOW, &need, &terms("w")), Decision::Send(choice) => {
+    let mut requirements = requirements();
+    requirements.kept.push(kept);
+    assert_matches!(entry.ask(NOW, &requirements, &terms("w")), Decision::Send(choice) => {
         assert_eq!(choice.id, id("e1"));
     });
 }
@@ -182,7 +185,10 @@
         is_failing: false,
     };
     entry.table.update_loads(NOW, &zone(), &[load]);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
+    assert_matches!(
+        entry.ask(NOW, &requirements(), &terms("w")),
+        Decision::Wait(_)
+    );
 }
 
 #[test]
@@ -191,7 +197,7 @@
     // Each start takes 1.2 s, and 2.4 s are left for waiting.
     entry.waits(NOW, &terms("w1"));
     entry.waits(NOW, &terms("w2"));
-    let decision = entry.ask(NOW, &need(), &terms("w3"));
+    let decision = entry.ask(NOW, &requirements(), &terms("w3"));
     assert_matches!(decision, Decision::Refuse(overload) => {
         assert_eq!(overload.ahead, 2);
         assert!(overload.retry_after_ms >= 1_000, "{overload:?}");
@@ -205,7 +211,7 @@
     entry.waits(NOW, &terms("w2"));
     let mut before = 0;
     for workspace in ["w3", "w4", "w5"] {
-        let decision = entry.ask(NOW, &need(), &terms(workspace));
+        let decision = entry.ask(NOW, &requirements(), &terms(workspace));
         let Decision::Refuse(overload) = decision else {
             panic!("{decision:?}");
         };
@@ -247,8 +253,12 @@
     let mut entry = Entry::busy(&["e1", "e2", "e3", "e4"]);
     // The queue holds seven in time; two workspaces ask.
     entry.waits(NOW, &terms("other"));
-    let hot =
-        (0..7).filter(|_| matches!(entry.ask(NOW, &need(), &terms("hot")), Decision::Wait(_)));
+    let hot = (0..7).filter(|_| {
+        matches!(
+            entry.ask(NOW, &requirements(), &terms("hot")),
+            Decision::Wait(_)
+        )
+    });
     assert!(hot.count() <= 4);
     entry.waits(NOW, &terms("other"));
 }
@@ -282,7 +292,10 @@
     entry.table = table(&["e1", "e2"]);
     entry.begin("e1");
     entry.table.note_failure(NOW, &id("e2"), Failure::Broken);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
+    assert_matches!(
+        entry.ask(NOW, &requirements(), &terms("w")),
+        Decision::Wait(_)
+    );
 }
 
 #[test]
@@ -295,13 +308,13 @@
         [SERVICE]
     );
     let closed = [id("e1")];
-    let around = DispatchContext {
+    let context = DispatchContext {
         closed: &closed,
-        ..around(&entry.node, &entry.zone)
+        ..context(&entry.node, &entry.zone)
     };
     let ended = entry
         .dispatcher
-        .next(NOW + 300, &entry.table, &around, || 0.0);
+        .next(NOW + 300, &entry.table, &context, || 0.0);
     assert_eq!(ended, None);
     assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(sent, _)) if sent == ticket);
 }
@@ -309,22 +322,28 @@
 #[test]
 fn nobody_is_nobody() {
     let mut entry = Entry::new(&[]);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::NoEndpoint);
+    assert_matches!(
+        entry.ask(NOW, &requirements(), &terms("w")),
+        Decision::NoEndpoint
+    );
 }
 
 #[test]
 fn word_of_fullness_holds_sends() {
     let mut entry = Entry::new(&["e1"]);
     entry.table.get_mut(&id("e1")).unwrap().note_full(NOW);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
+    assert_matches!(
+        entry.ask(NOW, &requirements(), &terms("w")),
+        Decision::Wait(_)
+    );
     assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(..)));
 }
 
 #[test]
 fn less_time_tells_who_came_back() {
     let mut prior_wait = PriorWaitEstimator::default();
-    for given_ms in [25_000, 21_300, 24_000] {
-        assert_eq!(prior_wait.note(NOW, "draft", given_ms), 0);
+    for timeout_ms in [25_000, 21_300, 24_000] {
+        assert_eq!(prior_wait.note(NOW, "draft", timeout_ms), 0);
     }
     assert_eq!(prior_wait.note(NOW, "draft", 17_000), 8_000);
     // A route whose callers have become less patient is learned anew.
@@ -348,7 +367,7 @@
             let deadline_at = now + 8_000;
             let terms = Terms { answer_due_at: now + 4_500, deadline_at, ..terms(names[which]) };
             match step {
-                0 | 1 => match entry.ask(now, &need(), &terms) {
+                0 | 1 => match entry.ask(now, &requirements(), &terms) {
                     Decision::Send(choice) => entry.begin(&choice.id.name),
                     Decision::Wait(ticket) => waiting.push(ticket),
                     Decision::Refuse(overload) => prop_assert!(overload.retry_after_ms >= 200),
