--- a/crates/masticsill_bench/examples/dispatch_cost.rs
+++ b/crates/masticsill_bench/examples/dispatch_cost.rs
@@ -62,11 +62,11 @@
     };
     let need = Requirements {
         excluded: Vec::new(),
-        kept: Vec::new(),
+        cached: Vec::new(),
         reserved_endpoint: None,
         service: "engines".to_owned(),
         work: Work::Stream {
-            memory_tokens: Some(88_000),
+            kv_cache_tokens: Some(88_000),
             prompt_tokens: 8_000,
             tokens: 8_650,
         },
@@ -88,7 +88,14 @@
             let mut dispatcher = Dispatcher::default();
             let began = Instant::now();
             for _ in 0..DECISIONS {
-                std::hint::black_box(dispatcher.ask(NOW, &table, &need, &terms, &around, || 0.5));
+                std::hint::black_box(dispatcher.submit(
+                    NOW,
+                    &table,
+                    &need,
+                    &terms,
+                    &around,
+                    || 0.5,
+                ));
             }
             let spent_us = began.elapsed().as_secs_f64() * 1e6 / f64::from(DECISIONS);
             row.push(format!("{spent_us:.1}"));
--- a/crates/masticsill_bench/src/entry.rs
+++ b/crates/masticsill_bench/src/entry.rs
@@ -67,7 +67,7 @@
         workspace: Option<String>,
     ) -> Terms {
         let given_ms = deadline_at.since(now);
-        let had_waited_ms = self.patience.note(now, SERVICE, given_ms);
+        let had_waited_ms = self.patience.record(now, SERVICE, given_ms);
         Terms {
             target_latency_ms: aim_ms,
             answer_due_at: now.before(had_waited_ms) + aim_ms,
@@ -93,7 +93,7 @@
             entry: turns,
         };
         self.dispatcher
-            .ask(now, &self.table, need, terms, &around, || random.random())
+            .submit(now, &self.table, need, terms, &around, || random.random())
     }
 
     /// The next end of a wait.
--- a/crates/masticsill_bench/src/lookups/play.rs
+++ b/crates/masticsill_bench/src/lookups/play.rs
@@ -169,7 +169,7 @@
         let terms = entry.terms(now, self.plan.aim_ms, deadline_at, None);
         let need = Requirements {
             excluded: Vec::new(),
-            kept: Vec::new(),
+            cached: Vec::new(),
             reserved_endpoint: None,
             service: SERVICE.to_owned(),
             work: Work::Whole,
--- a/crates/masticsill_bench/src/overload/play.rs
+++ b/crates/masticsill_bench/src/overload/play.rs
@@ -300,11 +300,11 @@
     fn need_of(&self, live: &Live, place: Option<EndpointId>) -> Requirements {
         Requirements {
             excluded: Vec::new(),
-            kept: Vec::new(),
+            cached: Vec::new(),
             reserved_endpoint: place,
             service: SERVICE.to_owned(),
             work: Work::Stream {
-                memory_tokens: Some(self.plan.engine.memory_tokens),
+                kv_cache_tokens: Some(self.plan.engine.memory_tokens),
                 prompt_tokens: live.prompt_tokens,
                 tokens: live.prompt_tokens + OUTPUT_TOKENS,
             },
@@ -382,7 +382,7 @@
         let wanted = PlacementRequest {
             closed: &[],
             excluded: &[],
-            kept: &[],
+            cached: &[],
             not_in_zone: None,
             reserved_endpoint: None,
             service: SERVICE,
--- a/crates/masticsill_dispatch/src/capacity.rs
+++ b/crates/masticsill_dispatch/src/capacity.rs
@@ -118,7 +118,7 @@
     match &requirements.work {
         Work::Whole => endpoint.concurrency.has_capacity(now, endpoint.in_flight),
         Work::Stream {
-            memory_tokens,
+            kv_cache_tokens,
             prompt_tokens,
             tokens,
         } => {
@@ -133,23 +133,23 @@
                     || endpoint.capacity_known_ms(now) >= turns.wait_ms(endpoint, contention)
             };
             (is_cached || is_idle && is_turn())
-                && fits(endpoint, *memory_tokens, *tokens, MAX_MEMORY_PERCENT)
+                && fits(endpoint, *kv_cache_tokens, *tokens, MAX_MEMORY_PERCENT)
         }
     }
 }
 
-/// Whether an engine whose KV cache holds `memory_tokens` has space for a copy of a run of `tokens`
+/// Whether an engine whose KV cache holds `kv_cache_tokens` has space for a copy of a run of `tokens`
 /// beside its own runs. An engine of unknown capacity always has.
 #[must_use]
-pub fn has_memory_for_copy(endpoint: &Endpoint, memory_tokens: Option<u64>, tokens: u64) -> bool {
-    fits(endpoint, memory_tokens, tokens, MAX_COPY_MEMORY_PERCENT)
+pub fn has_memory_for_copy(endpoint: &Endpoint, kv_cache_tokens: Option<u64>, tokens: u64) -> bool {
+    fits(endpoint, kv_cache_tokens, tokens, MAX_COPY_MEMORY_PERCENT)
 }
 
-fn fits(endpoint: &Endpoint, memory_tokens: Option<u64>, tokens: u64, percent: u64) -> bool {
-    let Some(memory_tokens) = memory_tokens else {
+fn fits(endpoint: &Endpoint, kv_cache_tokens: Option<u64>, tokens: u64, percent: u64) -> bool {
+    let Some(kv_cache_tokens) = kv_cache_tokens else {
         return true;
     };
     let held = endpoint.held_tokens + endpoint.others.held_tokens;
     // An empty engine may be given any request; it refuses the request itself if that is too large.
-    held == 0 || held + tokens <= memory_tokens * percent / 100
+    held == 0 || held + tokens <= kv_cache_tokens * percent / 100
 }
--- a/crates/masticsill_dispatch/src/dispatcher.rs
+++ b/crates/masticsill_dispatch/src/dispatcher.rs
@@ -70,7 +70,7 @@
 
 impl Dispatcher {
     /// Decides on a new request. `jitter` returns random numbers between 0 and 1.
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: ClockMs,
         table: &EndpointTable,
@@ -282,7 +282,7 @@
     PlacementRequest {
         closed: context.closed,
         excluded: &requirements.excluded,
-        kept: &requirements.kept,
+        cached: &requirements.cached,
         not_in_zone: None,
         reserved_endpoint: requirements.reserved_endpoint.as_ref(),
         service: &requirements.service,
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -57,7 +57,7 @@
     /// Endpoints that the request has already been sent to.
     pub excluded: &'a [EndpointId],
     /// Engines that have a prefix of the prompt cached.
-    pub kept: &'a [KeptTokens],
+    pub cached: &'a [KeptTokens],
     /// A zone to avoid, for a copy of a run that is to survive the loss of that zone.
     pub not_in_zone: Option<&'a ZoneId>,
     /// The endpoint at which a control replica has reserved capacity for the request.
@@ -117,7 +117,7 @@
     /// Whether a control replica has reserved capacity for the request there.
     pub is_reserved: bool,
     /// Tokens of the prompt that the engine has cached.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// Requests of all entries whose prompts the endpoint still reads.
     pub reading: u32,
 }
@@ -151,7 +151,7 @@
         if request.reserved_endpoint == Some(&endpoint.announcement.id) {
             cost -= RESERVATION_GAIN;
         }
-        cost -= kept_tokens(endpoint, request).min(MAX_CACHED_TOKENS) as f64 * CACHED_TOKEN_GAIN;
+        cost -= cached_tokens(endpoint, request).min(MAX_CACHED_TOKENS) as f64 * CACHED_TOKEN_GAIN;
         (cost, endpoint)
     });
     let (cost, best) = costs.min_by(|(left, _), (right, _)| left.total_cmp(right))?;
@@ -161,7 +161,7 @@
         id: best.announcement.id.clone(),
         in_flight: best.in_flight + best.others.in_flight,
         is_reserved: request.reserved_endpoint == Some(&best.announcement.id),
-        kept_tokens: kept_tokens(best, request),
+        cached_tokens: cached_tokens(best, request),
         reading: best.reading + best.others.reading,
     })
 }
@@ -206,10 +206,10 @@
 }
 
 /// Number of prompt tokens that the engine has cached.
-fn kept_tokens(endpoint: &Endpoint, request: &PlacementRequest<'_>) -> u64 {
+fn cached_tokens(endpoint: &Endpoint, request: &PlacementRequest<'_>) -> u64 {
     let id = &endpoint.announcement.id;
-    let kept = request.kept.iter().find(|kept| kept.endpoint == *id);
-    kept.map_or(0, |kept| kept.tokens)
+    let cached = request.cached.iter().find(|cached| cached.endpoint == *id);
+    cached.map_or(0, |cached| cached.tokens)
 }
 
 /// Endpoints of this entry's zone that belong to the shares of other entries.
--- a/crates/masticsill_dispatch/src/prior_wait.rs
+++ b/crates/masticsill_dispatch/src/prior_wait.rs
@@ -32,7 +32,7 @@
     /// Records the timeout given by a caller, in milliseconds, and returns the estimated time that
     /// the caller has waited in earlier attempts, in milliseconds. Short waits can't be told apart
     /// from a shorter timeout and count as zero.
-    pub fn note(&mut self, now: ClockMs, route: &str, timeout_ms: u64) -> u64 {
+    pub fn record(&mut self, now: ClockMs, route: &str, timeout_ms: u64) -> u64 {
         let timeouts = if let Some(timeouts) = self.routes.get_mut(route) {
             timeouts
         } else {
--- a/crates/masticsill_dispatch/src/service_queue.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -35,7 +35,7 @@
     /// An engine reads a prompt and streams events.
     Stream {
         /// Capacity of each engine's KV cache, in tokens, if the document gives it.
-        memory_tokens: Option<u64>,
+        kv_cache_tokens: Option<u64>,
         /// Length of the prompt, in tokens.
         prompt_tokens: u64,
         /// Largest number of tokens that the run holds in the KV cache: the prompt and the longest
@@ -52,7 +52,7 @@
     /// Endpoints that the request has already been sent to.
     pub excluded: Vec<EndpointId>,
     /// Engines that have a prefix of the prompt cached.
-    pub kept: Vec<KeptTokens>,
+    pub cached: Vec<KeptTokens>,
     /// The engine at which a control replica has just reserved capacity for the request.
     pub reserved_endpoint: Option<EndpointId>,
     /// The name of the service.
@@ -64,8 +64,11 @@
 impl Requirements {
     /// Number of prompt tokens that the endpoint has cached.
     pub(crate) fn cached_at(&self, endpoint: &EndpointId) -> u64 {
-        let kept = self.kept.iter().find(|kept| kept.endpoint == *endpoint);
-        kept.map_or(0, |kept| kept.tokens)
+        let cached = self
+            .cached
+            .iter()
+            .find(|cached| cached.endpoint == *endpoint);
+        cached.map_or(0, |cached| cached.tokens)
     }
 }
 
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -55,11 +55,11 @@
     table.merge(&control(0), &[record])
 }
 
-fn chosen(table: &EndpointTable, kept: &[KeptTokens]) -> Option<(EndpointId, u64)> {
+fn chosen(table: &EndpointTable, cached: &[KeptTokens]) -> Option<(EndpointId, u64)> {
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
-        kept,
+        cached,
         not_in_zone: None,
         reserved_endpoint: None,
         service: "s",
@@ -67,7 +67,7 @@
         zone: &zone(),
     };
     let choice = choose(table, NOW, &wanted, |_| true, || 0.0)?;
-    Some((choice.id, choice.kept_tokens))
+    Some((choice.id, choice.cached_tokens))
 }
 
 /// Words of few lives of two names. Each name has a port of its own.
@@ -181,10 +181,10 @@
 fn prompts_of_the_former_life_count_no_more() {
     let mut table = EndpointTable::default();
     tell(&mut table, ready(born("e", 2)));
-    let kept = |born_ms| KeptTokens {
+    let cached = |born_ms| KeptTokens {
         endpoint: born("e", born_ms),
         tokens: 8_000,
     };
-    assert_eq!(chosen(&table, &[kept(1)]), Some((born("e", 2), 0)));
-    assert_eq!(chosen(&table, &[kept(2)]), Some((born("e", 2), 8_000)));
+    assert_eq!(chosen(&table, &[cached(1)]), Some((born("e", 2), 0)));
+    assert_eq!(chosen(&table, &[cached(2)]), Some((born("e", 2), 8_000)));
 }
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -48,11 +48,11 @@
 fn requirements() -> Requirements {
     Requirements {
         excluded: Vec::new(),
-        kept: Vec::new(),
+        cached: Vec::new(),
         reserved_endpoint: None,
         service: SERVICE.to_owned(),
         work: Work::Stream {
-            memory_tokens: Some(88_000),
+            kv_cache_tokens: Some(88_000),
             prompt_tokens: 8_000,
             tokens: 8_650,
         },
@@ -96,7 +96,7 @@
             let endpoint = entry.table.get_mut(&id(name)).unwrap();
             endpoint.reading_pace.note(8_000, 1_200);
             assert_matches!(
-                entry.ask(NOW, &requirements(), &terms("w")),
+                entry.submit(NOW, &requirements(), &terms("w")),
                 Decision::Send(_)
             );
             entry.begin(name);
@@ -115,14 +115,14 @@
         self.table.get_mut(&id(name)).unwrap().end_reading(now);
     }
 
-    fn ask(&mut self, now: ClockMs, requirements: &Requirements, terms: &Terms) -> Decision {
+    fn submit(&mut self, now: ClockMs, requirements: &Requirements, terms: &Terms) -> Decision {
         let context = context(&self.node, &self.zone);
         self.dispatcher
-            .ask(now, &self.table, requirements, terms, &context, || 0.0)
+            .submit(now, &self.table, requirements, terms, &context, || 0.0)
     }
 
     fn waits(&mut self, now: ClockMs, terms: &Terms) -> Ticket {
-        let decision = self.ask(now, &requirements(), terms);
+        let decision = self.submit(now, &requirements(), terms);
         let Decision::Wait(ticket) = decision else {
             panic!("{decision:?}");
         };
@@ -161,13 +161,13 @@
 #[test]
 fn kept_prompt_needs_no_idle_engine() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let kept = KeptTokens {
+    let cached = KeptTokens {
         endpoint: id("e1"),
         tokens: 7_900,
     };
     let mut requirements = requirements();
-    requirements.kept.push(kept);
-    assert_matches!(entry.ask(NOW, &requirements, &terms("w")), Decision::Send(choice) => {
+    requirements.cached.push(cached);
+    assert_matches!(entry.submit(NOW, &requirements, &terms("w")), Decision::Send(choice) => {
         assert_eq!(choice.id, id("e1"));
     });
 }
@@ -186,7 +186,7 @@
     };
     entry.table.update_loads(NOW, &zone(), &[load]);
     assert_matches!(
-        entry.ask(NOW, &requirements(), &terms("w")),
+        entry.submit(NOW, &requirements(), &terms("w")),
         Decision::Wait(_)
     );
 }
@@ -197,7 +197,7 @@
     // Each start takes 1.2 s, and 2.4 s are left for waiting.
     entry.waits(NOW, &terms("w1"));
     entry.waits(NOW, &terms("w2"));
-    let decision = entry.ask(NOW, &requirements(), &terms("w3"));
+    let decision = entry.submit(NOW, &requirements(), &terms("w3"));
     assert_matches!(decision, Decision::Refuse(overload) => {
         assert_eq!(overload.ahead, 2);
         assert!(overload.retry_after_ms >= 1_000, "{overload:?}");
@@ -211,7 +211,7 @@
     entry.waits(NOW, &terms("w2"));
     let mut before = 0;
     for workspace in ["w3", "w4", "w5"] {
-        let decision = entry.ask(NOW, &requirements(), &terms(workspace));
+        let decision = entry.submit(NOW, &requirements(), &terms(workspace));
         let Decision::Refuse(overload) = decision else {
             panic!("{decision:?}");
         };
@@ -255,7 +255,7 @@
     entry.waits(NOW, &terms("other"));
     let hot = (0..7).filter(|_| {
         matches!(
-            entry.ask(NOW, &requirements(), &terms("hot")),
+            entry.submit(NOW, &requirements(), &terms("hot")),
             Decision::Wait(_)
         )
     });
@@ -293,7 +293,7 @@
     entry.begin("e1");
     entry.table.note_failure(NOW, &id("e2"), Failure::Broken);
     assert_matches!(
-        entry.ask(NOW, &requirements(), &terms("w")),
+        entry.submit(NOW, &requirements(), &terms("w")),
         Decision::Wait(_)
     );
 }
@@ -323,7 +323,7 @@
 fn nobody_is_nobody() {
     let mut entry = Entry::new(&[]);
     assert_matches!(
-        entry.ask(NOW, &requirements(), &terms("w")),
+        entry.submit(NOW, &requirements(), &terms("w")),
         Decision::NoEndpoint
     );
 }
@@ -333,7 +333,7 @@
     let mut entry = Entry::new(&["e1"]);
     entry.table.get_mut(&id("e1")).unwrap().note_full(NOW);
     assert_matches!(
-        entry.ask(NOW, &requirements(), &terms("w")),
+        entry.submit(NOW, &requirements(), &terms("w")),
         Decision::Wait(_)
     );
     assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(..)));
@@ -343,13 +343,13 @@
 fn less_time_tells_who_came_back() {
     let mut prior_wait = PriorWaitEstimator::default();
     for timeout_ms in [25_000, 21_300, 24_000] {
-        assert_eq!(prior_wait.note(NOW, "draft", timeout_ms), 0);
+        assert_eq!(prior_wait.record(NOW, "draft", timeout_ms), 0);
     }
-    assert_eq!(prior_wait.note(NOW, "draft", 17_000), 8_000);
+    assert_eq!(prior_wait.record(NOW, "draft", 17_000), 8_000);
     // A route whose callers have become less patient is learned anew.
     let later = NOW + 61_000;
-    prior_wait.note(NOW + 30_500, "draft", 10_000);
-    assert_eq!(prior_wait.note(later, "draft", 10_000), 0);
+    prior_wait.record(NOW + 30_500, "draft", 10_000);
+    assert_eq!(prior_wait.record(later, "draft", 10_000), 0);
 }
 
 proptest! {
@@ -367,7 +367,7 @@
             let deadline_at = now + 8_000;
             let terms = Terms { answer_due_at: now + 4_500, deadline_at, ..terms(names[which]) };
             match step {
-                0 | 1 => match entry.ask(now, &requirements(), &terms) {
+                0 | 1 => match entry.submit(now, &requirements(), &terms) {
                     Decision::Send(choice) => entry.begin(&choice.id.name),
                     Decision::Wait(ticket) => waiting.push(ticket),
                     Decision::Refuse(overload) => prop_assert!(overload.retry_after_ms >= 200),
--- a/crates/masticsill_dispatch/tests/placement_choice.rs
+++ b/crates/masticsill_dispatch/tests/placement_choice.rs
@@ -55,7 +55,7 @@
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &excluded,
-        kept: &[],
+        cached: &[],
         not_in_zone: None,
         reserved_endpoint: None,
         service: "s",
@@ -103,11 +103,11 @@
     assert_eq!(chosen(&table).as_deref(), Some("a1"));
 }
 
-fn chosen_with(table: &EndpointTable, kept: &[KeptTokens]) -> Option<String> {
+fn chosen_with(table: &EndpointTable, cached: &[KeptTokens]) -> Option<String> {
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
-        kept,
+        cached,
         not_in_zone: None,
         reserved_endpoint: None,
         service: "s",
@@ -120,26 +120,26 @@
 #[test]
 fn a_kept_prompt_outweighs_load_and_zone_but_no_failure() {
     let mut table = table(&["a1", "b1"]);
-    let kept = [KeptTokens {
+    let cached = [KeptTokens {
         endpoint: id("b1"),
         tokens: 8_000,
     }];
     table.get_mut(&id("b1")).unwrap().in_flight = 3;
     assert_eq!(chosen_with(&table, &[]).as_deref(), Some("a1"));
-    assert_eq!(chosen_with(&table, &kept).as_deref(), Some("b1"));
+    assert_eq!(chosen_with(&table, &cached).as_deref(), Some("b1"));
     table.note_failure(NOW, &id("b1"), Failure::Broken);
-    assert_eq!(chosen_with(&table, &kept).as_deref(), Some("a1"));
+    assert_eq!(chosen_with(&table, &cached).as_deref(), Some("a1"));
 }
 
 #[test]
 fn a_short_kept_part_does_not_outweigh_load() {
     let mut table = table(&["a1", "a2"]);
-    let kept = [KeptTokens {
+    let cached = [KeptTokens {
         endpoint: id("a2"),
         tokens: 300,
     }];
     table.get_mut(&id("a2")).unwrap().in_flight = 1;
-    assert_eq!(chosen_with(&table, &kept).as_deref(), Some("a1"));
+    assert_eq!(chosen_with(&table, &cached).as_deref(), Some("a1"));
 }
 
 #[test]
@@ -254,7 +254,7 @@
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
-        kept: &[],
+        cached: &[],
         not_in_zone: None,
         reserved_endpoint: place.as_ref(),
         service: "s",
@@ -342,7 +342,7 @@
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
-        kept: &[],
+        cached: &[],
         not_in_zone: Some(&zone("a")),
         reserved_endpoint: None,
         service: "s",
--- a/crates/masticsill_relay/src/admission.rs
+++ b/crates/masticsill_relay/src/admission.rs
@@ -52,7 +52,7 @@
     let Entitled { route, workspace } = entitled;
     let asked_ms = head.headers.number(&names.deadline_ms);
     let had_waited_ms = asked_ms.map_or(0, |given_ms| {
-        patience.note(received_at, &route.name, given_ms)
+        patience.record(received_at, &route.name, given_ms)
     });
     let timeout_ms = asked_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
     let content = RequestContent {
--- a/crates/masticsill_relay/src/choosing.rs
+++ b/crates/masticsill_relay/src/choosing.rs
@@ -42,7 +42,7 @@
         let wanted = PlacementRequest {
             closed: &closed,
             excluded: &[excluded, std::slice::from_ref(&running.id)].concat(),
-            kept: &[],
+            cached: &[],
             not_in_zone: Some(&running.zone),
             reserved_endpoint: None,
             service: &request.service,
@@ -91,7 +91,7 @@
                     }
                 }
                 Dispatched::Sent(choice, mut reservation) => {
-                    reservation.note_kept(choice.kept_tokens);
+                    reservation.note_kept(choice.cached_tokens);
                     self.mark_suspect(request, &mut reservation);
                     if !is_first || request.route.kind == RouteKind::Stream {
                         self.note_choice(request, &choice, reservation.endpoint(), tries.sends);
@@ -120,7 +120,7 @@
                 let index = self.index();
                 let engine = index.and_then(|index| index.service(&request.service)?.engine);
                 Work::Stream {
-                    memory_tokens: engine.map(|engine| engine.memory_tokens),
+                    kv_cache_tokens: engine.map(|engine| engine.memory_tokens),
                     prompt_tokens: request.prompt_tokens(names).unwrap_or_default(),
                     tokens: request.held_tokens(names),
                 }
@@ -130,7 +130,7 @@
         Requirements {
             // Filled in for each choice.
             excluded: Vec::new(),
-            kept,
+            cached: kept,
             reserved_endpoint: place,
             service: request.service.clone(),
             work,
@@ -148,7 +148,7 @@
         let now = self.now();
         let endpoints = self.endpoints.borrow();
         let loads_age_ms = endpoints.loads_age_ms(now, &endpoint.zone);
-        self.metrics.kept_tokens.inc_by(choice.kept_tokens);
+        self.metrics.kept_tokens.inc_by(choice.cached_tokens);
         log_event!(
             info,
             events::ENDPOINT_CHOSEN,
@@ -159,7 +159,7 @@
             cost = format_args!("{:.2}", choice.cost),
             in_flight = choice.in_flight,
             is_handed_out = choice.is_reserved,
-            kept_tokens = choice.kept_tokens,
+            kept_tokens = choice.cached_tokens,
             reading = choice.reading,
             loads_age_ms = loads_age_ms.map_or(-1, u64::cast_signed),
             sends = sends,
--- a/crates/masticsill_relay/src/dispatching.rs
+++ b/crates/masticsill_relay/src/dispatching.rs
@@ -72,7 +72,7 @@
         let closed = relay.full_endpoints(&endpoints, &need.service);
         let around = surroundings(relay, &closed);
         let mut dispatcher = relay.dispatcher.borrow_mut();
-        dispatcher.ask(now, &endpoints, need, terms, &around, rand::random)
+        dispatcher.submit(now, &endpoints, need, terms, &around, rand::random)
     };
     let ticket = match decision {
         Decision::NoEndpoint => return Dispatched::Nobody,
