--- a/crates/masticsill_dispatch/src/capacity.rs
+++ b/crates/masticsill_dispatch/src/capacity.rs
@@ -138,8 +138,8 @@
     }
 }
 
-/// Whether an engine whose KV cache holds `kv_cache_tokens` has space for a copy of a run of `tokens`
-/// beside its own runs. An engine of unknown capacity always has.
+/// Whether an engine whose KV cache holds `kv_cache_tokens` has space for a copy of a run of
+/// `tokens` beside its own runs. An engine of unknown capacity always has.
 #[must_use]
 pub fn has_memory_for_copy(endpoint: &Endpoint, kv_cache_tokens: Option<u64>, tokens: u64) -> bool {
     fits(endpoint, kv_cache_tokens, tokens, MAX_COPY_MEMORY_PERCENT)
--- a/crates/masticsill_dispatch/src/service_queue.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -10,8 +10,9 @@
 
 /// Period over which starts are counted: the time in which every engine reads about two prompts.
 const RATE_WINDOW_MS: u64 = 2_500;
-/// Age from which an overload counts as sustained and requests that can't meet their target latency
-/// any more give way. A shorter overload ends before its callers time out, and they are served then.
+/// Age from which an overload counts as sustained, and requests that can't meet their target
+/// latency any more give way. A shorter overload ends before its callers time out; they are served
+/// then.
 const SUSTAINED_OVERLOAD_MS: u64 = 1_500;
 /// Minimum share of requests without capacity on arrival in a sustained overload. Below this share
 /// there is capacity left for all requests.
--- a/crates/masticsill_dispatch/tests/concurrency_limit.rs
+++ b/crates/masticsill_dispatch/tests/concurrency_limit.rs
@@ -1,14 +1,19 @@
-//! How many requests an endpoint is given at once.
+//! Tests of the adaptive limit of requests in flight at an endpoint.
 
 use masticsill_dispatch::ConcurrencyLimit;
 use masticsill_types::ClockMs;
 
-const AIM_MS: u64 = 150;
+const TARGET_LATENCY_MS: u64 = 150;
 
-/// Lets an endpoint of six slots answer for a while, with `load` requests to be had at the entry, of
-/// which three come for each answer. Returns the requests in flight and the time of an answer in
-/// the end.
-fn answer(limit: &mut ConcurrencyLimit, load: u32, work_ms: f64, answers: u32) -> (u32, f64) {
+/// Simulates an endpoint of six slots that gives `answers` answers. The entry has up to `load`
+/// requests in flight and may start three requests per answer. Returns the final number of requests
+/// in flight and the final average latency in milliseconds.
+fn simulate_answers(
+    limit: &mut ConcurrencyLimit,
+    load: u32,
+    work_ms: f64,
+    answers: u32,
+) -> (u32, f64) {
     let mut now = ClockMs(1_000);
     let mut average_ms = work_ms;
     let mut in_flight = 0;
@@ -21,7 +26,7 @@
         let answer_ms = work_ms + queued * work_ms / 6.0;
         average_ms += (answer_ms - average_ms) * 0.15;
         now = now + 5;
-        limit.note_answer(now, average_ms, AIM_MS, in_flight);
+        limit.note_answer(now, average_ms, TARGET_LATENCY_MS, in_flight);
         in_flight = in_flight.saturating_sub(1);
     }
     (in_flight, average_ms)
@@ -30,29 +35,29 @@
 #[test]
 fn usual_load_has_no_limit() {
     let mut limit = ConcurrencyLimit::default();
-    answer(&mut limit, 4, 30.0, 500);
+    simulate_answers(&mut limit, 4, 30.0, 500);
     assert!(!limit.is_limited());
 }
 
 #[test]
-fn overload_is_held_where_answers_stay_in_time() {
+fn limit_keeps_answers_within_target_latency_under_overload() {
     let mut limit = ConcurrencyLimit::default();
-    let (in_flight, average_ms) = answer(&mut limit, 500, 30.0, 2_000);
+    let (in_flight, average_ms) = simulate_answers(&mut limit, 500, 30.0, 2_000);
     assert!(limit.is_limited());
-    // All slots are used, and answers take less than two thirds of the aim.
+    // All slots are used, and answers take less than two thirds of the target latency.
     assert!(in_flight >= 5, "{in_flight}");
     assert!(average_ms < 100.0, "{average_ms}");
 }
 
 #[test]
-fn always_slow_endpoint_is_not_a_full_one() {
+fn constantly_slow_endpoint_is_not_limited() {
     let mut limit = ConcurrencyLimit::default();
-    answer(&mut limit, 3, 70.0, 500);
+    simulate_answers(&mut limit, 3, 70.0, 500);
     assert!(!limit.is_limited());
 }
 
 #[test]
-fn word_of_fullness_lowers_the_limit() {
+fn full_endpoint_lowers_the_limit() {
     let mut limit = ConcurrencyLimit::default();
     limit.note_full(ClockMs(1_000), 30.0, 10);
     assert!(limit.has_capacity(ClockMs(1_000), 5));
@@ -60,7 +65,7 @@
 }
 
 #[test]
-fn less_than_one_at_once_is_spaced_out() {
+fn limit_below_one_spaces_starts() {
     let mut limit = ConcurrencyLimit::default();
     let mut now = ClockMs(1_000);
     for _ in 0..10 {
@@ -73,14 +78,14 @@
 }
 
 #[test]
-fn limit_goes_when_the_overload_has_gone() {
+fn limit_is_dropped_after_overload() {
     let mut limit = ConcurrencyLimit::default();
-    answer(&mut limit, 500, 30.0, 300);
+    simulate_answers(&mut limit, 500, 30.0, 300);
     assert!(limit.is_limited());
     let mut now = ClockMs(60_000);
     for _ in 0..20_000 {
         now = now + 5;
-        limit.note_answer(now, 30.0, AIM_MS, 100);
+        limit.note_answer(now, 30.0, TARGET_LATENCY_MS, 100);
     }
     assert!(!limit.is_limited());
 }
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their old id, told by several control replicas in any order.
+//! Endpoints that restart under the same name, reported by several control replicas in any order.
 
 use masticsill_dispatch::{EndpointTable, PlacementRequest, ZoneShare, choose};
 use masticsill_registry::{
@@ -23,7 +23,7 @@
     NodeId::new(format!("c{number}")).unwrap()
 }
 
-fn born(name: &str, born_ms: u64) -> EndpointId {
+fn id_started_at(name: &str, born_ms: u64) -> EndpointId {
     EndpointId {
         life: Life::born_at(born_ms),
         name: name.to_owned(),
@@ -51,7 +51,7 @@
     record(id, EndpointState::Ready, 80)
 }
 
-fn tell(table: &mut EndpointTable, record: EndpointRecord) -> Vec<EndpointId> {
+fn merge_report(table: &mut EndpointTable, record: EndpointRecord) -> Vec<EndpointId> {
     table.merge(&control(0), &[record])
 }
 
@@ -70,8 +70,8 @@
     Some((choice.id, choice.cached_tokens))
 }
 
-/// Words of few lives of two names. Each name has a port of its own.
-fn words() -> impl Strategy<Value = EndpointRecord> {
+/// Reports of a few incarnations of two names. Each name has its own port.
+fn reports() -> impl Strategy<Value = EndpointRecord> {
     let life = prop_oneof![Just(Life::UNNAMED), (1_u64..4).prop_map(Life::born_at),];
     let state = prop::sample::select(&STATES);
     (0..NAMES.len(), life, state).prop_map(|(name, life, state)| {
@@ -84,10 +84,10 @@
     })
 }
 
-/// The newest life of a name and its furthest state, by looking at all words at once.
-fn expected(words: &[EndpointRecord], name: &str) -> Option<(Life, EndpointState)> {
-    let words = words.iter().map(|it| &it.announcement);
-    let of_name: Vec<_> = words.filter(|it| it.id.name == name).collect();
+/// The newest incarnation of a name and its most advanced state, computed from all reports at once.
+fn expected(reports: &[EndpointRecord], name: &str) -> Option<(Life, EndpointState)> {
+    let reports = reports.iter().map(|it| &it.announcement);
+    let of_name: Vec<_> = reports.filter(|it| it.id.name == name).collect();
     let life = of_name.iter().map(|it| it.id.life).max()?;
     let of_life = of_name.iter().filter(|it| it.id.life == life);
     Some((life, of_life.map(|it| it.state).max()?))
@@ -95,96 +95,111 @@
 
 proptest! {
     #[test]
-    fn only_newest_life_is_used(
-        words in prop::collection::vec(words(), 1..16),
+    fn only_newest_incarnation_is_used(
+        reports in prop::collection::vec(reports(), 1..16),
         again in prop::collection::vec((0_usize..3, any::<prop::sample::Index>()), 0..40),
     ) {
         let mut table = EndpointTable::default();
-        for (position, word) in words.iter().enumerate() {
-            table.merge(&control(position % 3), std::slice::from_ref(word));
+        for (position, report) in reports.iter().enumerate() {
+            table.merge(&control(position % 3), std::slice::from_ref(report));
         }
-        for (from, word) in &again {
-            table.merge(&control(*from), std::slice::from_ref(word.get(&words)));
+        for (from, report) in &again {
+            table.merge(&control(*from), std::slice::from_ref(report.get(&reports)));
         }
         for name in NAMES {
             let known: Vec<_> = table.iter().filter(|it| it.announcement.id.name == name).collect();
-            let usable: Vec<_> = known.iter().filter(|it| it.is_ready()).collect();
-            match expected(&words, name) {
+            let ready_endpoints: Vec<_> = known.iter().filter(|it| it.is_ready()).collect();
+            match expected(&reports, name) {
                 Some((life, EndpointState::Ready)) => {
-                    prop_assert_eq!(usable.len(), 1);
-                    prop_assert_eq!(usable[0].announcement.id.life, life);
+                    prop_assert_eq!(ready_endpoints.len(), 1);
+                    prop_assert_eq!(ready_endpoints[0].announcement.id.life, life);
                 }
-                _ => prop_assert!(usable.is_empty()),
+                _ => prop_assert!(ready_endpoints.is_empty()),
             }
-            let newest = expected(&words, name).map(|(life, _)| life);
-            let is_known_as_it_is = known.iter().all(|it| {
+            let newest = expected(&reports, name).map(|(life, _)| life);
+            let is_current_or_superseded = known.iter().all(|it| {
                 let id = &it.announcement.id;
                 Some(id.life) == newest || table.is_superseded(id)
             });
-            prop_assert!(is_known_as_it_is);
+            prop_assert!(is_current_or_superseded);
         }
     }
 }
 
 #[test]
-fn new_life_has_nothing_of_the_former() {
+fn new_incarnation_starts_without_load_or_failures() {
     let mut table = EndpointTable::default();
-    tell(&mut table, ready(born("e", 1)));
-    let previous = table.get_mut(&born("e", 1)).unwrap();
+    merge_report(&mut table, ready(id_started_at("e", 1)));
+    let previous = table.get_mut(&id_started_at("e", 1)).unwrap();
     previous.in_flight = 3;
     previous.held_tokens = 9_000;
     previous.reading = 1;
     previous.health.note_failure(NOW);
     previous.note_full(NOW);
-    let changed = tell(&mut table, ready(born("e", 2)));
-    assert_eq!(changed, [born("e", 1), born("e", 2)]);
-    let newest = table.get(&born("e", 2)).unwrap();
+    let changed = merge_report(&mut table, ready(id_started_at("e", 2)));
+    assert_eq!(changed, [id_started_at("e", 1), id_started_at("e", 2)]);
+    let newest = table.get(&id_started_at("e", 2)).unwrap();
     assert_eq!(
         (newest.in_flight, newest.held_tokens, newest.reading),
         (0, 0, 0)
     );
     assert!(!newest.is_full(NOW) && !newest.health.is_backing_off(NOW));
-    let previous = table.get(&born("e", 1)).unwrap();
-    assert_eq!(previous.in_flight, 3, "what is there ends there");
-    assert!(!previous.is_ready() && table.is_superseded(&born("e", 1)));
+    let previous = table.get(&id_started_at("e", 1)).unwrap();
+    assert_eq!(
+        previous.in_flight, 3,
+        "its requests stay counted there until they end"
+    );
+    assert!(!previous.is_ready() && table.is_superseded(&id_started_at("e", 1)));
 }
 
 #[test]
-fn late_word_of_the_former_life_changes_nothing() {
+fn late_report_of_former_incarnation_is_ignored() {
     let mut table = EndpointTable::default();
-    tell(&mut table, ready(born("e", 2)));
-    assert!(tell(&mut table, ready(born("e", 1))).is_empty());
-    let gone = record(born("e", 1), EndpointState::Gone, 80);
-    assert!(tell(&mut table, gone).is_empty());
-    assert!(tell(&mut table, ready(EndpointId::unnamed_life("e"))).is_empty());
-    assert_eq!(chosen(&table, &[]), Some((born("e", 2), 0)));
+    merge_report(&mut table, ready(id_started_at("e", 2)));
+    assert!(merge_report(&mut table, ready(id_started_at("e", 1))).is_empty());
+    let gone = record(id_started_at("e", 1), EndpointState::Gone, 80);
+    assert!(merge_report(&mut table, gone).is_empty());
+    assert!(merge_report(&mut table, ready(EndpointId::unnamed_life("e"))).is_empty());
+    assert_eq!(chosen(&table, &[]), Some((id_started_at("e", 2), 0)));
 }
 
 #[test]
-fn loads_at_the_former_life_count_no_more() {
+fn loads_of_former_incarnation_are_ignored() {
     let mut table = EndpointTable::default();
-    tell(&mut table, ready(born("e", 2)));
+    merge_report(&mut table, ready(id_started_at("e", 2)));
     let load = |born_ms| EndpointLoad {
-        id: born("e", born_ms),
+        id: id_started_at("e", born_ms),
         in_flight: 5,
         reading: 1,
         held_tokens: 7_000,
         is_failing: false,
     };
     table.update_loads(NOW, &zone(), &[load(1)]);
-    assert_eq!(table.get(&born("e", 2)).unwrap().others.in_flight, 0);
+    assert_eq!(
+        table.get(&id_started_at("e", 2)).unwrap().others.in_flight,
+        0
+    );
     table.update_loads(NOW, &zone(), &[load(1), load(2)]);
-    assert_eq!(table.get(&born("e", 2)).unwrap().others.in_flight, 5);
+    assert_eq!(
+        table.get(&id_started_at("e", 2)).unwrap().others.in_flight,
+        5
+    );
 }
 
 #[test]
-fn prompts_of_the_former_life_count_no_more() {
+fn cached_prompts_of_former_incarnation_are_ignored() {
     let mut table = EndpointTable::default();
-    tell(&mut table, ready(born("e", 2)));
+    merge_report(&mut table, ready(id_started_at("e", 2)));
     let cached = |born_ms| KeptTokens {
-        endpoint: born("e", born_ms),
+        endpoint: id_started_at("e", born_ms),
         tokens: 8_000,
     };
-    assert_eq!(chosen(&table, &[cached(1)]), Some((born("e", 2), 0)));
-    assert_eq!(chosen(&table, &[cached(2)]), Some((born("e", 2), 8_000)));
+    assert_eq!(
+        chosen(&table, &[cached(1)]),
+        Some((id_started_at("e", 2), 0))
+    );
+    assert_eq!(
+        chosen(&table, &[cached(2)]),
+        Some((id_started_at("e", 2), 8_000))
+    );
 }
--- a/crates/masticsill_dispatch/tests/health_marks.rs
+++ b/crates/masticsill_dispatch/tests/health_marks.rs
@@ -1,4 +1,4 @@
-//! What failures leave on an endpoint's health, and what is taken back.
+//! Effects of failures on an endpoint's health, and their retraction.
 
 use masticsill_dispatch::Health;
 use masticsill_types::ClockMs;
@@ -6,7 +6,7 @@
 const NOW: ClockMs = ClockMs(10_000);
 
 #[test]
-fn a_failure_taken_back_leaves_no_hold() {
+fn retracted_failure_ends_the_backoff() {
     let mut health = Health::default();
     health.note_failure(NOW);
     assert!(health.is_backing_off(NOW));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_failure_taken_back_does_not_lengthen_the_next_hold() {
+fn retracted_failure_does_not_lengthen_the_next_backoff() {
     let mut once = Health::default();
     once.note_failure(NOW);
     let mut again = Health::default();
@@ -25,6 +25,6 @@
         again.retract_failure();
     }
     again.note_failure(NOW);
-    let held_ms = |health: &Health| (0..5_000).find(|ms| !health.is_backing_off(NOW + *ms));
-    assert_eq!(held_ms(&again), held_ms(&once));
+    let backoff_ms = |health: &Health| (0..5_000).find(|ms| !health.is_backing_off(NOW + *ms));
+    assert_eq!(backoff_ms(&again), backoff_ms(&once));
 }
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -1,4 +1,4 @@
-//! Who is sent, who waits and who is refused when more is asked for than fits.
+//! Which requests are sent, queued and refused when demand exceeds the capacity of the endpoints.
 
 use assert_matches::assert_matches;
 use masticsill_dispatch::{
@@ -71,7 +71,7 @@
     }
 }
 
-/// Dispatcher and endpoints of an entry that is alone.
+/// Dispatcher and endpoints of a single entry.
 struct Entry {
     dispatcher: Dispatcher,
     node: NodeId,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// An entry that has read a prompt in 1.2 s at each engine, and reads one at each now.
+    /// Creates an entry whose engines have each read a prompt in 1.2 s and are reading another one.
     fn busy(names: &[&str]) -> Self {
         let mut entry = Self::new(names);
         for name in names {
@@ -121,7 +121,7 @@
             .submit(now, &self.table, requirements, terms, &context, || 0.0)
     }
 
-    fn waits(&mut self, now: ClockMs, terms: &Terms) -> Ticket {
+    fn submit_queued(&mut self, now: ClockMs, terms: &Terms) -> Ticket {
         let decision = self.submit(now, &requirements(), terms);
         let Decision::Wait(ticket) = decision else {
             panic!("{decision:?}");
@@ -148,9 +148,9 @@
 }
 
 #[test]
-fn one_prompt_at_an_engine() {
+fn engine_reads_one_prompt_at_a_time() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let ticket = entry.waits(NOW, &terms("w"));
+    let ticket = entry.submit_queued(NOW, &terms("w"));
     assert_eq!(entry.next(NOW + 100), None);
     entry.first_event(NOW + 300, "e2");
     assert_matches!(entry.next(NOW + 500), Some(WaitOutcome::Send(sent, choice)) => {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn kept_prompt_needs_no_idle_engine() {
+fn cached_prompt_needs_no_idle_engine() {
     let mut entry = Entry::busy(&["e1", "e2"]);
     let cached = KeptTokens {
         endpoint: id("e1"),
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn memory_is_not_overrun() {
+fn kv_cache_capacity_is_not_exceeded() {
     let mut entry = Entry::new(&["e1"]);
     let endpoint = entry.table.get_mut(&id("e1")).unwrap();
     endpoint.held_tokens = 40_000;
@@ -192,11 +192,11 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
+fn request_that_would_be_late_is_refused_at_once() {
     let mut entry = Entry::busy(&["e1"]);
     // Each start takes 1.2 s, and 2.4 s are left for waiting.
-    entry.waits(NOW, &terms("w1"));
-    entry.waits(NOW, &terms("w2"));
+    entry.submit_queued(NOW, &terms("w1"));
+    entry.submit_queued(NOW, &terms("w2"));
     let decision = entry.submit(NOW, &requirements(), &terms("w3"));
     assert_matches!(decision, Decision::Refuse(overload) => {
         assert_eq!(overload.ahead, 2);
@@ -205,10 +205,10 @@
 }
 
 #[test]
-fn times_to_come_back_follow_one_another() {
+fn retry_times_of_refused_requests_increase() {
     let mut entry = Entry::busy(&["e1"]);
-    entry.waits(NOW, &terms("w1"));
-    entry.waits(NOW, &terms("w2"));
+    entry.submit_queued(NOW, &terms("w1"));
+    entry.submit_queued(NOW, &terms("w2"));
     let mut before = 0;
     for workspace in ["w3", "w4", "w5"] {
         let decision = entry.submit(NOW, &requirements(), &terms(workspace));
@@ -222,27 +222,27 @@
 }
 
 #[test]
-fn resumes_go_first() {
+fn resumed_requests_go_first() {
     let mut entry = Entry::busy(&["e1"]);
-    entry.waits(NOW, &terms("w1"));
+    entry.submit_queued(NOW, &terms("w1"));
     let resume = Terms {
         is_resume: true,
         ..terms("w2")
     };
-    let resume = entry.waits(NOW, &resume);
+    let resume = entry.submit_queued(NOW, &resume);
     entry.first_event(NOW + 100, "e1");
     assert_matches!(entry.next(NOW + 100), Some(WaitOutcome::Send(sent, _)) if sent == resume);
 }
 
 #[test]
-fn those_who_came_back_go_before_newcomers() {
+fn retries_go_before_new_requests() {
     let mut entry = Entry::busy(&["e1"]);
-    let newcomer = entry.waits(NOW, &terms("w1"));
+    let newcomer = entry.submit_queued(NOW, &terms("w1"));
     let back = Terms {
         is_returning: true,
         ..terms("w2")
     };
-    let back = entry.waits(NOW, &back);
+    let back = entry.submit_queued(NOW, &back);
     entry.first_event(NOW + 100, "e1");
     assert_matches!(entry.next(NOW + 700), Some(WaitOutcome::Send(sent, _)) if sent == back);
     assert_ne!(back, newcomer);
@@ -251,8 +251,8 @@
 #[test]
 fn one_workspace_does_not_fill_the_queue() {
     let mut entry = Entry::busy(&["e1", "e2", "e3", "e4"]);
-    // The queue holds seven in time; two workspaces ask.
-    entry.waits(NOW, &terms("other"));
+    // Seven requests can wait and be served in time; two workspaces share the queue.
+    entry.submit_queued(NOW, &terms("other"));
     let hot = (0..7).filter(|_| {
         matches!(
             entry.submit(NOW, &requirements(), &terms("hot")),
@@ -260,14 +260,14 @@
         )
     });
     assert!(hot.count() <= 4);
-    entry.waits(NOW, &terms("other"));
+    entry.submit_queued(NOW, &terms("other"));
 }
 
 #[test]
-fn refusal_comes_within_half_a_second() {
+fn queued_request_is_refused_within_half_a_second() {
     let mut entry = Entry::busy(&["e1"]);
-    let ticket = entry.waits(NOW, &terms("w"));
-    // The engine turns slow: what was expected of it is void.
+    let ticket = entry.submit_queued(NOW, &terms("w"));
+    // The engine becomes slow, so that the previous estimate is invalid.
     let endpoint = entry.table.get_mut(&id("e1")).unwrap();
     (0..20).for_each(|_| endpoint.reading_pace.note(8_000, 9_000));
     let ends = (0..500).find_map(|ms| entry.next(NOW + ms));
@@ -275,19 +275,19 @@
 }
 
 #[test]
-fn late_request_is_served_when_nobody_else_waits() {
+fn late_request_is_served_when_no_other_waits() {
     let mut entry = Entry::busy(&["e1"]);
     let late = Terms {
         answer_due_at: NOW.before(1_000),
         ..terms("w")
     };
-    let ticket = entry.waits(NOW, &late);
+    let ticket = entry.submit_queued(NOW, &late);
     entry.first_event(NOW + 200, "e1");
     assert_matches!(entry.next(NOW + 400), Some(WaitOutcome::Send(sent, _)) if sent == ticket);
 }
 
 #[test]
-fn failed_engine_is_no_free_one() {
+fn failed_engine_does_not_count_as_free() {
     let mut entry = Entry::busy(&["e1"]);
     entry.table = table(&["e1", "e2"]);
     entry.begin("e1");
@@ -299,9 +299,9 @@
 }
 
 #[test]
-fn endpoint_without_connections_ends_no_wait() {
+fn closed_endpoint_does_not_end_a_wait() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let ticket = entry.waits(NOW, &terms("w"));
+    let ticket = entry.submit_queued(NOW, &terms("w"));
     entry.first_event(NOW + 100, "e1");
     assert_eq!(
         entry.dispatcher.waiting_services().collect::<Vec<_>>(),
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn nobody_is_nobody() {
+fn request_without_known_endpoint_is_not_queued() {
     let mut entry = Entry::new(&[]);
     assert_matches!(
         entry.submit(NOW, &requirements(), &terms("w")),
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn word_of_fullness_holds_sends() {
+fn full_endpoint_gets_no_request_for_a_while() {
     let mut entry = Entry::new(&["e1"]);
     entry.table.get_mut(&id("e1")).unwrap().note_full(NOW);
     assert_matches!(
@@ -340,22 +340,22 @@
 }
 
 #[test]
-fn less_time_tells_who_came_back() {
+fn shorter_timeout_identifies_a_retry() {
     let mut prior_wait = PriorWaitEstimator::default();
     for timeout_ms in [25_000, 21_300, 24_000] {
         assert_eq!(prior_wait.record(NOW, "draft", timeout_ms), 0);
     }
     assert_eq!(prior_wait.record(NOW, "draft", 17_000), 8_000);
-    // A route whose callers have become less patient is learned anew.
+    // Shorter timeouts of a route's first attempts are learned after a while.
     let later = NOW + 61_000;
     prior_wait.record(NOW + 30_500, "draft", 10_000);
     assert_eq!(prior_wait.record(later, "draft", 10_000), 0);
 }
 
 proptest! {
-    /// Each waiting request ends exactly once, by a send, a refusal or its withdrawal.
+    /// Each queued request ends exactly once: sent, refused or withdrawn.
     #[test]
-    fn queue_loses_nobody(
+    fn each_wait_ends_exactly_once(
         steps in prop::collection::vec((0_u8..4, 0_usize..3, 1_u64..300), 1..120),
     ) {
         let names = ["e1", "e2", "e3"];
@@ -389,9 +389,9 @@
             }
             while let Some(ended) = entry.next(now) {
                 let (WaitOutcome::Send(ticket, _) | WaitOutcome::Refuse(ticket, _)) = &ended;
-                let place = waiting.iter().position(|it| it == ticket);
-                prop_assert!(place.is_some(), "ended twice");
-                waiting.remove(place.unwrap());
+                let position = waiting.iter().position(|it| it == ticket);
+                prop_assert!(position.is_some(), "{ticket:?} ended twice");
+                waiting.remove(position.unwrap());
                 if let WaitOutcome::Send(_, choice) = ended {
                     entry.begin(&choice.id.name);
                 }
--- a/crates/masticsill_dispatch/tests/placement_choice.rs
+++ b/crates/masticsill_dispatch/tests/placement_choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint is chosen, by load, zone, failures and what control replicas tell.
+//! Which endpoint is chosen, by load, zone, failures and reports of control replicas.
 
 use masticsill_dispatch::{
     EndpointTable, Failure, PlacementRequest, ZoneShare, choose, choose_holder,
@@ -20,7 +20,7 @@
     EndpointId::unnamed_life(name)
 }
 
-/// A record of an endpoint; its name begins with its zone.
+/// The record of an endpoint in the zone named by the first letter of `name`.
 fn record(name: &str, port: u16) -> EndpointRecord {
     EndpointRecord {
         announcement: Announcement {
@@ -50,7 +50,7 @@
     table
 }
 
-fn chosen_but(table: &EndpointTable, excluded: &[&str], share: ZoneShare) -> Option<String> {
+fn chosen_excluding(table: &EndpointTable, excluded: &[&str], share: ZoneShare) -> Option<String> {
     let excluded: Vec<EndpointId> = excluded.iter().map(|name| id(name)).collect();
     let wanted = PlacementRequest {
         closed: &[],
@@ -66,11 +66,11 @@
 }
 
 fn chosen(table: &EndpointTable) -> Option<String> {
-    chosen_but(table, &[], ZoneShare::default())
+    chosen_excluding(table, &[], ZoneShare::default())
 }
 
 #[test]
-fn the_own_zone_is_preferred_until_it_is_busy() {
+fn own_zone_is_preferred_until_it_is_busy() {
     let mut table = table(&["b1", "a1"]);
     assert_eq!(chosen(&table).as_deref(), Some("a1"));
     table.get_mut(&id("a1")).unwrap().in_flight = 3;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_read_weighs_more_than_a_running_stream() {
+fn prompt_being_read_costs_more_than_a_running_stream() {
     let mut table = table(&["a1", "a2"]);
     let one = table.get_mut(&id("a1")).unwrap();
     (one.in_flight, one.reading) = (1, 1);
@@ -103,7 +103,7 @@
     assert_eq!(chosen(&table).as_deref(), Some("a1"));
 }
 
-fn chosen_with(table: &EndpointTable, cached: &[KeptTokens]) -> Option<String> {
+fn chosen_with_cached(table: &EndpointTable, cached: &[KeptTokens]) -> Option<String> {
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
@@ -118,41 +118,41 @@
 }
 
 #[test]
-fn a_kept_prompt_outweighs_load_and_zone_but_no_failure() {
+fn cached_prompt_outweighs_load_and_zone_but_no_failure() {
     let mut table = table(&["a1", "b1"]);
     let cached = [KeptTokens {
         endpoint: id("b1"),
         tokens: 8_000,
     }];
     table.get_mut(&id("b1")).unwrap().in_flight = 3;
-    assert_eq!(chosen_with(&table, &[]).as_deref(), Some("a1"));
-    assert_eq!(chosen_with(&table, &cached).as_deref(), Some("b1"));
+    assert_eq!(chosen_with_cached(&table, &[]).as_deref(), Some("a1"));
+    assert_eq!(chosen_with_cached(&table, &cached).as_deref(), Some("b1"));
     table.note_failure(NOW, &id("b1"), Failure::Broken);
-    assert_eq!(chosen_with(&table, &cached).as_deref(), Some("a1"));
+    assert_eq!(chosen_with_cached(&table, &cached).as_deref(), Some("a1"));
 }
 
 #[test]
-fn a_short_kept_part_does_not_outweigh_load() {
+fn short_cached_prefix_does_not_outweigh_load() {
     let mut table = table(&["a1", "a2"]);
     let cached = [KeptTokens {
         endpoint: id("a2"),
         tokens: 300,
     }];
     table.get_mut(&id("a2")).unwrap().in_flight = 1;
-    assert_eq!(chosen_with(&table, &cached).as_deref(), Some("a1"));
+    assert_eq!(chosen_with_cached(&table, &cached).as_deref(), Some("a1"));
 }
 
 #[test]
 fn entries_of_a_zone_choose_different_endpoints() {
     let table = table(&["a1", "a2"]);
     let share = |rank| ZoneShare { entries: 2, rank };
-    let first = chosen_but(&table, &[], share(0));
-    let second = chosen_but(&table, &[], share(1));
+    let first = chosen_excluding(&table, &[], share(0));
+    let second = chosen_excluding(&table, &[], share(1));
     assert_ne!(first, second);
 }
 
 #[test]
-fn an_endpoint_that_failed_is_left_alone_for_a_while() {
+fn failed_endpoint_is_avoided_during_backoff() {
     let mut table = table(&["a1", "b1"]);
     table.note_failure(NOW, &id("a1"), Failure::Broken);
     assert_eq!(chosen(&table).as_deref(), Some("b1"));
@@ -162,21 +162,21 @@
 }
 
 #[test]
-fn two_failures_make_their_zone_suspect_also_once_they_are_excluded() {
+fn two_failures_make_a_zone_suspect_even_if_excluded() {
     let mut table = table(&["a1", "a2", "a3", "b1"]);
     table.get_mut(&id("b1")).unwrap().in_flight = 6;
     table.note_failure(NOW, &id("a1"), Failure::Broken);
     assert_eq!(
-        chosen_but(&table, &["a1"], ZoneShare::default()).as_deref(),
+        chosen_excluding(&table, &["a1"], ZoneShare::default()).as_deref(),
         Some("a2")
     );
     table.note_failure(NOW, &id("a2"), Failure::Broken);
-    let third = chosen_but(&table, &["a1", "a2"], ZoneShare::default());
+    let third = chosen_excluding(&table, &["a1", "a2"], ZoneShare::default());
     assert_eq!(third.as_deref(), Some("b1"));
 }
 
 #[test]
-fn only_a_zone_of_which_nothing_is_heard_stands_still() {
+fn zone_is_stalled_only_if_all_busy_endpoints_are_silent() {
     let mut table = table(&["a1", "a2", "a3"]);
     for name in ["a1", "a2"] {
         table.get_mut(&id(name)).unwrap().in_flight = 1;
@@ -193,19 +193,19 @@
 }
 
 #[test]
-fn what_drains_or_has_ended_is_never_chosen() {
+fn draining_or_gone_endpoint_is_never_chosen() {
     let mut table = table(&["a1"]);
     let mut draining = record("a1", 1);
     draining.announcement.state = EndpointState::Draining;
     table.merge(&control("d"), &[draining]);
     assert_eq!(chosen(&table), None);
-    // A replica that knows less must not bring it back.
+    // An outdated report of another replica must not make the endpoint usable again.
     table.merge(&control("c"), &[record("a1", 1)]);
     assert_eq!(chosen(&table), None);
 }
 
 #[test]
-fn a_later_incarnation_ends_the_one_before_at_its_address() {
+fn later_incarnation_replaces_the_earlier_at_its_address() {
     let mut table = table(&["a1"]);
     table.merge(&control("c"), &[record("a2", 1)]);
     assert!(!table.get(&id("a1")).unwrap().is_ready());
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn an_address_of_another_incarnation_is_not_asked_again() {
+fn endpoint_whose_address_was_taken_over_is_not_ready() {
     let mut table = table(&["a1", "b1"]);
     table.note_failure(NOW, &id("a1"), Failure::Replaced);
     let later = table.get(&id("a1")).unwrap();
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_silent_endpoint_is_the_last_resort() {
+fn silent_endpoint_is_the_last_resort() {
     let mut table = table(&["a1", "b1"]);
     let mut silent = record("a1", 1);
     silent.is_silent = true;
@@ -229,13 +229,13 @@
     table.get_mut(&id("b1")).unwrap().in_flight = 50;
     assert_eq!(chosen(&table).as_deref(), Some("b1"));
     assert_eq!(
-        chosen_but(&table, &["b1"], ZoneShare::default()).as_deref(),
+        chosen_excluding(&table, &["b1"], ZoneShare::default()).as_deref(),
         Some("a1")
     );
 }
 
 #[test]
-fn slow_and_failing_endpoints_get_less() {
+fn slow_and_failing_endpoints_are_avoided() {
     let mut table = table(&["a1", "a2", "a3"]);
     for (name, pace_ms) in [("a1", 200), ("a2", 20), ("a3", 20)] {
         table.get_mut(&id(name)).unwrap().health.note_pace(pace_ms);
@@ -243,20 +243,20 @@
     table.get_mut(&id("a3")).unwrap().health.note_answer(true);
     assert_eq!(chosen(&table).as_deref(), Some("a2"));
     assert_ne!(
-        chosen_but(&table, &["a2"], ZoneShare::default()).as_deref(),
+        chosen_excluding(&table, &["a2"], ZoneShare::default()).as_deref(),
         Some("a1")
     );
 }
 
-/// The endpoint chosen at a time, if a place at one was handed out.
-fn chosen_at(table: &EndpointTable, now: ClockMs, place: Option<&str>) -> Option<String> {
-    let place = place.map(id);
+/// The endpoint chosen at `now`, with an optional reservation at `reserved`.
+fn chosen_at(table: &EndpointTable, now: ClockMs, reserved: Option<&str>) -> Option<String> {
+    let reserved = reserved.map(id);
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
         cached: &[],
         not_in_zone: None,
-        reserved_endpoint: place.as_ref(),
+        reserved_endpoint: reserved.as_ref(),
         service: "s",
         share: ZoneShare::default(),
         zone: &zone("a"),
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_place_that_was_handed_out_beats_an_engine_that_looks_idle() {
+fn reserved_engine_beats_an_engine_that_appears_idle() {
     let mut table = table(&["a1", "a2"]);
     table.update_loads(NOW, &zone("a"), &[others("a2", 2)]);
     assert_eq!(chosen_at(&table, NOW, None).as_deref(), Some("a1"));
@@ -281,28 +281,30 @@
 }
 
 #[test]
-fn a_place_at_a_failing_endpoint_is_not_taken() {
+fn reservation_at_a_failing_endpoint_is_not_used() {
     let mut table = table(&["a1", "a2"]);
     table.note_failure(NOW, &id("a2"), Failure::Broken);
     let chosen = chosen_at(&table, NOW + 1, Some("a2"));
     assert_eq!(chosen.as_deref(), Some("a1"));
 }
 
-/// A control replica that stands still: its zone's engines look idle for as long.
+/// Guards against entries that all send to the same engines while a control replica hangs: without
+/// new reports, the engines of its zone appear to be idle all the time.
 #[test]
-fn old_news_of_idle_engines_decide_nothing() {
+fn outdated_reports_of_idle_engines_are_ignored() {
     let mut table = table(&["a1", "b1", "b2"]);
     table.update_loads(NOW, &zone("b"), &[]);
     let later = NOW + 5_000;
     table.update_loads(later, &zone("a"), &[others("a1", 3)]);
-    // By the news of 5 s ago the engines of zone b do nothing; they do as much as the usual one.
+    // By the report of 5 s ago the engines of zone b are idle; they are assumed to have the mean
+    // load.
     assert_eq!(chosen_at(&table, later, None).as_deref(), Some("a1"));
     table.update_loads(later, &zone("b"), &[]);
     assert_eq!(chosen_at(&table, later, None).as_deref(), Some("b1"));
 }
 
 #[test]
-fn a_word_of_a_prompt_is_forgotten_once_it_has_been_read() {
+fn reported_prompt_expires_once_it_has_been_read() {
     let mut table = table(&["a1"]);
     let reading = EndpointLoad {
         reading: 1,
@@ -315,7 +317,7 @@
 }
 
 #[test]
-fn a_failure_that_another_entry_told_keeps_requests_away_for_a_while() {
+fn failure_reported_by_another_entry_causes_a_short_backoff() {
     let mut table = table(&["a1", "a2"]);
     let failing = EndpointLoad {
         is_failing: true,
@@ -327,7 +329,7 @@
 }
 
 #[test]
-fn news_of_a_replica_that_stopped_answering_are_dropped() {
+fn loads_from_an_unreachable_replica_become_outdated() {
     let mut table = table(&["a1", "b1"]);
     let loads = [others("a1", 1)];
     table.update_loads(NOW, &zone("a"), &loads);
@@ -337,7 +339,7 @@
     assert!(age_ms >= 1_500, "{age_ms}");
 }
 
-/// Engines that hold copies of runs of the own zone, for entries that have heard the same.
+/// The engines chosen to hold copies of runs of zone a by entries that have the same reports.
 fn holders(table: &EndpointTable, entries: u32) -> Vec<String> {
     let wanted = PlacementRequest {
         closed: &[],
@@ -357,9 +359,10 @@
     holders.collect()
 }
 
-/// The copies of a moment's runs, where one engine of another zone looks emptier than all others.
+/// Guards against all copies of the current runs going to one engine of another zone that appears
+/// to be emptier than all others.
 #[test]
-fn copies_of_many_entries_are_spread() {
+fn copies_of_many_entries_are_spread_over_engines() {
     let names: Vec<String> = (0..72).map(|engine| format!("b{engine}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut table = table(&names);
@@ -373,7 +376,7 @@
 }
 
 #[test]
-fn copies_go_where_memory_is_free() {
+fn copies_go_to_engines_with_free_memory() {
     let mut table = table(&["a1", "b1", "b2"]);
     let full = EndpointLoad {
         held_tokens: 40_000,
@@ -386,9 +389,10 @@
     assert!(at("b2") > 60, "{}", at("b2"));
 }
 
-/// Engines that lost their work look idle; other entries have seen that their zone is down.
+/// Guards against sending requests to engines that appear to be idle because they lost their work:
+/// other entries have reported the failure of their zone.
 #[test]
-fn a_zone_that_is_down_for_others_is_avoided() {
+fn zone_reported_down_by_other_entries_is_avoided() {
     let mut table = table(&["a1", "a2", "a3", "a4", "b1"]);
     let failing = ["a1", "a2", "a3"].map(|name| EndpointLoad {
         is_failing: true,
@@ -397,13 +401,13 @@
     table.update_loads(NOW, &zone("a"), &failing);
     table.update_loads(NOW, &zone("b"), &[others("b1", 8)]);
     assert_eq!(chosen_at(&table, NOW, None).as_deref(), Some("b1"));
-    // Nobody says so any more: the own zone is used again.
+    // The reports have expired: the entry's own zone is used again.
     let later = chosen_at(&table, NOW + 1_000, None).unwrap();
     assert!(later.starts_with('a'), "{later}");
 }
 
 #[test]
-fn few_failures_told_among_many_leave_a_zone_in_use() {
+fn few_reported_failures_leave_a_zone_in_use() {
     let names: Vec<String> = (0..30).map(|engine| format!("a{engine}")).collect();
     let mut names: Vec<&str> = names.iter().map(String::as_str).collect();
     names.push("b1");
--- a/crates/masticsill_dispatch/tests/retry_budget.rs
+++ b/crates/masticsill_dispatch/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: the entries together never pass what a service may get.
+//! The retry budget: all entries together never exceed the limit of a service.
 
 use masticsill_dispatch::{BudgetSettings, EntryCount, RetryBudget};
 use masticsill_types::ClockMs;
@@ -9,7 +9,7 @@
     window_ms: 10_000,
 };
 
-/// Spends all that is left at a point in time.
+/// Spends everything that is left at `now`, and returns the number of extra sends.
 fn spend_all(budget: &mut RetryBudget, now: ClockMs, entries: u32) -> u32 {
     let mut spent = 0;
     while budget.try_spend(now, entries) {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn no_window_sees_more_than_the_bound_however_it_slides() {
+fn sliding_window_never_exceeds_the_bound() {
     let mut budget = RetryBudget::new(SETTINGS);
     let mut spent = Vec::new();
     for step in 0..400 {
@@ -53,12 +53,15 @@
             .iter()
             .filter(|(at, _)| at >= from && at.since(*from) < 10_000);
         let total: u32 = within.map(|(_, count)| count).sum();
-        assert!(total <= SETTINGS.extra, "{total} from {from}");
+        assert!(
+            total <= SETTINGS.extra,
+            "{total} extra sends in the window from {from}"
+        );
     }
 }
 
 #[test]
-fn a_replica_that_has_just_started_does_not_enlarge_the_share() {
+fn newly_started_control_replica_does_not_enlarge_the_share() {
     let mut count = EntryCount::default();
     count.note(ClockMs(0), 6);
     count.note(ClockMs(1_000), 1);
