--- a/crates/masticsill_dispatch/src/capacity.rs
+++ b/crates/masticsill_dispatch/src/capacity.rs
@@ -76,11 +76,11 @@
     /// many engines would always refill the capacity that it frees, and another entry with as many
     /// callers would find none.
     fn wait_ms(&self, endpoint: &Endpoint, contention: Contention) -> u64 {
-        let contention_ms = match contention {
+        let waited_ms = match contention {
             Contention::Uncontended => return 0,
-            Contention::Contended(contention_ms) => contention_ms,
+            Contention::Contended(waited_ms) => waited_ms,
         };
-        let remaining_ms = IMMEDIATE_START_WAIT_MS.saturating_sub(contention_ms);
+        let remaining_ms = IMMEDIATE_START_WAIT_MS.saturating_sub(waited_ms);
         let new_request_delay_ms = NEW_REQUEST_DELAY_MS * remaining_ms / IMMEDIATE_START_WAIT_MS;
         if endpoint.is_freed_here() {
             return new_request_delay_ms;
@@ -109,7 +109,7 @@
     endpoint: &Endpoint,
     now: ClockMs,
     requirements: &Requirements,
-    turns: &EntryPosition<'_>,
+    position: &EntryPosition<'_>,
     contention: Contention,
 ) -> bool {
     if endpoint.is_full(now) {
@@ -130,7 +130,7 @@
                 requirements.reserved_endpoint.as_ref() == Some(&endpoint.announcement.id);
             let is_turn = || {
                 is_reserved
-                    || endpoint.capacity_known_ms(now) >= turns.wait_ms(endpoint, contention)
+                    || endpoint.capacity_known_ms(now) >= position.wait_ms(endpoint, contention)
             };
             (is_cached || is_idle && is_turn())
                 && fits(endpoint, *kv_cache_tokens, *tokens, MAX_MEMORY_PERCENT)
--- a/crates/masticsill_dispatch/src/dispatcher.rs
+++ b/crates/masticsill_dispatch/src/dispatcher.rs
@@ -16,7 +16,7 @@
 use crate::estimate::{latest_start, wait_ms};
 use crate::placement::{Choice, PlacementRequest, choose, suspect_zones};
 use crate::refusal::{Overload, refuse};
-use crate::service_queue::{Rank, Requirements, ServiceQueue, Terms, Ticket, Waiting};
+use crate::service_queue::{QueuedRequest, Rank, Requirements, ServiceQueue, Terms, Ticket};
 
 /// Divisor of the target latency: after this part of it (a tenth), a queued request is either
 /// refused or committed. A committed request is not refused any more unless its deadline passes.
@@ -134,7 +134,7 @@
         }
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        queue.push(Waiting {
+        queue.push(QueuedRequest {
             is_committed: rank == Rank::Resume,
             // A reservation lapses within moments, so a queued request doesn't keep it.
             requirements: Requirements {
@@ -318,7 +318,7 @@
     now: ClockMs,
     table: &EndpointTable,
     entries: u32,
-) -> Option<Waiting> {
+) -> Option<QueuedRequest> {
     let mut committed = Vec::new();
     let mut expired = None;
     for (ahead, waiting) in queue.in_order().into_iter().enumerate() {
--- a/crates/masticsill_dispatch/src/endpoint.rs
+++ b/crates/masticsill_dispatch/src/endpoint.rs
@@ -9,9 +9,9 @@
 use crate::reading::ReadingPace;
 
 /// How long another entry's report of prompts being read counts: by then a prompt has been read.
-const PEER_READING_TTL_MS: u64 = 1_500;
+const OTHERS_READING_TTL_MS: u64 = 1_500;
 /// How long another entry's report of a failure counts: endpoints recover.
-const PEER_FAILURE_TTL_MS: u64 = 1_000;
+const OTHERS_FAILURE_TTL_MS: u64 = 1_000;
 
 /// The load of the other entries at an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -64,7 +64,7 @@
     pub others: OtherLoad,
     /// When that load was reported.
     others_reported_at: Option<ClockMs>,
-    /// Whether an answer has shown that the address belongs to another incarnation.
+    /// Whether another incarnation has taken over the address.
     pub(crate) is_replaced: bool,
     /// Order in which incarnations became known; the latest one at an address takes precedence.
     pub(crate) order: u64,
@@ -123,7 +123,7 @@
     /// of other entries' prompts is ignored, since those have been read in the meantime.
     #[must_use]
     pub fn reading_total(&self, now: ClockMs) -> u32 {
-        if self.others_age_ms(now) < PEER_READING_TTL_MS {
+        if self.others_age_ms(now) < OTHERS_READING_TTL_MS {
             self.reading + self.others.reading
         } else {
             self.reading
@@ -145,7 +145,7 @@
 
     /// Whether another entry has just reported a failure of the endpoint.
     pub(crate) fn is_reported_failing(&self, now: ClockMs) -> bool {
-        self.others.is_failing && self.others_age_ms(now) < PEER_FAILURE_TTL_MS
+        self.others.is_failing && self.others_age_ms(now) < OTHERS_FAILURE_TTL_MS
     }
 
     /// Whether requests of any entry are in flight there, as far as is known.
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -36,7 +36,7 @@
     endpoints: IndexMap<EndpointId, Endpoint>,
     last_order: u64,
     /// The newest incarnation of each name.
-    newest_lives: IndexMap<String, Life>,
+    newest_incarnations: IndexMap<String, Life>,
     /// When the other entries' loads in each zone were last reported.
     loads_reported_at: IndexMap<ZoneId, ClockMs>,
 }
@@ -56,7 +56,7 @@
                 changed.push(id.clone());
             }
         }
-        self.mark_replaced();
+        self.mark_replaced_and_prune();
         changed
     }
 
@@ -79,7 +79,7 @@
     /// reports of it are ignored.
     #[must_use]
     pub fn is_superseded(&self, id: &EndpointId) -> bool {
-        let newest = self.newest_lives.get(&id.name);
+        let newest = self.newest_incarnations.get(&id.name);
         newest.is_some_and(|newest| id.life < *newest)
     }
 
@@ -89,7 +89,9 @@
     /// The previous incarnation stays in the table with the requests that this entry still has
     /// there, so that these aren't counted at its successor.
     fn end_previous_incarnation(&mut self, newest: &EndpointId) -> Option<EndpointId> {
-        let life = self.newest_lives.insert(newest.name.clone(), newest.life)?;
+        let life = self
+            .newest_incarnations
+            .insert(newest.name.clone(), newest.life)?;
         if life == newest.life {
             return None;
         }
@@ -112,7 +114,7 @@
 
     /// Marks all incarnations at an address but the latest one as replaced, and drops the oldest
     /// ended incarnations.
-    fn mark_replaced(&mut self) {
+    fn mark_replaced_and_prune(&mut self) {
         let mut newest: IndexMap<SocketAddr, u64> = IndexMap::new();
         for endpoint in self.endpoints.values().filter(|it| it.is_ready()) {
             let order = newest.entry(endpoint.announcement.address).or_default();
@@ -140,7 +142,8 @@
                 let name = name.clone();
                 endpoints.contains_key(&EndpointId { life, name })
             };
-            self.newest_lives.retain(|name, life| is_known(name, *life));
+            self.newest_incarnations
+                .retain(|name, life| is_known(name, *life));
         }
     }
 
--- a/crates/masticsill_dispatch/src/estimate.rs
+++ b/crates/masticsill_dispatch/src/estimate.rs
@@ -81,8 +81,8 @@
     };
     let own = f64::from(own) * 1_000.0 / work_ms;
     let all = f64::from(all) * 1_000.0 / work_ms;
-    let part = all * FAIR_SHARE_USED / f64::from(entries.max(1));
-    let rate = queue.starts_per_s(now).unwrap_or(own).max(part);
+    let fair_share = all * FAIR_SHARE_USED / f64::from(entries.max(1));
+    let rate = queue.starts_per_s(now).unwrap_or(own).max(fair_share);
     if rate <= 0.0 {
         return work_ms as u64;
     }
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -188,7 +188,7 @@
     let candidates: Vec<&Endpoint> = candidates
         .filter(|it| is_healthy(it) && has_capacity(it))
         .collect();
-    let drawn = [random(), random()].map(|part| candidate_at(&candidates, part));
+    let drawn = [random(), random()].map(|fraction| candidate_at_fraction(&candidates, fraction));
     let drawn = drawn.into_iter().flatten();
     drawn.min_by_key(|it| it.held_tokens + it.others.held_tokens)
 }
@@ -200,9 +200,9 @@
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
-fn candidate_at<'a>(candidates: &[&'a Endpoint], part: f64) -> Option<&'a Endpoint> {
-    let place = (part * candidates.len() as f64) as usize;
-    candidates.get(place).copied()
+fn candidate_at_fraction<'a>(candidates: &[&'a Endpoint], fraction: f64) -> Option<&'a Endpoint> {
+    let index = (fraction * candidates.len() as f64) as usize;
+    candidates.get(index).copied()
 }
 
 /// Number of prompt tokens that the engine has cached.
--- a/crates/masticsill_dispatch/src/service_queue.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -106,7 +106,7 @@
 
 /// A queued request.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) requirements: Requirements,
     pub(crate) rank: Rank,
     /// Whether the request has waited too long to be refused; it then waits until its deadline.
@@ -129,7 +129,7 @@
     /// Moving average of the share of requests that found no capacity on arrival.
     queued_share: f64,
     average_prompt_tokens: Option<f64>,
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedRequest>,
 }
 
 impl ServiceQueue {
@@ -189,7 +189,7 @@
         before.count()
     }
 
-    pub(crate) fn push(&mut self, waiting: Waiting) {
+    pub(crate) fn push(&mut self, waiting: QueuedRequest) {
         self.waiting.push(waiting);
     }
 
@@ -200,18 +200,18 @@
         }
     }
 
-    pub(crate) fn take(&mut self, ticket: Ticket) -> Option<Waiting> {
-        let place = self.waiting.iter().position(|it| it.ticket == ticket)?;
-        Some(self.waiting.remove(place))
+    pub(crate) fn take(&mut self, ticket: Ticket) -> Option<QueuedRequest> {
+        let position = self.waiting.iter().position(|it| it.ticket == ticket)?;
+        Some(self.waiting.remove(position))
     }
 
     /// The queued requests in the order in which they start: by rank, then by arrival.
     ///
-    /// The order is not changed in favour of newer requests: a request that could be overtaken
+    /// The order is not changed in favor of newer requests: a request that could be overtaken
     /// would wait longer than estimated at its admission. Fairness between workspaces is enforced
     /// at admission.
-    pub(crate) fn in_order(&self) -> Vec<&Waiting> {
-        let mut order: Vec<&Waiting> = self.waiting.iter().collect();
+    pub(crate) fn in_order(&self) -> Vec<&QueuedRequest> {
+        let mut order: Vec<&QueuedRequest> = self.waiting.iter().collect();
         order.sort_by_key(|it| (it.rank, it.since));
         order
     }
@@ -226,10 +226,10 @@
 
     /// Whether a workspace has used up its share of a queue of `places` requests.
     pub(crate) fn is_share_exhausted(&self, terms: &Terms, places: usize) -> bool {
-        let part = (places / self.active_workspaces.len().max(1)).max(1);
+        let share = (places / self.active_workspaces.len().max(1)).max(1);
         let own = self.waiting.iter();
         let own = own.filter(|it| it.terms.workspace == terms.workspace);
-        own.count() >= part
+        own.count() >= share
     }
 
     /// Records that a request has been sent.
--- a/crates/masticsill_quarantine/src/ledger.rs
+++ b/crates/masticsill_quarantine/src/ledger.rs
@@ -62,7 +62,7 @@
     /// Whether the request has been near quarantine, so that its changes are broadcast to all
     /// entries.
     is_broadcast: bool,
-    /// Revision of the last change observed by this process.
+    /// Revision of the request's last change that was observed by this process.
     local_revision: u64,
     revision: u64,
     suspect: Suspect,
@@ -209,7 +209,7 @@
         Some(due_at.since(now))
     }
 
-    /// Drops the requests that have not crashed an endpoint for long.
+    /// Drops the requests whose retention period has ended.
     pub fn forget_old(&mut self, now: ClockMs) {
         let at = ledger_time(now);
         self.suspects
@@ -282,7 +282,7 @@
             let reached = suspect.crashes().iter().map(|it| it.reached_ms);
             let furthest_ms = reached.max().unwrap_or_default();
             let is_unlikely = |it: &&CrashedRun| {
-                it.is_surpassed_by(furthest_ms) || rivals.is_likelier_cause(fingerprint, it)
+                it.is_surpassed_by(furthest_ms) || rivals.has_likelier_cause(fingerprint, it)
             };
             let crashes = suspect.open_crashes().filter(is_unlikely);
             unlikely.extend(crashes.map(|it| (*fingerprint, it.endpoint.clone())));
--- a/crates/masticsill_quarantine/src/rivals.rs
+++ b/crates/masticsill_quarantine/src/rivals.rs
@@ -8,8 +8,8 @@
 use crate::fingerprint::Fingerprint;
 use crate::suspect::{Doubt, Standing, Suspect};
 
-/// Number of a request's crashes that may be disputed without raising doubt.
-const MAX_UNDISPUTED_CRASHES: usize = 1;
+/// Largest number of a request's crashes that may be disputed without raising doubt.
+const MAX_DISPUTED_CRASHES: usize = 1;
 
 /// A run of a request that is near quarantine, at an endpoint that crashed.
 #[derive(Clone, Copy)]
@@ -55,9 +55,9 @@
 
     /// Whether the crash has a likelier cause: another request had just begun to be answered at the
     /// endpoint, whereas the endpoint had answered this one for some time.
-    pub(crate) fn is_likelier_cause(&self, fingerprint: &Fingerprint, crash: &CrashedRun) -> bool {
-        let mut other_runs_at = self.other_runs_at(fingerprint, crash);
-        other_runs_at.any(|it| crash.is_older_than(it.crash))
+    pub(crate) fn has_likelier_cause(&self, fingerprint: &Fingerprint, crash: &CrashedRun) -> bool {
+        let mut other_runs = self.other_runs_at(fingerprint, crash);
+        other_runs.any(|it| crash.is_older_than(it.crash))
     }
 
     /// Number of a request's crashes that another request may have caused, under which at least
@@ -69,8 +69,8 @@
         crashes: usize,
     ) -> usize {
         let is_disputed = |crash: &&CrashedRun| {
-            let mut other_runs_at = self.other_runs_at(fingerprint, crash);
-            other_runs_at.any(|it| it.crashes >= crashes && !it.crash.is_older_than(crash))
+            let mut other_runs = self.other_runs_at(fingerprint, crash);
+            other_runs.any(|it| it.crashes >= crashes && !it.crash.is_older_than(crash))
         };
         suspect.open_crashes().filter(is_disputed).count()
     }
@@ -94,7 +94,7 @@
     fn doubt_of(&self, fingerprint: &Fingerprint, suspect: &Suspect) -> Doubt {
         let own = suspect.open_crashes().count();
         let is_doubted =
-            |crashes| self.disputed_crashes(fingerprint, suspect, crashes) > MAX_UNDISPUTED_CRASHES;
+            |crashes| self.disputed_crashes(fingerprint, suspect, crashes) > MAX_DISPUTED_CRASHES;
         if is_doubted(own + 1) {
             Doubt::LikelierRival
         } else if is_doubted(own) {
