--- a/crates/masticsill_relay/src/admission.rs
+++ b/crates/masticsill_relay/src/admission.rs
@@ -9,23 +9,23 @@
 use masticsill_quarantine::{Fingerprint, RequestContent};
 use masticsill_types::ClockMs;
 
-use crate::answer::Refusal;
 use crate::config::HeaderNames;
 use crate::request::RelayRequest;
+use crate::response::Refusal;
 
 /// What a document says of a request.
-pub(crate) struct Entitled {
+pub(crate) struct Authorized {
     route: Arc<Route>,
     /// The workspace that holds the caller's key.
     workspace: Option<String>,
 }
 
 /// Finds a request's route, and whose it is, under one document; or says why not.
-pub(crate) fn entitle(
+pub(crate) fn authorize(
     index: &RouteIndex,
     names: &HeaderNames,
     head: &RequestHead,
-) -> Result<Entitled, Refusal> {
+) -> Result<Authorized, Refusal> {
     let host = head.headers.text("host").ok_or(Refusal::Malformed)?;
     if head.headers.all("host").count() > 1 || !head.target.starts_with('/') {
         return Err(Refusal::Malformed);
@@ -34,7 +34,7 @@
     let path = head.target.split('?').next().unwrap_or(&head.target);
     let route = index.find(host, path).ok_or(Refusal::NoRoute)?;
     let workspace = workspace_of(index, names, route, head)?;
-    Ok(Entitled {
+    Ok(Authorized {
         route: Arc::clone(route),
         workspace,
     })
@@ -42,17 +42,17 @@
 
 /// Admits a whole request that a document allows.
 pub(crate) fn admit(
-    entitled: Entitled,
+    authorized: Authorized,
     names: &HeaderNames,
-    patience: &mut CallerPatience,
+    prior_wait_estimator: &mut CallerPatience,
     received_at: ClockMs,
     head: RequestHead,
     body: Bytes,
 ) -> RelayRequest {
-    let Entitled { route, workspace } = entitled;
+    let Authorized { route, workspace } = authorized;
     let asked_ms = head.headers.number(&names.deadline_ms);
     let had_waited_ms = asked_ms.map_or(0, |given_ms| {
-        patience.note(received_at, &route.name, given_ms)
+        prior_wait_estimator.note(received_at, &route.name, given_ms)
     });
     let timeout_ms = asked_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
     let content = RequestContent {
--- a/crates/masticsill_relay/src/attempt.rs
+++ b/crates/masticsill_relay/src/attempt.rs
@@ -10,36 +10,36 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-use crate::crash_watch::watch_for_crash;
+use crate::crash_check::check_for_crash;
 use crate::events;
 use crate::relay::Relay;
 use crate::request::{RelayRequest, SendOptions};
 use crate::reservation::Reservation;
-use crate::tries::{Obstacle, Tries};
+use crate::retry_state::{Obstacle, RetryState};
 use masticsill_dispatch::Failure;
 
 /// Longest idle time of a connection for a request that may not run twice: the less, the less
 /// likely it crosses the endpoint's close, which would leave its outcome unknown.
-const IDLE_ONCE_MS: u64 = 1_500;
+const MAX_IDLE_NON_REPEATABLE_MS: u64 = 1_500;
 /// Silence of an endpoint after which it is given up once it is known to stand still.
-const ALARM_SILENCE_MS: u64 = 150;
+const STALLED_SILENCE_TIMEOUT_MS: u64 = 150;
 /// Lateness of a timer that tells of the relay's own standstill: several times what timers and a
 /// busy processor cost (10 ms).
-const OWN_LATENESS_MS: u64 = 50;
+const OWN_STALL_THRESHOLD_MS: u64 = 50;
 /// Time to read what came while the relay stood still.
-const LOOK_AGAIN_MS: u64 = 100;
+const OWN_STALL_EXTENSION_MS: u64 = 100;
 
 /// What an endpoint has borne of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Borne {
+pub(crate) struct RunProgress {
     /// When the first event of its answer came, for a stream.
     answered_at: Option<ClockMs>,
     /// For how long the runs had been answered that this one goes on from.
-    before_ms: u64,
+    prior_answered_ms: u64,
     pub(crate) began_at: ClockMs,
 }
 
-impl Borne {
+impl RunProgress {
     /// For how long the endpoint has answered it.
     pub(crate) fn answered_ms(&self, now: ClockMs) -> u64 {
         self.answered_at.map_or(0, |at| now.since(at))
@@ -47,16 +47,16 @@
 
     /// The same with the runs that it goes on from.
     pub(crate) fn reached_ms(&self, now: ClockMs) -> u64 {
-        self.before_ms + self.answered_ms(now)
+        self.prior_answered_ms + self.answered_ms(now)
     }
 }
 
 /// The connection of one send, and its place at the endpoint. Dropped, it closes the connection,
 /// whether the request has left or not.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct Attempt {
     /// What its endpoint has borne of the request.
-    pub(crate) borne: Borne,
+    pub(crate) progress: RunProgress,
     relay: Rc<Relay>,
     reservation: Reservation,
     upstream: Option<Upstream>,
@@ -81,7 +81,7 @@
     }
 }
 
-impl Sent {
+impl Attempt {
     pub(crate) fn upstream(&mut self) -> &mut Upstream {
         self.upstream
             .as_mut()
@@ -95,40 +95,45 @@
 
     /// Notes that the request is sent now, and for how long the runs had been answered that this one
     /// goes on from.
-    pub(crate) fn begin(&mut self, before_ms: u64) -> Borne {
-        self.borne = Borne {
+    pub(crate) fn begin(&mut self, prior_answered_ms: u64) -> RunProgress {
+        self.progress = RunProgress {
             answered_at: None,
-            before_ms,
+            prior_answered_ms,
             began_at: self.relay.now(),
         };
-        self.borne
+        self.progress
     }
 
     /// Notes an event of a stream: its prompt has been read. Returns for how long it has been answered
     /// by now, with the runs that it goes on from.
     pub(crate) fn note_event(&mut self) -> u64 {
         let now = self.relay.now();
-        self.borne.answered_at.get_or_insert(now);
-        self.reservation.end_reading();
-        self.borne.reached_ms(now)
+        self.progress.answered_at.get_or_insert(now);
+        self.reservation.end_prefill();
+        self.progress.reached_ms(now)
     }
 
     /// Keeps the connection for the next request if the answer allows it.
-    pub(crate) fn keep(mut self, head: &ResponseHead) {
+    pub(crate) fn return_to_pool(mut self, head: &ResponseHead) {
         let upstream = self.upstream.take();
         let stream = upstream.and_then(Upstream::into_reusable);
         let mut pool = self.relay.pool.borrow_mut();
         match stream.filter(|_| head.is_keep_alive) {
             Some(stream) => {
-                let keep_ms = keep_alive_ms(head);
-                pool.put(self.relay.now(), &self.endpoint().id, stream, keep_ms);
+                let idle_timeout_ms = keep_alive_ms(head);
+                pool.put(
+                    self.relay.now(),
+                    &self.endpoint().id,
+                    stream,
+                    idle_timeout_ms,
+                );
             }
             None => pool.note_closed(&self.endpoint().id),
         }
     }
 }
 
-impl Drop for Sent {
+impl Drop for Attempt {
     fn drop(&mut self) {
         if self.upstream.take().is_some() {
             let id = &self.reservation.endpoint().id;
@@ -148,25 +153,25 @@
     relay: &Rc<Relay>,
     request: &RelayRequest,
     reservation: Reservation,
-    tries: &mut Tries,
-) -> Result<Sent, Obstacle> {
+    retry_state: &mut RetryState,
+) -> Result<Attempt, Obstacle> {
     let endpoint = reservation.endpoint().clone();
-    let stream = match connect(relay, request, &endpoint, tries.dial_ms()).await {
+    let stream = match connect(relay, request, &endpoint, retry_state.dial_timeout_ms()).await {
         Ok(stream) => stream,
         Err(error) => {
             let cause = error.to_string();
             let failure = SendFailure::NotSent;
             log_failure(relay, request, &endpoint, failure.name(), &cause);
             relay.note_failure(&endpoint, Failure::Broken);
-            tries.note(endpoint.id, &failure);
-            return Err(Obstacle::Unreached);
+            retry_state.note(endpoint.id, &failure);
+            return Err(Obstacle::Unreachable);
         }
     };
-    tries.note_connected();
-    let sent = Sent {
-        borne: Borne {
+    retry_state.note_connected();
+    let attempt = Attempt {
+        progress: RunProgress {
             answered_at: None,
-            before_ms: 0,
+            prior_answered_ms: 0,
             began_at: relay.now(),
         },
         relay: Rc::clone(relay),
@@ -175,8 +180,8 @@
     };
     // It may have waited for a place, or for the connection, while endpoints crashed under it elsewhere.
     relay.check_crashes(request)?;
-    if tries.spend(relay, request) {
-        Ok(sent)
+    if retry_state.spend(relay, request) {
+        Ok(attempt)
     } else {
         Err(Obstacle::Budget)
     }
@@ -186,19 +191,24 @@
 pub(crate) async fn exchange(
     relay: &Relay,
     request: &RelayRequest,
-    sent: &mut Sent,
+    attempt: &mut Attempt,
     options: &SendOptions,
 ) -> Result<ResponseHead, Break> {
     let names = &relay.config.headers;
-    let bytes = request.bytes_for(names, sent.endpoint(), sent.borne.began_at, options);
+    let bytes = request.bytes_for(
+        names,
+        attempt.endpoint(),
+        attempt.progress.began_at,
+        options,
+    );
     let expected = Expected {
         method: &request.head.method,
         id_field: &names.request_id,
         request_id: &request.id,
     };
-    let head = sent.upstream().exchange(&bytes, expected).await?;
-    relay.note_heard(&sent.endpoint().id);
-    relay.note_answer(&sent.endpoint().id, head.status);
+    let head = attempt.upstream().exchange(&bytes, expected).await?;
+    relay.note_heard(&attempt.endpoint().id);
+    relay.note_answer(&attempt.endpoint().id, head.status);
     Ok(head)
 }
 
@@ -206,19 +216,25 @@
 pub(crate) fn fail(
     relay: &Relay,
     request: &RelayRequest,
-    sent: Sent,
+    attempt: Attempt,
     failure: Failure,
     cause: &str,
 ) -> SendFailure {
-    log_failure(relay, request, sent.endpoint(), failure.name(), cause);
+    log_failure(relay, request, attempt.endpoint(), failure.name(), cause);
     // An answer that the deadline overtook says nothing against its endpoint.
     let is_silence = matches!(failure, Failure::Silent | Failure::Stalled);
-    let is_overtaken = is_silence && request.left_ms(relay.now()) == 0;
-    if !is_overtaken {
-        relay.note_failure(sent.endpoint(), failure);
-        watch_for_crash(&sent.relay, request, sent.endpoint(), failure, sent.borne);
+    let is_deadline_over = is_silence && request.left_ms(relay.now()) == 0;
+    if !is_deadline_over {
+        relay.note_failure(attempt.endpoint(), failure);
+        check_for_crash(
+            &attempt.relay,
+            request,
+            attempt.endpoint(),
+            failure,
+            attempt.progress,
+        );
     }
-    drop(sent);
+    drop(attempt);
     SendFailure::MayHaveRun
 }
 
@@ -254,12 +270,12 @@
     relay: &Relay,
     request: &RelayRequest,
     endpoint: &Announcement,
-    dial_ms: u64,
+    dial_timeout_ms: u64,
 ) -> std::io::Result<TcpStream> {
     let idle_ms = if request.route.may_repeat() {
         u64::MAX
     } else {
-        IDLE_ONCE_MS
+        MAX_IDLE_NON_REPEATABLE_MS
     };
     let kept = relay
         .pool
@@ -268,7 +284,7 @@
     if let Some(stream) = kept {
         return Ok(stream);
     }
-    let timeout_ms = dial_ms.min(request.left_ms(relay.now()));
+    let timeout_ms = dial_timeout_ms.min(request.left_ms(relay.now()));
     let stream = dial(endpoint.address, timeout_ms).await?;
     relay.pool.borrow_mut().note_opened(&endpoint.id);
     Ok(stream)
@@ -279,17 +295,17 @@
 ///
 /// Time in which the relay itself stood still says nothing of the endpoint, whose bytes may lie in the
 /// relay's own socket: they are waited for once more, up to the same time again.
-pub(crate) async fn with_patience<T>(
+pub(crate) async fn with_silence_timeout<T>(
     relay: &Relay,
     endpoint: &Announcement,
-    heard_at: ClockMs,
-    patience_ms: u64,
+    last_received_at: ClockMs,
+    silence_timeout_ms: u64,
     waiting: impl Future<Output = T>,
 ) -> Option<T> {
     tokio::pin!(waiting);
-    let mut alarms = relay.alarms.subscribe();
-    let mut give_up_at = heard_at + patience_ms;
-    let mut granted_ms = 0;
+    let mut stall_alerts = relay.stall_alerts.subscribe();
+    let mut give_up_at = last_received_at + silence_timeout_ms;
+    let mut extension_ms = 0;
     loop {
         let began_at = relay.now();
         let left_ms = give_up_at.since(began_at);
@@ -299,17 +315,17 @@
             done = &mut waiting => return Some(done),
             () = sleep_until(bound) => {
                 let now = relay.now();
-                let is_late = now.since(began_at + left_ms) >= OWN_LATENESS_MS;
-                if !is_late || granted_ms >= patience_ms {
+                let is_late = now.since(began_at + left_ms) >= OWN_STALL_THRESHOLD_MS;
+                if !is_late || extension_ms >= silence_timeout_ms {
                     return None;
                 }
-                granted_ms += LOOK_AGAIN_MS;
-                give_up_at = now + LOOK_AGAIN_MS;
+                extension_ms += OWN_STALL_EXTENSION_MS;
+                give_up_at = now + OWN_STALL_EXTENSION_MS;
             }
-            _ = alarms.changed() => {
-                let alarm = alarms.borrow_and_update().clone();
-                if alarm.is_some_and(|alarm| alarm.is_about(endpoint)) {
-                    give_up_at = give_up_at.min(heard_at + ALARM_SILENCE_MS);
+            _ = stall_alerts.changed() => {
+                let alert = stall_alerts.borrow_and_update().clone();
+                if alert.is_some_and(|alert| alert.applies_to(endpoint)) {
+                    give_up_at = give_up_at.min(last_received_at + STALLED_SILENCE_TIMEOUT_MS);
                 }
             }
         }
--- a/crates/masticsill_relay/src/caller.rs
+++ b/crates/masticsill_relay/src/caller.rs
@@ -13,11 +13,11 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-use crate::answer::Refusal;
 use crate::relay::Relay;
+use crate::response::Refusal;
 
 /// Room made for each read.
-const READ_BYTES: usize = 8 * 1024;
+const READ_RESERVE_BYTES: usize = 8 * 1024;
 /// Bytes of a next request that are read ahead while one is being answered.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 /// Limits while no document is known.
@@ -29,12 +29,12 @@
 };
 /// Idle time beyond the stated limit: a caller that uses its connection at the limit still gets
 /// an answer.
-const IDLE_SLACK_MS: u64 = 1_000;
+const IDLE_TIMEOUT_SLACK_MS: u64 = 1_000;
 /// How long a closing side reads on, so that the last answer is not lost to a reset.
-pub(crate) const LINGER: Duration = Duration::from_millis(300);
+pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What ended the wait for a request.
-pub(crate) enum Next {
+pub(crate) enum NextRequest {
     Request(RequestHead, ClockMs),
     Refused(Refusal),
     Ended,
@@ -61,26 +61,26 @@
 impl Caller {
     pub(crate) fn new(reader: OwnedReadHalf) -> Self {
         Self {
-            buffer: BytesMut::with_capacity(READ_BYTES),
+            buffer: BytesMut::with_capacity(READ_RESERVE_BYTES),
             reader,
         }
     }
 
     /// Waits for the head of the next request.
-    pub(crate) async fn next_request(&mut self, relay: &Rc<Relay>) -> Next {
-        if self.buffer.is_empty() && !self.await_bytes(relay).await {
-            return Next::Ended;
+    pub(crate) async fn next_request(&mut self, relay: &Rc<Relay>) -> NextRequest {
+        if self.buffer.is_empty() && !self.wait_for_bytes(relay).await {
+            return NextRequest::Ended;
         }
         let received_at = relay.now();
         let limits = limits_of(relay);
         let max_bytes = usize::try_from(limits.header_bytes).unwrap_or(usize::MAX);
         let reading = self.read_head(max_bytes);
         match timeout(Duration::from_millis(limits.header_timeout_ms), reading).await {
-            Ok(Ok(Some(head))) => Next::Request(head, received_at),
-            Ok(Ok(None)) => Next::Ended,
-            Ok(Err(ParseError::HeadTooLong)) => Next::Refused(Refusal::HeadTooLong),
-            Ok(Err(_)) => Next::Refused(Refusal::Malformed),
-            Err(_) => Next::Refused(Refusal::SlowHead),
+            Ok(Ok(Some(head))) => NextRequest::Request(head, received_at),
+            Ok(Ok(None)) => NextRequest::Ended,
+            Ok(Err(ParseError::HeadTooLong)) => NextRequest::Refused(Refusal::HeadTooLong),
+            Ok(Err(_)) => NextRequest::Refused(Refusal::Malformed),
+            Err(_) => NextRequest::Refused(Refusal::SlowHead),
         }
     }
 
@@ -88,10 +88,10 @@
     ///
     /// The limit is read again when it seems to be over: a caller goes by the newest document, and may
     /// send its next request later than the one allowed that was in force when the rest began.
-    async fn await_bytes(&mut self, relay: &Rc<Relay>) -> bool {
+    async fn wait_for_bytes(&mut self, relay: &Rc<Relay>) -> bool {
         let began_at = relay.now();
         loop {
-            let idle_ms = limits_of(relay).idle_timeout_ms + IDLE_SLACK_MS;
+            let idle_ms = limits_of(relay).idle_timeout_ms + IDLE_TIMEOUT_SLACK_MS;
             let left_ms = (began_at + idle_ms).since(relay.now());
             if left_ms == 0 {
                 return false;
@@ -106,7 +106,7 @@
                 () = relay.stopping.requested() => {
                     // What is on its way when the shutdown begins is still answered.
                     let last = self.read_more();
-                    return matches!(timeout(LINGER, last).await, Ok(Ok(true)));
+                    return matches!(timeout(LINGER_TIMEOUT, last).await, Ok(Ok(true)));
                 }
             }
         }
@@ -114,7 +114,7 @@
 
     /// Reads once; false at the end of the connection.
     async fn read_more(&mut self) -> io::Result<bool> {
-        read_more(&mut self.reader, &mut self.buffer, READ_BYTES).await
+        read_more(&mut self.reader, &mut self.buffer, READ_RESERVE_BYTES).await
     }
 
     async fn read_head(&mut self, max_bytes: usize) -> Result<Option<RequestHead>, ParseError> {
@@ -163,7 +163,7 @@
     }
 
     /// Waits until the caller has closed its side. What it sends meanwhile is read ahead.
-    pub(crate) async fn left(&mut self) {
+    pub(crate) async fn wait_for_close(&mut self) {
         loop {
             if self.buffer.len() >= READ_AHEAD_BYTES {
                 std::future::pending::<()>().await;
@@ -189,7 +189,7 @@
                 }
             }
         };
-        let _ = timeout(LINGER, draining).await;
+        let _ = timeout(LINGER_TIMEOUT, draining).await;
     }
 }
 
--- a/crates/masticsill_relay/src/connection.rs
+++ b/crates/masticsill_relay/src/connection.rs
@@ -11,16 +11,17 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::OwnedWriteHalf;
 
-use crate::admission::{Entitled, admit, entitle};
-use crate::answer::Refusal;
-use crate::caller::{BodyError, Caller, LINGER, Next};
-use crate::ending::{
-    After, end_plain, end_stream, log_caller_left, refuse, refuse_unadmitted, write_own,
-};
+use crate::admission::{Authorized, admit, authorize};
+use crate::caller::{BodyError, Caller, LINGER_TIMEOUT, NextRequest};
 use crate::events;
 use crate::plain::relay_plain;
-use crate::relay::{Active, NEWS_BOUND_MS, NEWS_SHARE, Relay};
+use crate::relay::{ActiveRequest, DISCOVERY_WAIT_DIVISOR, MAX_DISCOVERY_WAIT_MS, Relay};
 use crate::request::RelayRequest;
+use crate::request_end::{
+    ConnectionAction, end_plain, end_stream, log_caller_left, refuse, refuse_unadmitted,
+    write_final_refusal,
+};
+use crate::response::Refusal;
 use crate::stream::StreamRelay;
 
 /// Serves a connection until either side ends it.
@@ -32,28 +33,28 @@
     let mut caller = Caller::new(reader);
     loop {
         let after = match caller.next_request(&relay).await {
-            Next::Ended => break,
-            Next::Refused(refusal) => {
+            NextRequest::Ended => break,
+            NextRequest::Refused(refusal) => {
                 log_event!(info, events::REQUEST_MALFORMED, reason = refusal.name());
-                write_own(&mut writer, refusal).await
+                write_final_refusal(&mut writer, refusal).await
             }
-            Next::Request(head, received_at) => {
+            NextRequest::Request(head, received_at) => {
                 answer_request(&relay, &mut caller, &mut writer, head, received_at).await
             }
         };
         match after {
-            After::Keep => {}
-            After::Close => {
+            ConnectionAction::Keep => {}
+            ConnectionAction::Close => {
                 caller.linger(&mut writer).await;
                 break;
             }
-            After::CloseUnsaid => {
+            ConnectionAction::CloseUnannounced => {
                 // Nothing more is read: a request that crosses this is the caller's to send again.
                 let _ = writer.shutdown().await;
-                tokio::time::sleep(LINGER).await;
+                tokio::time::sleep(LINGER_TIMEOUT).await;
                 break;
             }
-            After::Cut => break,
+            ConnectionAction::Abort => break,
         }
     }
 }
@@ -64,50 +65,57 @@
     writer: &mut OwnedWriteHalf,
     head: RequestHead,
     received_at: ClockMs,
-) -> After {
-    let _active = Active::begin(relay);
+) -> ConnectionAction {
+    let _active = ActiveRequest::begin(relay);
     let id = relay.config.headers.request_id_of(&head).to_owned();
     let is_kept = head.is_keep_alive;
     let body = match caller.read_body(relay, writer, &head).await {
         Ok(body) => body,
-        Err(BodyError::Refused(refusal)) => return write_own(writer, refusal).await,
-        Err(BodyError::Ended) => return After::Cut,
+        Err(BodyError::Refused(refusal)) => return write_final_refusal(writer, refusal).await,
+        Err(BodyError::Ended) => return ConnectionAction::Abort,
     };
-    let answering = answer_whole(relay, writer, &id, head, body, received_at);
+    let answering = answer_complete_request(relay, writer, &id, head, body, received_at);
     tokio::select! {
         biased;
         after = answering => if is_kept { after } else { after.at_least_close() },
-        () = caller.left() => {
+        () = caller.wait_for_close() => {
             log_caller_left(relay, &id, received_at, "closed its connection");
-            After::Cut
+            ConnectionAction::Abort
         }
     }
 }
 
 /// Answers a request that has been read whole.
-async fn answer_whole(
+async fn answer_complete_request(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
     id: &str,
     head: RequestHead,
     body: Bytes,
     received_at: ClockMs,
-) -> After {
+) -> ConnectionAction {
     let names = &relay.config.headers;
     let is_kept = head.is_keep_alive;
     let asked_ms = head.headers.number(&names.deadline_ms).unwrap_or_default();
-    let bound_ms = (asked_ms / NEWS_SHARE).min(NEWS_BOUND_MS);
-    let entitled = relay.await_news(bound_ms, || entitle_now(relay, &head));
-    let entitled = match entitled.await {
-        Some(Ok(entitled)) => entitled,
+    let bound_ms = (asked_ms / DISCOVERY_WAIT_DIVISOR).min(MAX_DISCOVERY_WAIT_MS);
+    let authorized = relay.wait_for_discovery(bound_ms, || authorize_now(relay, &head));
+    let authorized = match authorized.await {
+        Some(Ok(authorized)) => authorized,
         Some(Err(refusal)) => {
             return refuse_unadmitted(relay, writer, id, refusal, is_kept).await;
         }
         None => return refuse_unadmitted(relay, writer, id, Refusal::NoDocument, is_kept).await,
     };
     let request = {
-        let mut patience = relay.patience.borrow_mut();
-        admit(entitled, names, &mut patience, received_at, head, body)
+        let mut prior_wait_estimator = relay.prior_wait_estimator.borrow_mut();
+        admit(
+            authorized,
+            names,
+            &mut prior_wait_estimator,
+            received_at,
+            head,
+            body,
+        )
     };
     relay.note_request(&request.service);
     match request.route.kind {
@@ -123,19 +131,19 @@
 ///
 /// Callers don't come back after an unknown route or key, so that neither is said by a document which
 /// is known to be old: the newer one may have it.
-fn entitle_now(relay: &Relay, head: &RequestHead) -> Option<Result<Entitled, Refusal>> {
+fn authorize_now(relay: &Relay, head: &RequestHead) -> Option<Result<Authorized, Refusal>> {
     let index = relay.index()?;
-    let entitled = entitle(&index, &relay.config.headers, head);
-    let is_final = !matches!(entitled, Err(Refusal::NoRoute | Refusal::UnknownKey));
-    (is_final || !relay.is_behind_document()).then_some(entitled)
+    let authorized = authorize(&index, &relay.config.headers, head);
+    let is_final = !matches!(authorized, Err(Refusal::NoRoute | Refusal::UnknownKey));
+    (is_final || !relay.is_behind_document()).then_some(authorized)
 }
 
 async fn answer_stream(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
     request: &RelayRequest,
-) -> After {
-    if !relay.takes_streams() {
+) -> ConnectionAction {
+    if !relay.accepts_streams() {
         return refuse(relay, writer, request, Refusal::Stopping).await;
     }
     let is_closing = !request.head.is_keep_alive || relay.stopping_since.get().is_some();
--- a/crates/masticsill_relay/src/copies.rs
+++ b/crates/masticsill_relay/src/copies.rs
@@ -13,27 +13,27 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use crate::attempt::with_patience;
+use crate::attempt::with_silence_timeout;
 use crate::config::EngineCalls;
 use crate::events;
 use crate::relay::Relay;
-use crate::reservation::CopyPlace;
+use crate::reservation::CopyReservation;
 
 /// Longest wait for a copy: 14,400 tokens take a quarter of a second between zones, behind others.
-const COPY_BOUND_MS: u64 = 1_500;
+const COPY_TIMEOUT_MS: u64 = 1_500;
 /// Age at which a copy is made again: engines drop one that is not used within four seconds.
-const RENEW_MS: u64 = 2_800;
+const COPY_RENEW_AGE_MS: u64 = 2_800;
 /// Pause after a copy could not be made.
-const RETRY_MS: u64 = 400;
+const COPY_RETRY_PAUSE_MS: u64 = 400;
 
 /// A copy of a run's memory.
 #[derive(Clone, Debug)]
-pub(crate) struct Copy {
+pub(crate) struct RunCopy {
     /// The engine that holds it.
     pub(crate) at: Announcement,
     origin: Origin,
     /// The memory that it takes there.
-    place: Rc<CopyPlace>,
+    reservation: Rc<CopyReservation>,
 }
 
 /// How a copy was made.
@@ -42,103 +42,103 @@
     /// The running engine sends what it has as it grows.
     Backup,
     /// The running engine was asked for it; it names the copy by this handle.
-    Asked {
+    Requested {
         handle: String,
         made_at: ClockMs,
         source: Announcement,
     },
 }
 
-impl Copy {
+impl RunCopy {
     /// The copy that an engine keeps as the run grows.
-    pub(crate) fn backup(at: Announcement, place: CopyPlace) -> Self {
+    pub(crate) fn backup(at: Announcement, reservation: CopyReservation) -> Self {
         Self {
             at,
             origin: Origin::Backup,
-            place: Rc::new(place),
+            reservation: Rc::new(reservation),
         }
     }
 
     /// The holder, and the memory that the copy takes there.
-    pub(crate) fn into_parts(self) -> (Announcement, Rc<CopyPlace>) {
-        (self.at, self.place)
+    pub(crate) fn into_parts(self) -> (Announcement, Rc<CopyReservation>) {
+        (self.at, self.reservation)
     }
 
     /// What a request that goes on from the copy names.
     pub(crate) fn reference(&self, request_id: &str) -> String {
         match &self.origin {
             Origin::Backup => format!("{}/{request_id}", self.at.address),
-            Origin::Asked { handle, source, .. } => format!("{}/{handle}", source.address),
+            Origin::Requested { handle, source, .. } => format!("{}/{handle}", source.address),
         }
     }
 }
 
 /// Keeps a copy of one run while it lasts.
 #[derive(Debug, Default)]
-pub(crate) struct CopyKeeper {
-    copy: Option<Copy>,
-    pending: Option<Pending>,
+pub(crate) struct CopyManager {
+    copy: Option<RunCopy>,
+    pending: Option<PendingCopy>,
     retry_at: ClockMs,
 }
 
 /// A copy that is being made.
 #[derive(Debug)]
-struct Pending {
+struct PendingCopy {
     at: Announcement,
-    place: Rc<CopyPlace>,
+    reservation: Rc<CopyReservation>,
     made: oneshot::Receiver<Result<String, String>>,
     source: Announcement,
 }
 
-impl CopyKeeper {
+impl CopyManager {
     /// The copy, if there is one.
-    pub(crate) fn copy(&self) -> Option<&Copy> {
+    pub(crate) fn copy(&self) -> Option<&RunCopy> {
         self.copy.as_ref()
     }
 
     /// The memory that the copy takes at its holder.
-    pub(crate) fn place(&self) -> Option<Rc<CopyPlace>> {
+    pub(crate) fn reservation(&self) -> Option<Rc<CopyReservation>> {
         let copy = self.copy.as_ref()?;
-        Some(Rc::clone(&copy.place))
+        Some(Rc::clone(&copy.reservation))
     }
 
     /// Starts anew with a run's own copy.
-    pub(crate) fn begin(&mut self, copy: Option<Copy>) {
+    pub(crate) fn reset(&mut self, copy: Option<RunCopy>) {
         self.copy = copy;
         self.pending = None;
     }
 
     /// Forgets the copy.
-    pub(crate) fn forget(&mut self) {
-        self.begin(None);
+    pub(crate) fn clear(&mut self) {
+        self.reset(None);
     }
 
     /// Takes in a copy that was made meanwhile.
-    pub(crate) fn collect(&mut self, now: ClockMs) {
+    pub(crate) fn poll_pending(&mut self, now: ClockMs) {
         let Some(mut pending) = self.pending.take() else {
             return;
         };
         match pending.made.try_recv() {
             Ok(Ok(handle)) => {
-                self.copy = Some(Copy {
+                self.copy = Some(RunCopy {
                     at: pending.at,
-                    origin: Origin::Asked {
+                    origin: Origin::Requested {
                         handle,
                         made_at: now,
                         source: pending.source,
                     },
-                    place: pending.place,
+                    reservation: pending.reservation,
                 });
             }
             Ok(Err(_)) | Err(oneshot::error::TryRecvError::Closed) => {
-                self.retry_at = now + RETRY_MS;
+                self.retry_at = now + COPY_RETRY_PAUSE_MS;
             }
             Err(oneshot::error::TryRecvError::Empty) => self.pending = Some(pending),
         }
     }
 
     /// Whether a copy must be made now: there is none that lives, or it is about to expire.
-    pub(crate) fn needs_copy(&self, now: ClockMs, lives: impl Fn(&Copy) -> bool) -> bool {
+    pub(crate) fn needs_copy(&self, now: ClockMs, lives: impl Fn(&RunCopy) -> bool) -> bool {
         if self.pending.is_some() || now < self.retry_at {
             return false;
         }
@@ -147,24 +147,24 @@
         };
         match &copy.origin {
             Origin::Backup => false,
-            Origin::Asked { made_at, .. } => now.since(*made_at) >= RENEW_MS,
+            Origin::Requested { made_at, .. } => now.since(*made_at) >= COPY_RENEW_AGE_MS,
         }
     }
 
     /// Asks the running engine for a copy at another one.
-    pub(crate) fn ask(
+    pub(crate) fn start_copy(
         &mut self,
         relay: &Rc<Relay>,
         request_id: &str,
         source: &Announcement,
         at: Announcement,
-        place: Rc<CopyPlace>,
+        reservation: Rc<CopyReservation>,
     ) {
         let (made, receiver) = oneshot::channel();
         let (calling, from, id) = (Rc::clone(relay), source.clone(), request_id.to_owned());
         let target = at.clone();
         spawn_local(async move {
-            let handle = ask_for_copy(&calling, &id, &from, &target).await;
+            let handle = request_copy(&calling, &id, &from, &target).await;
             let cause = handle.as_ref().err().map_or("", String::as_str);
             log_event!(
                 info,
@@ -178,9 +178,9 @@
             );
             let _ = made.send(handle);
         });
-        self.pending = Some(Pending {
+        self.pending = Some(PendingCopy {
             at,
-            place,
+            reservation,
             made: receiver,
             source: source.clone(),
         });
@@ -189,7 +189,7 @@
     /// Lets the engines drop the copy of a run that has ended.
     pub(crate) fn release(&mut self, relay: &Rc<Relay>) {
         let copy = self.copy.take();
-        let Some(Origin::Asked { handle, source, .. }) = copy.map(|copy| copy.origin) else {
+        let Some(Origin::Requested { handle, source, .. }) = copy.map(|copy| copy.origin) else {
             return;
         };
         let relay = Rc::clone(relay);
@@ -202,7 +202,7 @@
     }
 }
 
-async fn ask_for_copy(
+async fn request_copy(
     relay: &Rc<Relay>,
     request_id: &str,
     source: &Announcement,
@@ -245,9 +245,9 @@
         method,
         target,
     };
-    let calling = client.call(&call, COPY_BOUND_MS);
+    let calling = client.call(&call, COPY_TIMEOUT_MS);
     // A zone that stands still ends the wait sooner.
-    match with_patience(relay, engine, relay.now(), COPY_BOUND_MS, calling).await {
+    match with_silence_timeout(relay, engine, relay.now(), COPY_TIMEOUT_MS, calling).await {
         Some(Ok((200, answer))) => Ok(answer),
         Some(Ok((status, _))) => Err(format!("the engine answered {status}")),
         Some(Err(cause)) => Err(cause),
--- a/crates/masticsill_relay/src/crash_watch.rs
+++ b/crates/masticsill_relay/src/crash_check.rs
@@ -13,13 +13,13 @@
 use masticsill_upstream::dial;
 use tokio::task::spawn_local;
 
-use crate::attempt::Borne;
+use crate::attempt::RunProgress;
 use crate::events;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
 
 /// Longest wait for a connection: an endpoint that runs accepts within a few milliseconds.
-pub(crate) const PROBE_MS: u64 = 120;
+pub(crate) const CRASH_PROBE_TIMEOUT_MS: u64 = 120;
 
 /// What a failure says of its endpoint's process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -46,34 +46,34 @@
 }
 
 /// Asks the endpoint of a run that failed for a connection, and notes whether it is down.
-pub(crate) fn watch_for_crash(
+pub(crate) fn check_for_crash(
     relay: &Rc<Relay>,
     request: &RelayRequest,
     endpoint: &Announcement,
     failure: Failure,
-    borne: Borne,
+    progress: RunProgress,
 ) {
     let suspicion = Suspicion::from(failure);
     // One that leaves ends by itself, and what it still ran with it.
-    let is_innocent = suspicion != Suspicion::Down && is_leaving(relay, endpoint);
-    if suspicion == Suspicion::Up || is_innocent {
+    let is_expected_exit = suspicion != Suspicion::Down && is_leaving(relay, endpoint);
+    if suspicion == Suspicion::Up || is_expected_exit {
         return;
     }
     let ended_at = relay.now();
     let (relay, endpoint) = (Rc::clone(relay), endpoint.clone());
     let (id, fingerprint) = (request.id.clone(), request.fingerprint);
-    relay.checked.borrow_mut().push(fingerprint);
+    relay.crash_checks.borrow_mut().push(fingerprint);
     spawn_local(async move {
         let is_down = is_down(&endpoint, suspicion).await;
-        relay.end_check(fingerprint);
+        relay.finish_crash_check(fingerprint);
         if is_down {
             let now = relay.now();
             let crash = CrashRecord {
-                answered_ms: borne.answered_ms(ended_at),
-                began_ago_ms: now.since(borne.began_at),
+                answered_ms: progress.answered_ms(ended_at),
+                began_ago_ms: now.since(progress.began_at),
                 endpoint: endpoint.id.clone(),
                 ended_ago_ms: now.since(ended_at),
-                reached_ms: borne.reached_ms(ended_at),
+                reached_ms: progress.reached_ms(ended_at),
                 weight: Weight::Pending,
                 zone: endpoint.zone.clone(),
             };
@@ -88,9 +88,9 @@
             zone = endpoint.zone,
             failure = failure.name(),
             is_down = is_down,
-            ran_ms = ended_at.since(borne.began_at),
-            answered_ms = borne.answered_ms(ended_at),
-            reached_ms = borne.reached_ms(ended_at),
+            ran_ms = ended_at.since(progress.began_at),
+            answered_ms = progress.answered_ms(ended_at),
+            reached_ms = progress.reached_ms(ended_at),
             age_ms = relay.now().since(ended_at)
         );
     });
@@ -106,7 +106,7 @@
     if suspicion == Suspicion::Down {
         return true;
     }
-    match dial(endpoint.address, PROBE_MS).await {
+    match dial(endpoint.address, CRASH_PROBE_TIMEOUT_MS).await {
         Ok(_) => false,
         Err(error) => {
             suspicion == Suspicion::Likely || error.kind() == ErrorKind::ConnectionRefused
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -22,15 +22,15 @@
 use crate::documents::ReadDocument;
 use crate::events;
 use crate::relay::Relay;
-use crate::suspects::{Told, tell_crashes};
+use crate::suspects::{ReportedRevision, report_crashes};
 
 /// Longest wait for news.
-const WAIT_MS: u64 = 1_000;
+const WATCH_TIMEOUT_MS: u64 = 1_000;
 /// How often the own zone's replica is told of this entry's load and asked for the others':
 /// about as often as requests for long generations come.
-const LOADS_MS: u64 = 200;
+const OWN_ZONE_WATCH_TIMEOUT_MS: u64 = 200;
 /// Pause before changed loads are told, so that what happens at the same moment shares a message.
-const LOADS_PAUSE: Duration = Duration::from_millis(4);
+const LOAD_REPORT_DELAY: Duration = Duration::from_millis(4);
 /// Pause before an address is asked again whether it serves control, and who else does.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a replica did not answer.
@@ -38,7 +38,7 @@
 
 /// What the followers share.
 struct Discovery {
-    followed: RefCell<IndexSet<SocketAddr>>,
+    watched_addresses: RefCell<IndexSet<SocketAddr>>,
     relay: Rc<Relay>,
     /// For the duty that fetches documents.
     sources: watch::Sender<DocumentSources>,
@@ -47,30 +47,30 @@
 /// Follows the seeds, every replica that they tell of, and those that are told later.
 pub(crate) fn start_discovery(
     relay: &Rc<Relay>,
-    told: Ring<SocketAddr>,
+    new_seeds: Ring<SocketAddr>,
     sources: watch::Sender<DocumentSources>,
     read: Ring<ReadDocument>,
 ) {
     let discovery = Rc::new(Discovery {
-        followed: RefCell::default(),
+        watched_addresses: RefCell::default(),
         relay: Rc::clone(relay),
         sources,
     });
-    spawn_local(take_documents(Rc::clone(relay), read));
+    spawn_local(install_documents(Rc::clone(relay), read));
     for seed in &relay.config.control_seeds {
-        discovery.follow_once(*seed);
+        discovery.start_watching(*seed);
     }
     spawn_local(async move {
-        while let Some(address) = told.pop().await {
-            discovery.follow_once(address);
+        while let Some(address) = new_seeds.pop().await {
+            discovery.start_watching(address);
         }
     });
 }
 
 impl Discovery {
-    fn follow_once(self: &Rc<Self>, address: SocketAddr) {
-        if self.followed.borrow_mut().insert(address) {
-            spawn_local(follow(Rc::clone(self), address));
+    fn start_watching(self: &Rc<Self>, address: SocketAddr) {
+        if self.watched_addresses.borrow_mut().insert(address) {
+            spawn_local(watch_replica(Rc::clone(self), address));
         }
     }
 
@@ -81,7 +81,7 @@
             return false;
         };
         for (_, replica) in directory.replicas {
-            self.follow_once(replica);
+            self.start_watching(replica);
         }
         directory.keeps_state
     }
@@ -104,14 +104,14 @@
         self.sources.send_modify(|sources| sources.forget(&address));
     }
 
-    fn take_endpoints(&self, node: &NodeId, reply: &WatchReply) {
+    fn merge_endpoints(&self, node: &NodeId, reply: &WatchReply) {
         let mut endpoints = self.relay.endpoints.borrow_mut();
         for id in endpoints.merge(node, &reply.endpoints) {
             let Some(endpoint) = endpoints.get(&id) else {
                 continue;
             };
             if endpoints.is_outlived(&id) {
-                self.relay.end_life(&id);
+                self.relay.retire_incarnation(&id);
             }
             log_event!(
                 info,
@@ -130,10 +130,10 @@
 }
 
 /// Puts the documents that were read in force, one after the other.
-async fn take_documents(relay: Rc<Relay>, read: Ring<ReadDocument>) {
+async fn install_documents(relay: Rc<Relay>, read: Ring<ReadDocument>) {
     while let Some(document) = read.pop().await {
         let version = document.index.document().version;
-        relay.take_index(document.index);
+        relay.install_index(document.index);
         log_event!(
             info,
             events::DOCUMENT_TAKEN,
@@ -149,7 +149,7 @@
 }
 
 /// Follows one replica for good.
-async fn follow(discovery: Rc<Discovery>, address: SocketAddr) {
+async fn watch_replica(discovery: Rc<Discovery>, address: SocketAddr) {
     let relay = Rc::clone(&discovery.relay);
     while !discovery.is_replica(address).await {
         sleep(DIRECTORY_INTERVAL).await;
@@ -164,16 +164,20 @@
         registry: 0,
         revision: 0,
         suspects_revision: 0,
-        wait_ms: WAIT_MS,
+        wait_ms: WATCH_TIMEOUT_MS,
         watcher: watcher.clone(),
     };
-    let told = Told::default();
-    spawn_local(tell_crashes(Rc::clone(&relay), address, told.clone()));
+    let reported = ReportedRevision::default();
+    spawn_local(report_crashes(Rc::clone(&relay), address, reported.clone()));
     let mut is_reached = false;
     let mut is_own_zone = false;
     let mut zone = None;
     loop {
-        request.wait_ms = if is_own_zone { LOADS_MS } else { WAIT_MS };
+        request.wait_ms = if is_own_zone {
+            OWN_ZONE_WATCH_TIMEOUT_MS
+        } else {
+            WATCH_TIMEOUT_MS
+        };
         if let Some(zone) = &zone {
             request.loads = relay.endpoints.borrow().loads_in(relay.now(), zone);
         }
@@ -195,10 +199,10 @@
                 address = address,
                 zone = reply.zone
             );
-            relay.wake_tellers();
+            relay.notify_crash_reporters();
         }
         is_reached = true;
-        relay.note_control_heard();
+        relay.note_control_reply();
         relay
             .control_reached
             .borrow_mut()
@@ -208,7 +212,7 @@
             .borrow_mut()
             .take_loads(relay.now(), &reply.zone, &reply.loads);
         if zone.is_none() {
-            let telling = tell_loads(
+            let telling = report_loads(
                 Rc::clone(&discovery),
                 address,
                 reply.zone.clone(),
@@ -220,25 +224,25 @@
         is_own_zone = reply.zone == relay.config.zone;
         request.document_seen = reply.document_version.max(request.document_seen);
         request.loads_revision = reply.loads_revision;
-        relay.take_suspects(&reply.suspects);
+        relay.merge_crash_records(&reply.suspects);
         request.suspects_revision = reply.suspects_revision;
         if reply.registry != request.registry {
             // Another life of the replica may have forgotten what it was told.
-            told.begin_anew();
-            relay.wake_tellers();
+            reported.reset();
+            relay.notify_crash_reporters();
         }
         request.registry = reply.registry;
         request.revision = reply.revision;
         discovery.note_document(address, &reply);
-        discovery.take_endpoints(&node, &reply);
+        discovery.merge_endpoints(&node, &reply);
         relay.entries.borrow_mut().note(relay.now(), reply.entries);
-        relay.take_nearby(&reply.entries_nearby);
+        relay.update_zone_share(&reply.entries_nearby);
         if !reply.endpoints.is_empty() {
-            relay.note_news();
+            relay.notify_discovery();
         }
         relay.room_changed.notify_one();
         for (_, member) in &reply.members {
-            discovery.follow_once(*member);
+            discovery.start_watching(*member);
         }
     }
 }
@@ -247,17 +251,22 @@
 ///
 /// A question brings the loads along as well, but the next one may be a second away, and entries
 /// that choose on old loads send their prompts to the same engine.
-async fn tell_loads(discovery: Rc<Discovery>, address: SocketAddr, zone: ZoneId, watcher: Watcher) {
+async fn report_loads(
+    discovery: Rc<Discovery>,
+    address: SocketAddr,
+    zone: ZoneId,
+    watcher: Watcher,
+) {
     let relay = &discovery.relay;
     let mut changes = relay.load_changes.subscribe();
-    let mut told = 0;
+    let mut reported = 0;
     while changes.changed().await.is_ok() {
-        sleep(LOADS_PAUSE).await;
+        sleep(LOAD_REPORT_DELAY).await;
         let count = changes.borrow_and_update().get(&zone).copied();
-        if count.is_none_or(|count| count == told) {
+        if count.is_none_or(|count| count == reported) {
             continue;
         }
-        told = count.unwrap_or_default();
+        reported = count.unwrap_or_default();
         let loads = relay.endpoints.borrow().loads_in(relay.now(), &zone);
         // What a replica that can't be reached misses comes with the next question.
         relay.control.tell_loads(address, &watcher, &loads).await;
--- a/crates/masticsill_relay/src/dispatching.rs
+++ b/crates/masticsill_relay/src/dispatch_queue.rs
@@ -15,16 +15,16 @@
 use crate::events;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
-use crate::reservation::{Place, Reservation};
+use crate::reservation::{Reservation, ReservedLoad};
 
 /// How often the waiting requests are looked through even though nothing changed: what waits in
 /// vain must hear of it soon.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How a wait ended.
 pub(crate) enum WaitEnd {
     Refused(Overload),
-    Sent(Box<Choice>, Box<Reservation>),
+    Assigned(Box<Choice>, Box<Reservation>),
 }
 
 /// Where the ends of waits go, by ticket.
@@ -33,24 +33,24 @@
 /// A request that waits.
 pub(crate) struct Waiter {
     end: oneshot::Sender<WaitEnd>,
-    place: Place,
+    load: ReservedLoad,
 }
 
 /// What became of a request that asked for an endpoint.
 pub(crate) enum Dispatched {
     /// No endpoint of its service is known that it could go to.
-    Nobody,
+    NoEndpoint,
     Refused(Overload),
-    Sent(Box<Choice>, Box<Reservation>),
+    Assigned(Box<Choice>, Box<Reservation>),
 }
 
 /// Takes a request out of the queue when its caller leaves.
-struct Waits<'a> {
+struct QueueGuard<'a> {
     relay: &'a Relay,
     ticket: Ticket,
 }
 
-impl Drop for Waits<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.relay.dispatcher.borrow_mut().withdraw(self.ticket);
         self.relay.waiters.borrow_mut().swap_remove(&self.ticket);
@@ -64,27 +64,27 @@
     need: &Need,
     terms: &Terms,
 ) -> Dispatched {
-    let place = Place::from(&need.work);
+    let load = ReservedLoad::from(&need.work);
     let now = relay.now();
     let decision = {
         let endpoints = relay.endpoints.borrow();
         let closed = relay.full_endpoints(&endpoints, &need.service);
-        let around = surroundings(relay, &closed);
+        let context = dispatch_context(relay, &closed);
         let mut dispatcher = relay.dispatcher.borrow_mut();
-        dispatcher.ask(now, &endpoints, need, terms, &around, rand::random)
+        dispatcher.ask(now, &endpoints, need, terms, &context, rand::random)
     };
     let ticket = match decision {
-        Decision::Nobody => return Dispatched::Nobody,
+        Decision::Nobody => return Dispatched::NoEndpoint,
         Decision::Refuse(overload) => {
             note_overload(relay, request, overload, 0);
             return Dispatched::Refused(overload);
         }
         Decision::Send(choice) => {
             let Some(endpoint) = announcement_of(relay, &choice) else {
-                return Dispatched::Nobody;
+                return Dispatched::NoEndpoint;
             };
-            let reservation = Reservation::take(relay, endpoint, place);
-            return Dispatched::Sent(Box::new(choice), Box::new(reservation));
+            let reservation = Reservation::take(relay, endpoint, load);
+            return Dispatched::Assigned(Box::new(choice), Box::new(reservation));
         }
         Decision::Wait(ticket) => ticket,
     };
@@ -92,14 +92,14 @@
     relay
         .waiters
         .borrow_mut()
-        .insert(ticket, Waiter { end, place });
-    let waits = Waits { relay, ticket };
+        .insert(ticket, Waiter { end, load });
+    let guard = QueueGuard { relay, ticket };
     let end = ended.await;
-    drop(waits);
+    drop(guard);
     let waited_ms = relay.now().since(now);
     relay.metrics.note_wait_ms(waited_ms);
     match end {
-        Ok(WaitEnd::Sent(choice, reservation)) => {
+        Ok(WaitEnd::Assigned(choice, reservation)) => {
             log_event!(
                 info,
                 events::REQUEST_WAITED,
@@ -109,13 +109,13 @@
                 waited_ms = waited_ms,
                 left_ms = request.left_ms(relay.now())
             );
-            Dispatched::Sent(choice, reservation)
+            Dispatched::Assigned(choice, reservation)
         }
         Ok(WaitEnd::Refused(overload)) => {
             note_overload(relay, request, overload, waited_ms);
             Dispatched::Refused(overload)
         }
-        Err(_) => Dispatched::Nobody,
+        Err(_) => Dispatched::NoEndpoint,
     }
 }
 
@@ -123,7 +123,7 @@
 pub(crate) async fn run_dispatch(relay: Rc<Relay>) {
     loop {
         // Without a change in time the queue is looked through as well.
-        let _ = timeout(LOOK_INTERVAL, relay.room_changed.notified()).await;
+        let _ = timeout(QUEUE_CHECK_INTERVAL, relay.room_changed.notified()).await;
         while let Some(ended) = next_end(&relay) {
             end_wait(&relay, ended);
         }
@@ -139,8 +139,8 @@
     let services = dispatcher.waiting_services();
     let closed = services.flat_map(|service| relay.full_endpoints(&endpoints, service));
     let closed: Vec<EndpointId> = closed.collect();
-    let around = surroundings(relay, &closed);
-    dispatcher.next(relay.now(), &endpoints, &around, rand::random)
+    let context = dispatch_context(relay, &closed);
+    dispatcher.next(relay.now(), &endpoints, &context, rand::random)
 }
 
 fn end_wait(relay: &Rc<Relay>, ended: Ended) {
@@ -157,21 +157,21 @@
     let waiter = relay.waiters.borrow_mut().swap_remove(&ticket);
     let endpoint = announcement_of(relay, &choice);
     if let (Some(waiter), Some(endpoint)) = (waiter, endpoint) {
-        let reservation = Reservation::take(relay, endpoint, waiter.place);
+        let reservation = Reservation::take(relay, endpoint, waiter.load);
         // If its caller has just left, the place is free again with this.
         let _ = waiter
             .end
-            .send(WaitEnd::Sent(Box::new(choice), Box::new(reservation)));
+            .send(WaitEnd::Assigned(Box::new(choice), Box::new(reservation)));
     }
 }
 
-fn surroundings<'a>(relay: &'a Relay, closed: &'a [EndpointId]) -> Surroundings<'a> {
+fn dispatch_context<'a>(relay: &'a Relay, closed: &'a [EndpointId]) -> Surroundings<'a> {
     Surroundings {
         closed,
         turns: Turns {
             entries: relay.entry_count(),
             node: &relay.config.node,
-            share: relay.share.get(),
+            share: relay.zone_share.get(),
             zone: &relay.config.zone,
         },
     }
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -66,8 +66,8 @@
         pace: FetchPace::default(),
         parts,
         read: None,
-        slow: IndexSet::new(),
-        turn: rand::random::<u16>().into(),
+        slow_replicas: IndexSet::new(),
+        rotation: rand::random::<u16>().into(),
     };
     tokio::select! {
         () = duty.run() => {}
@@ -86,7 +86,7 @@
 type Pieces = Vec<(PieceHash, PackedPiece)>;
 
 /// What became of a call for pieces.
-struct Answer {
+struct PiecesReply {
     /// Whether another replica was asked because the first was late, and its answer came first.
     is_late: bool,
     pieces: Option<Pieces>,
@@ -101,9 +101,9 @@
     /// The last version that was read.
     read: Option<u64>,
     /// Replicas that were late with pieces of the version that is being fetched.
-    slow: IndexSet<SocketAddr>,
+    slow_replicas: IndexSet<SocketAddr>,
     /// Shares the work of equal replicas among relays.
-    turn: usize,
+    rotation: usize,
 }
 
 impl DocumentDuty {
@@ -129,7 +129,7 @@
             return None;
         }
         self.fetch.begin(list);
-        self.slow.clear();
+        self.slow_replicas.clear();
         while let Some(version) = self.fetch.version() {
             match self.fetch.join() {
                 Ok(Some(document)) => {
@@ -140,7 +140,7 @@
                     });
                 }
                 Ok(None) => {
-                    if !self.fetch_some().await {
+                    if !self.fetch_next().await {
                         // What came is kept for the next version.
                         self.fetch.give_up();
                     }
@@ -162,13 +162,13 @@
     /// late. A list is small; a replica that cuts a large document first needs some time for it.
     async fn list(&self) -> Option<(PieceList, SocketAddr)> {
         let late = Duration::from_millis(self.pace.late_ms() * 2);
-        let mut passed_over = IndexSet::new();
+        let mut skipped = IndexSet::new();
         let mut calls = FuturesUnordered::new();
         loop {
-            match self.lister(&passed_over) {
+            match self.choose_list_source(&skipped) {
                 Some((version, address)) => {
-                    passed_over.insert(address);
-                    calls.push(self.ask_list(address, version));
+                    skipped.insert(address);
+                    calls.push(self.request_list(address, version));
                 }
                 None if calls.is_empty() => return None,
                 None => {}
@@ -179,89 +179,93 @@
         }
     }
 
-    fn lister(&self, passed_over: &IndexSet<SocketAddr>) -> Option<(u64, SocketAddr)> {
+    fn choose_list_source(&self, skipped: &IndexSet<SocketAddr>) -> Option<(u64, SocketAddr)> {
         let sources = self.parts.sources.borrow();
         let now = self.parts.clock.now();
-        let address = sources.lister(now, self.turn, passed_over)?;
+        let address = sources.lister(now, self.rotation, skipped)?;
         Some((sources.newest()?, address))
     }
 
-    async fn ask_list(&self, address: SocketAddr, version: u64) -> Option<(PieceList, SocketAddr)> {
+    async fn request_list(
+        &self,
+        address: SocketAddr,
+        version: u64,
+    ) -> Option<(PieceList, SocketAddr)> {
         let client = &self.client;
         let asked = client.document_pieces(address, version, CALL_TIMEOUT_MS);
         Some((asked.await?, address))
     }
 
     /// Fetches the next pieces, from one replica after the other; false when none has them.
-    async fn fetch_some(&mut self) -> bool {
-        let mut passed_over = self.slow.clone();
+    async fn fetch_next(&mut self) -> bool {
+        let mut skipped = self.slow_replicas.clone();
         loop {
-            let Some(address) = self.holder(&passed_over) else {
-                if self.slow.is_empty() {
+            let Some(address) = self.choose_piece_source(&skipped) else {
+                if self.slow_replicas.is_empty() {
                     return false;
                 }
-                self.slow.clear();
-                passed_over.clear();
+                self.slow_replicas.clear();
+                skipped.clear();
                 continue;
             };
             let wanted = self.fetch.next(self.pace.call_bytes());
             let began = self.parts.clock.now();
-            let answer = self.ask(address, &wanted).await;
+            let reply = self.request_pieces(address, &wanted).await;
             let took_ms = self.parts.clock.now().since(began);
-            let has_taken = self.take(answer.pieces);
-            if answer.is_late {
-                self.slow.insert(address);
+            let has_progress = self.store_pieces(reply.pieces);
+            if reply.is_late {
+                self.slow_replicas.insert(address);
             }
-            if has_taken {
+            if has_progress {
                 let is_relaying = self.parts.is_relaying.load(Ordering::Relaxed);
                 let pause_ms = self.pace.pause_ms(took_ms, is_relaying);
                 sleep(Duration::from_millis(pause_ms)).await;
                 return true;
             }
-            passed_over.insert(address);
+            skipped.insert(address);
         }
     }
 
-    fn holder(&self, passed_over: &IndexSet<SocketAddr>) -> Option<SocketAddr> {
+    fn choose_piece_source(&self, skipped: &IndexSet<SocketAddr>) -> Option<SocketAddr> {
         let version = self.fetch.version()?;
         let sources = self.parts.sources.borrow();
-        sources.holder(version, self.turn, passed_over)
+        sources.holder(version, self.rotation, skipped)
     }
 
     /// Asks a replica, and another one for the first piece alone when the answer is late.
-    async fn ask(&mut self, address: SocketAddr, wanted: &[PieceHash]) -> Answer {
+    async fn request_pieces(&mut self, address: SocketAddr, wanted: &[PieceHash]) -> PiecesReply {
         let began = self.parts.clock.now();
         let client = self.client.clone();
         let asked = client.find_pieces(address, wanted, CALL_TIMEOUT_MS);
         tokio::pin!(asked);
         let late = sleep(Duration::from_millis(self.pace.late_ms()));
-        let answer = tokio::select! {
-            pieces = &mut asked => Answer { is_late: false, pieces },
+        let reply = tokio::select! {
+            pieces = &mut asked => PiecesReply { is_late: false, pieces },
             () = late => {
-                let mut passed_over = self.slow.clone();
-                passed_over.insert(address);
-                match self.holder(&passed_over) {
+                let mut skipped = self.slow_replicas.clone();
+                skipped.insert(address);
+                match self.choose_piece_source(&skipped) {
                     Some(other) => {
                         let hedge = client.find_pieces(other, &wanted[..1], CALL_TIMEOUT_MS);
-                        first_answer(asked, hedge).await
+                        first_reply(asked, hedge).await
                     }
-                    None => Answer { is_late: false, pieces: asked.await },
+                    None => PiecesReply { is_late: false, pieces: asked.await },
                 }
             }
         };
-        match &answer.pieces {
+        match &reply.pieces {
             Some(_) => self.pace.note_answer(self.parts.clock.now().since(began)),
             None => self.pace.note_silence(),
         }
-        answer
+        reply
     }
 
     /// Takes what came; whether something was missing of it.
-    fn take(&mut self, pieces: Option<Pieces>) -> bool {
-        let mut has_taken = false;
+    fn store_pieces(&mut self, pieces: Option<Pieces>) -> bool {
+        let mut has_progress = false;
         for (hash, piece) in pieces.into_iter().flatten() {
             match self.fetch.take(hash, &piece) {
-                Ok(is_missing) => has_taken |= is_missing,
+                Ok(is_missing) => has_progress |= is_missing,
                 Err(cause) => log_event!(
                     error,
                     events::PIECE_DAMAGED,
@@ -270,7 +274,7 @@
                 ),
             }
         }
-        has_taken
+        has_progress
     }
 
     /// Reads a document, and hands it to the relay's thread.
@@ -295,7 +299,7 @@
                 return;
             }
         };
-        self.hand_over(ReadDocument {
+        self.publish(ReadDocument {
             fetch_ms: fetched_at.since(began),
             fetched_bytes: document.fetched_bytes,
             fetched_pieces: document.fetched_pieces,
@@ -306,7 +310,7 @@
         });
     }
 
-    fn hand_over(&self, document: ReadDocument) {
+    fn publish(&self, document: ReadDocument) {
         let mut next = document;
         while let Err(RingFull(document)) = self.parts.read.push(next) {
             if self.parts.read.is_closed() {
@@ -320,15 +324,15 @@
 }
 
 /// The first of two calls that is answered with pieces; none when neither is.
-async fn first_answer(
+async fn first_reply(
     asked: impl Future<Output = Option<Pieces>>,
     hedge: impl Future<Output = Option<Pieces>>,
-) -> Answer {
+) -> PiecesReply {
     let has_some = |pieces: &Option<Pieces>| pieces.as_ref().is_some_and(|it| !it.is_empty());
     tokio::pin!(asked, hedge);
     let (pieces, is_late) = tokio::select! {
         pieces = &mut asked => if has_some(&pieces) { (pieces, false) } else { (hedge.await, true) },
         pieces = &mut hedge => if has_some(&pieces) { (pieces, true) } else { (asked.await, false) },
     };
-    Answer { is_late, pieces }
+    PiecesReply { is_late, pieces }
 }
--- a/crates/masticsill_relay/src/choosing.rs
+++ b/crates/masticsill_relay/src/endpoint_choice.rs
@@ -11,13 +11,13 @@
 use masticsill_types::{ZoneId, log_event};
 use tokio::time::Instant;
 
-use crate::dispatching::{Dispatched, dispatch};
+use crate::dispatch_queue::{Dispatched, dispatch};
+use crate::engine_reservation::reserve_engine;
 use crate::events;
-use crate::places::take_place;
 use crate::prompts::find_kept;
-use crate::relay::{NEWS_BOUND_MS, NEWS_SHARE, Relay};
+use crate::relay::{DISCOVERY_WAIT_DIVISOR, MAX_DISCOVERY_WAIT_MS, Relay};
 use crate::request::RelayRequest;
-use crate::tries::Tries;
+use crate::retry_state::RetryState;
 
 /// Part of the connections that an endpoint accepts which the entries use: health checks and
 /// connections that are just closing take the rest.
@@ -46,7 +46,7 @@
             not_in_zone: Some(&running.zone),
             place: None,
             service: &request.service,
-            share: self.share.get(),
+            share: self.zone_share.get(),
             zone: &self.config.zone,
         };
         let tokens = request.held_tokens(&self.config.headers);
@@ -63,40 +63,47 @@
     pub(crate) async fn choose_or_wait(
         self: &Rc<Self>,
         request: &RelayRequest,
-        tries: &Tries,
+        retry_state: &RetryState,
         is_resume: bool,
     ) -> Dispatched {
-        let mut need = self.need_of(request, tries).await;
+        let mut need = self.need_of(request, retry_state).await;
         let terms = terms_of(request, is_resume);
-        let is_first = tries.excluded.is_empty();
-        let news_ms = request.left_ms(self.now()) / NEWS_SHARE;
-        let news_by = Instant::now() + std::time::Duration::from_millis(news_ms.min(NEWS_BOUND_MS));
+        let is_first = retry_state.excluded.is_empty();
+        let discovery_wait_ms = request.left_ms(self.now()) / DISCOVERY_WAIT_DIVISOR;
+        let discovery_deadline = Instant::now()
+            + std::time::Duration::from_millis(discovery_wait_ms.min(MAX_DISCOVERY_WAIT_MS));
         loop {
-            let mut news = self.news.subscribe();
-            let mut dispatched = Dispatched::Nobody;
-            let mut lists = self.endpoints_kept_from(request);
+            let mut discovery_changes = self.discovery_changes.subscribe();
+            let mut dispatched = Dispatched::NoEndpoint;
+            let mut lists = self.isolation_exclusions(request);
             lists.push(Vec::new());
-            for kept_from in lists {
-                need.excluded = [tries.excluded.as_slice(), &kept_from].concat();
+            for exclusions in lists {
+                need.excluded = [retry_state.excluded.as_slice(), &exclusions].concat();
                 dispatched = dispatch(self, request, &need, &terms).await;
-                if !matches!(dispatched, Dispatched::Nobody) {
+                if !matches!(dispatched, Dispatched::NoEndpoint) {
                     break;
                 }
             }
             match dispatched {
-                Dispatched::Nobody if is_first => {
-                    let changed = tokio::time::timeout_at(news_by, news.changed());
+                Dispatched::NoEndpoint if is_first => {
+                    let changed =
+                        tokio::time::timeout_at(discovery_deadline, discovery_changes.changed());
                     if changed.await.is_err() {
-                        return Dispatched::Nobody;
+                        return Dispatched::NoEndpoint;
                     }
                 }
-                Dispatched::Sent(choice, mut reservation) => {
-                    reservation.note_kept(choice.kept_tokens);
+                Dispatched::Assigned(choice, mut reservation) => {
+                    reservation.note_cached_tokens(choice.kept_tokens);
                     self.mark_suspect(request, &mut reservation);
                     if !is_first || request.route.kind == RouteKind::Stream {
-                        self.note_choice(request, &choice, reservation.endpoint(), tries.sends);
+                        self.note_choice(
+                            request,
+                            &choice,
+                            reservation.endpoint(),
+                            retry_state.sends,
+                        );
                     }
-                    return Dispatched::Sent(choice, reservation);
+                    return Dispatched::Assigned(choice, reservation);
                 }
                 dispatched => return dispatched,
             }
@@ -104,13 +111,13 @@
     }
 
     /// What a request needs of an endpoint.
-    async fn need_of(self: &Rc<Self>, request: &RelayRequest, tries: &Tries) -> Need {
+    async fn need_of(self: &Rc<Self>, request: &RelayRequest, retry_state: &RetryState) -> Need {
         let names = &self.config.headers;
         let (kept, place) = match request.route.kind {
             RouteKind::Stream => {
                 // Boxed, as every request's own state would hold both questions otherwise.
                 let kept = Box::pin(find_kept(self, request));
-                let place = Box::pin(take_place(self, request, tries));
+                let place = Box::pin(reserve_engine(self, request, retry_state));
                 tokio::join!(kept, place)
             }
             RouteKind::Idempotent | RouteKind::NonIdempotent => (Vec::new(), None),
@@ -191,20 +198,25 @@
     }
 
     /// Endpoints of a zone that take requests, but would not be sent this one.
-    pub(crate) fn avoided(&self, service: &str, zone: &ZoneId, tries: &Tries) -> Vec<EndpointId> {
+    pub(crate) fn unusable_endpoints(
+        &self,
+        service: &str,
+        zone: &ZoneId,
+        retry_state: &RetryState,
+    ) -> Vec<EndpointId> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
         let closed = self.full_endpoints(&endpoints, service);
-        let is_avoided = |it: &&Endpoint| {
+        let is_unusable = |it: &&Endpoint| {
             let id = &it.announcement.id;
             let is_known_bad = it.is_held(now) || it.is_silent() || it.is_full(now);
-            is_known_bad || closed.contains(id) || tries.excluded.contains(id)
+            is_known_bad || closed.contains(id) || retry_state.excluded.contains(id)
         };
         let ready = endpoints.iter().filter(|it| it.is_ready());
         let of_zone = ready.filter(|it| it.announcement.zone == *zone);
-        let avoided = of_zone.filter(|it| it.announcement.service == service);
-        let avoided = avoided.filter(is_avoided);
-        avoided.map(|it| it.announcement.id.clone()).collect()
+        let unusable = of_zone.filter(|it| it.announcement.service == service);
+        let unusable = unusable.filter(is_unusable);
+        unusable.map(|it| it.announcement.id.clone()).collect()
     }
 
     /// Whether a service's endpoints in a zone seem to be down together.
--- a/crates/masticsill_relay/src/whole.rs
+++ b/crates/masticsill_relay/src/endpoint_response.rs
@@ -5,22 +5,22 @@
 use masticsill_http1::{Header, ResponseHead};
 use masticsill_types::log_event;
 
-use crate::answer::Answer;
-use crate::attempt::{SendFailure, Sent, fail, failure_of, with_patience};
+use crate::attempt::{Attempt, SendFailure, fail, failure_of, with_silence_timeout};
 use crate::events;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
+use crate::response::Response;
 use masticsill_dispatch::Failure;
 
 /// Bytes of a whole answer at most; it is held until its end has come.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 /// Status of an endpoint that is not the incarnation which the request was meant for.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_REQUEST: u16 = 421;
 
 /// What an answer means for the request.
 pub(crate) enum Verdict {
     /// Pass it on.
-    Answer,
+    Deliver,
     /// It failed; an idempotent request may run again.
     Failed,
     /// It says that the request did not run.
@@ -30,51 +30,53 @@
     },
 }
 
-fn judge(relay: &Relay, head: &ResponseHead) -> Verdict {
+fn classify(relay: &Relay, head: &ResponseHead) -> Verdict {
     let names = &relay.config.headers;
-    let is_replaced = head.status == MISDIRECTED;
+    let is_replaced = head.status == MISDIRECTED_REQUEST;
     if is_replaced || head.headers.all(&names.not_run).next().is_some() {
         Verdict::NotRun { is_replaced }
     } else if head.status >= 500 {
         Verdict::Failed
     } else {
-        Verdict::Answer
+        Verdict::Deliver
     }
 }
 
 /// Reads the rest of an answer whose head has come.
-pub(crate) async fn collect(
+pub(crate) async fn read_response(
     relay: &Rc<Relay>,
     request: &RelayRequest,
-    mut sent: Sent,
+    mut attempt: Attempt,
     head: ResponseHead,
-) -> Result<(Verdict, Answer), SendFailure> {
-    let endpoint = sent.endpoint().clone();
+) -> Result<(Verdict, Response), SendFailure> {
+    let endpoint = attempt.endpoint().clone();
     let now = relay.now();
     let left_ms = request.left_ms(now);
-    let reading = sent.upstream().read_whole(head.framing, MAX_ANSWER_BYTES);
-    let body = match with_patience(relay, &endpoint, now, left_ms, reading).await {
+    let reading = attempt
+        .upstream()
+        .read_whole(head.framing, MAX_RESPONSE_BYTES);
+    let body = match with_silence_timeout(relay, &endpoint, now, left_ms, reading).await {
         Some(Ok(body)) => body,
         Some(Err(error)) => {
             let cause = error.to_string();
-            return Err(fail(relay, request, sent, failure_of(&error), &cause));
+            return Err(fail(relay, request, attempt, failure_of(&error), &cause));
         }
         None => {
             let cause = "half an answer";
-            return Err(fail(relay, request, sent, Failure::Silent, cause));
+            return Err(fail(relay, request, attempt, Failure::Silent, cause));
         }
     };
     let names = &relay.config.headers;
     let is_signed = head.headers.all(&names.signature).next().is_some();
     if (200..300).contains(&head.status) && !is_signed {
         let cause = "a success without a signature";
-        return Err(fail(relay, request, sent, Failure::Malformed, cause));
+        return Err(fail(relay, request, attempt, Failure::Malformed, cause));
     }
-    let verdict = judge(relay, &head);
+    let verdict = classify(relay, &head);
     match verdict {
-        Verdict::Answer => {
+        Verdict::Deliver => {
             relay.note_completion(request);
-            let answer_ms = relay.now().since(sent.borne.began_at);
+            let answer_ms = relay.now().since(attempt.progress.began_at);
             relay.note_answer_ms(&endpoint.id, answer_ms, request.route.target_latency_ms);
         }
         Verdict::Failed => relay.note_completion(request),
@@ -95,18 +97,18 @@
             }
         }
     }
-    let answer = Answer {
+    let response = Response {
         body: body.freeze(),
-        headers: passed_headers(&head),
+        headers: forwarded_headers(&head),
         retry_after_ms: None,
         status: head.status,
     };
-    sent.keep(&head);
-    Ok((verdict, answer))
+    attempt.return_to_pool(&head);
+    Ok((verdict, response))
 }
 
 /// The fields of an endpoint's answer that go to the caller.
-pub(crate) fn passed_headers(head: &ResponseHead) -> Vec<Header> {
+pub(crate) fn forwarded_headers(head: &ResponseHead) -> Vec<Header> {
     let fields = head.headers.end_to_end();
     fields
         .filter(|field| !field.is("content-length"))
--- a/crates/masticsill_relay/src/places.rs
+++ b/crates/masticsill_relay/src/engine_reservation.rs
@@ -9,26 +9,26 @@
 use rand::seq::SliceRandom;
 use tokio::time::{Instant, timeout_at};
 
-use crate::prompts::BOUND;
+use crate::prompts::CONTROL_QUERY_TIMEOUT;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
-use crate::tries::Tries;
+use crate::retry_state::RetryState;
 
 /// Asks for a place at an engine for a stream: in the own zone, and where that has none in the
 /// others, one after the other.
 ///
 /// Without any, what is known of the engines here must do.
-pub(crate) async fn take_place(
+pub(crate) async fn reserve_engine(
     relay: &Rc<Relay>,
     request: &RelayRequest,
-    tries: &Tries,
+    retry_state: &RetryState,
 ) -> Option<EndpointId> {
     let service = &request.service;
-    let bound = Instant::now() + BOUND;
-    let near = near_replica(relay).filter(|_| !relay.is_suspect(service, &relay.config.zone));
-    for (replica, zone) in near.into_iter().chain(far_replicas(relay, service)) {
+    let bound = Instant::now() + CONTROL_QUERY_TIMEOUT;
+    let near = own_zone_replica(relay).filter(|_| !relay.is_suspect(service, &relay.config.zone));
+    for (replica, zone) in near.into_iter().chain(other_zone_replicas(relay, service)) {
         let asked = PlaceRequest {
-            avoided: relay.avoided(service, &zone, tries),
+            avoided: relay.unusable_endpoints(service, &zone, retry_state),
             service: service.clone(),
             watcher: relay.watcher(),
         };
@@ -46,17 +46,18 @@
 }
 
 /// The replica of the own zone that hands out its places: all entries there ask the same one.
-fn near_replica(relay: &Relay) -> Option<(SocketAddr, ZoneId)> {
+fn own_zone_replica(relay: &Relay) -> Option<(SocketAddr, ZoneId)> {
     let near = relay.config.zone.clone();
     Some((first_replica(relay, &near)?, near))
 }
 
 /// A replica of each other zone, in an order drawn at random so that not all who find no place go
 /// to the same one.
-fn far_replicas(relay: &Relay, service: &str) -> Vec<(SocketAddr, ZoneId)> {
+fn other_zone_replicas(relay: &Relay, service: &str) -> Vec<(SocketAddr, ZoneId)> {
     let zones: IndexSet<ZoneId> = relay.control_reached.borrow().values().cloned().collect();
-    let is_far = |zone: &ZoneId| *zone != relay.config.zone && !relay.is_suspect(service, zone);
-    let mut zones: Vec<ZoneId> = zones.into_iter().filter(is_far).collect();
+    let is_other_zone =
+        |zone: &ZoneId| *zone != relay.config.zone && !relay.is_suspect(service, zone);
+    let mut zones: Vec<ZoneId> = zones.into_iter().filter(is_other_zone).collect();
     zones.shuffle(&mut rand::rng());
     let replicas = zones.into_iter();
     let replicas = replicas.filter_map(|zone| Some((first_replica(relay, &zone)?, zone)));
--- a/crates/masticsill_relay/src/doubt.rs
+++ b/crates/masticsill_relay/src/failover.rs
@@ -13,58 +13,64 @@
 use masticsill_types::{ClockMs, log_event};
 use tokio::time::timeout;
 
-use crate::attempt::{Borne, log_failure, with_patience};
-use crate::crash_watch::watch_for_crash;
+use crate::attempt::{RunProgress, log_failure, with_silence_timeout};
+use crate::crash_check::check_for_crash;
 use crate::events;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
-use crate::tries::Obstacle;
+use crate::retry_state::Obstacle;
 
 /// Cause of a send's end where its endpoint's life has ended.
-pub(crate) const LIFE_ENDED: &str = "another life has its id or address";
+pub(crate) const INCARNATION_REPLACED: &str = "another life has its id or address";
 
 /// How the wait for something of a send ended.
-pub(crate) enum Waited<T, N> {
+pub(crate) enum WatchResult<T, N> {
     Done(T),
     /// Its endpoint's life has ended: nothing more can come.
-    Ended,
+    Superseded,
     /// The connection of its successor stands.
     Replaced(N),
     /// The request's time is over.
-    Over,
+    DeadlineReached,
 }
 
 /// A send that is listened to.
-pub(crate) struct Listened<'a> {
+pub(crate) struct WatchedAttempt<'a> {
     /// What its endpoint had borne of the request when it was last heard.
-    pub(crate) borne: Borne,
+    pub(crate) progress: RunProgress,
     pub(crate) endpoint: &'a Announcement,
     /// How its silence is told.
     pub(crate) failure: Failure,
     /// When something of it was heard last.
-    pub(crate) heard_at: ClockMs,
+    pub(crate) last_received_at: ClockMs,
     /// Silence after which it is doubted.
-    pub(crate) patience_ms: u64,
+    pub(crate) silence_timeout_ms: u64,
     pub(crate) relay: &'a Rc<Relay>,
     pub(crate) request: &'a RelayRequest,
 }
 
-impl Listened<'_> {
+impl WatchedAttempt<'_> {
     /// Waits for something of the send until it is to be doubted; `None` then.
-    pub(crate) async fn until_doubted<T, N>(
+    pub(crate) async fn wait_until_silent<T, N>(
         &self,
         waiting: impl Future<Output = T>,
-    ) -> Option<Waited<T, N>> {
+    ) -> Option<WatchResult<T, N>> {
         let (relay, endpoint) = (self.relay, self.endpoint);
-        let heard = with_patience(relay, endpoint, self.heard_at, self.patience_ms, waiting);
+        let heard = with_silence_timeout(
+            relay,
+            endpoint,
+            self.last_received_at,
+            self.silence_timeout_ms,
+            waiting,
+        );
         if let Some(done) = heard.await {
-            return Some(Waited::Done(done));
+            return Some(WatchResult::Done(done));
         }
         if self.request.left_ms(relay.now()) == 0 {
-            return Some(Waited::Over);
+            return Some(WatchResult::DeadlineReached);
         }
-        if relay.has_ended(&endpoint.id) {
-            return Some(Waited::Ended);
+        if relay.has_incarnation_ended(&endpoint.id) {
+            return Some(WatchResult::Superseded);
         }
         relay.note_failure(endpoint, self.failure);
         None
@@ -72,32 +78,32 @@
 
     /// Waits for something of a send that is doubted, or for its successor, whichever comes first; to
     /// the end of the request's time where no successor can be had.
-    pub(crate) async fn until_replaced<T, N>(
+    pub(crate) async fn wait_until_replaced<T, N>(
         &self,
         waiting: impl Future<Output = T>,
         next: impl Future<Output = Result<N, Obstacle>>,
-    ) -> Waited<T, N> {
+    ) -> WatchResult<T, N> {
         let (relay, request) = (self.relay, self.request);
         tokio::pin!(waiting);
         let next = tokio::select! {
             biased;
             done = waiting.as_mut() => {
-                note_went_on(relay, request, self.endpoint, self.heard_at);
-                return Waited::Done(done);
+                note_recovered(relay, request, self.endpoint, self.last_received_at);
+                return WatchResult::Done(done);
             }
             next = next => next,
         };
         if let Ok(next) = next {
             self.note_replaced();
-            return Waited::Replaced(next);
+            return WatchResult::Replaced(next);
         }
         let left = Duration::from_millis(request.left_ms(relay.now()));
         match timeout(left, waiting).await {
             Ok(done) => {
-                note_went_on(relay, request, self.endpoint, self.heard_at);
-                Waited::Done(done)
+                note_recovered(relay, request, self.endpoint, self.last_received_at);
+                WatchResult::Done(done)
             }
-            Err(_) => Waited::Over,
+            Err(_) => WatchResult::DeadlineReached,
         }
     }
 
@@ -111,25 +117,30 @@
             self.failure.name(),
             cause,
         );
-        watch_for_crash(
+        check_for_crash(
             self.relay,
             self.request,
             self.endpoint,
             self.failure,
-            self.borne,
+            self.progress,
         );
     }
 }
 
 /// Notes that a send which was doubted goes on: its endpoint bears no mark of that.
-fn note_went_on(relay: &Relay, request: &RelayRequest, endpoint: &Announcement, heard_at: ClockMs) {
+fn note_recovered(
+    relay: &Relay,
+    request: &RelayRequest,
+    endpoint: &Announcement,
+    last_received_at: ClockMs,
+) {
     relay.with_endpoint(&endpoint.id, |it| it.health.take_back_failure());
     log_event!(
         info,
         events::RUN_WENT_ON,
         request = request.id,
         endpoint = endpoint.id,
-        silent_ms = relay.now().since(heard_at),
+        silent_ms = relay.now().since(last_received_at),
         left_ms = request.left_ms(relay.now())
     );
 }
--- a/crates/masticsill_relay/src/metrics.rs
+++ b/crates/masticsill_relay/src/metrics.rs
@@ -13,7 +13,7 @@
 use masticsill_dispatch::EndpointTable;
 
 /// Bounds of times in milliseconds: from a lookup to a long generation.
-const TIME_BOUNDS_MS: [f64; 14] = [
+const TIME_BUCKETS_MS: [f64; 14] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 350.0, 700.0, 1_500.0, 3_000.0, 4_500.0, 8_000.0,
     15_000.0, 30_000.0,
 ];
@@ -63,7 +63,7 @@
 }
 
 fn time_histogram() -> Histogram {
-    Histogram::new(TIME_BOUNDS_MS)
+    Histogram::new(TIME_BUCKETS_MS)
 }
 
 impl RelayMetrics {
@@ -195,8 +195,8 @@
             EndpointState::Draining,
             EndpointState::Gone,
         ];
-        let said: Vec<EndpointState> = table.iter().map(|it| it.announcement.state).collect();
-        self.endpoints.follow(&shown, &said);
+        let states: Vec<EndpointState> = table.iter().map(|it| it.announcement.state).collect();
+        self.endpoints.follow(&shown, &states);
         let limited = table
             .iter()
             .filter(|it| it.concurrency.is_limited())
--- a/crates/masticsill_relay/src/plain.rs
+++ b/crates/masticsill_relay/src/plain.rs
@@ -4,72 +4,84 @@
 
 use masticsill_registry::EndpointId;
 
-use crate::answer::{Answer, Refusal};
-use crate::attempt::{SendFailure, Sent, exchange, fail, failure_of, open};
-use crate::dispatching::Dispatched;
-use crate::doubt::{LIFE_ENDED, Listened, Waited};
+use crate::attempt::{Attempt, SendFailure, exchange, fail, failure_of, open};
+use crate::dispatch_queue::Dispatched;
+use crate::endpoint_response::{Verdict, read_response};
+use crate::failover::{INCARNATION_REPLACED, WatchResult, WatchedAttempt};
 use crate::relay::Relay;
 use crate::request::{RelayRequest, SendOptions};
-use crate::tries::{Obstacle, Tries};
-use crate::whole::{Verdict, collect};
+use crate::response::{Refusal, Response};
+use crate::retry_state::{Obstacle, RetryState};
 use masticsill_dispatch::Failure;
 
 /// Part of the time aimed at after which an idempotent request is sent elsewhere: what is left
 /// suffices for a healthy endpoint.
-const FIRST_SHARE_PERCENT: u64 = 60;
+const FIRST_SEND_TIMEOUT_PERCENT: u64 = 60;
 
 /// The next send of a request, about to leave.
-struct Next {
-    patience_ms: u64,
-    sent: Sent,
+struct NextAttempt {
+    silence_timeout_ms: u64,
+    attempt: Attempt,
 }
 
 /// How one send ended.
 enum SendEnd {
-    Answered(Verdict, Answer),
+    Answered(Verdict, Response),
     Failed(SendFailure),
     /// It was silent, and its successor's connection stands.
-    Replaced(Box<Next>),
+    Replaced(Box<NextAttempt>),
 }
 
 /// Relays a request until it is answered or given up.
 pub(crate) async fn relay_plain(relay: &Rc<Relay>, request: &RelayRequest) -> PlainEnd {
-    let mut tries = Tries::default();
+    let mut retry_state = RetryState::default();
     let mut failed = None;
-    let mut next = open_next(relay, request, &mut tries).await;
-    while let Ok(Next { patience_ms, sent }) = next {
-        let id = sent.endpoint().id.clone();
-        match send_whole(relay, request, sent, patience_ms, &mut tries).await {
-            SendEnd::Answered(Verdict::Answer, answer) => {
+    let mut next = open_next(relay, request, &mut retry_state).await;
+    while let Ok(NextAttempt {
+        silence_timeout_ms,
+        attempt,
+    }) = next
+    {
+        let id = attempt.endpoint().id.clone();
+        match send_once(
+            relay,
+            request,
+            attempt,
+            silence_timeout_ms,
+            &mut retry_state,
+        )
+        .await
+        {
+            SendEnd::Answered(Verdict::Deliver, response) => {
                 return PlainEnd::Answered {
-                    answer,
+                    response,
                     endpoint: id,
-                    sends: tries.sends + 1,
+                    sends: retry_state.sends + 1,
                 };
             }
-            SendEnd::Answered(Verdict::Failed, answer) => {
-                tries.note(id.clone(), &SendFailure::MayHaveRun);
-                failed = Some((answer, id));
+            SendEnd::Answered(Verdict::Failed, response) => {
+                retry_state.note(id.clone(), &SendFailure::MayHaveRun);
+                failed = Some((response, id));
             }
             SendEnd::Answered(Verdict::NotRun { is_replaced }, _) => {
-                tries.note_not_run(!is_replaced);
-                tries.exclude(id);
+                retry_state.note_not_run(!is_replaced);
+                retry_state.exclude(id);
             }
-            SendEnd::Failed(failure) => tries.note(id, &failure),
+            SendEnd::Failed(failure) => retry_state.note(id, &failure),
             SendEnd::Replaced(it) => {
                 next = Ok(*it);
                 continue;
             }
         }
-        next = open_next(relay, request, &mut tries).await;
+        next = open_next(relay, request, &mut retry_state).await;
     }
     match failed {
-        Some((answer, endpoint)) => PlainEnd::Answered {
-            answer,
+        Some((response, endpoint)) => PlainEnd::Answered {
+            response,
             endpoint,
-            sends: tries.sends,
+            sends: retry_state.sends,
         },
-        None => PlainEnd::Refused(tries.refusal(relay, request)),
+        None => PlainEnd::Refused(retry_state.refusal(relay, request)),
     }
 }
 
@@ -77,15 +89,15 @@
 async fn open_next(
     relay: &Rc<Relay>,
     request: &RelayRequest,
-    tries: &mut Tries,
-) -> Result<Next, Obstacle> {
+    retry_state: &mut RetryState,
+) -> Result<NextAttempt, Obstacle> {
     loop {
         if request.left_ms(relay.now()) == 0 {
             return Err(Obstacle::Deadline);
         }
-        match try_open(relay, request, tries).await {
-            Err(Obstacle::Unreached) => {}
-            Err(Obstacle::Held { left_ms }) => relay.await_judgement(left_ms).await,
+        match try_open(relay, request, retry_state).await {
+            Err(Obstacle::Unreachable) => {}
+            Err(Obstacle::Held { left_ms }) => relay.wait_for_crash_change(left_ms).await,
             opened => return opened,
         }
     }
@@ -94,24 +106,27 @@
 async fn try_open(
     relay: &Rc<Relay>,
     request: &RelayRequest,
-    tries: &mut Tries,
-) -> Result<Next, Obstacle> {
-    tries.may_go_on(relay, request, false)?;
-    if !tries.has_budget(relay, request) {
+    retry_state: &mut RetryState,
+) -> Result<NextAttempt, Obstacle> {
+    retry_state.check_may_send(relay, request, false)?;
+    if !retry_state.has_budget(relay, request) {
         relay.note_retry_refused(&request.service);
         return Err(Obstacle::Budget);
     }
-    let (choice, reservation) = match relay.choose_or_wait(request, tries, false).await {
-        Dispatched::Sent(choice, reservation) => (choice, *reservation),
+    let (choice, reservation) = match relay.choose_or_wait(request, retry_state, false).await {
+        Dispatched::Assigned(choice, reservation) => (choice, *reservation),
         Dispatched::Refused(overload) => {
-            tries.note_overload(overload);
+            retry_state.note_overload(overload);
             return Err(Obstacle::Overloaded);
         }
-        Dispatched::Nobody => return Err(Obstacle::Nobody),
+        Dispatched::NoEndpoint => return Err(Obstacle::NoEndpoint),
     };
-    let patience_ms = patience_ms(relay, request, tries, choice.candidates);
-    let sent = open(relay, request, reservation, tries).await?;
-    Ok(Next { patience_ms, sent })
+    let silence_timeout_ms = silence_timeout_ms(relay, request, retry_state, choice.candidates);
+    let attempt = open(relay, request, reservation, retry_state).await?;
+    Ok(NextAttempt {
+        silence_timeout_ms,
+        attempt,
+    })
 }
 
 /// The end of a plain request.
@@ -119,7 +134,7 @@
 pub(crate) enum PlainEnd {
     /// With an endpoint's answer.
     Answered {
-        answer: Answer,
+        response: Response,
         endpoint: EndpointId,
         sends: u32,
     },
@@ -128,77 +143,82 @@
 }
 
 /// How long an endpoint may take before an idempotent request is sent to another.
-fn patience_ms(relay: &Relay, request: &RelayRequest, tries: &Tries, candidates: usize) -> u64 {
+fn silence_timeout_ms(
+    relay: &Relay,
+    request: &RelayRequest,
+    retry_state: &RetryState,
+    candidates: usize,
+) -> u64 {
     let left_ms = request.left_ms(relay.now());
-    let has_more_sends = tries.sends + 1 < request.route.max_attempts;
+    let has_more_sends = retry_state.sends + 1 < request.route.max_attempts;
     // In an overload a slow answer tells of the overload, and a second send makes it larger.
     let dispatcher = relay.dispatcher.borrow();
     let is_overloaded = dispatcher.is_overloaded(relay.now(), &request.service);
     if !request.route.may_repeat() || !has_more_sends || candidates < 2 || is_overloaded {
         return left_ms;
     }
-    left_ms.min(request.route.target_latency_ms * FIRST_SHARE_PERCENT / 100)
+    left_ms.min(request.route.target_latency_ms * FIRST_SEND_TIMEOUT_PERCENT / 100)
 }
 
 /// Sends a request on its connection and reads its whole answer. After `patience_ms` it is listened to
 /// until its successor is connected.
-async fn send_whole(
+async fn send_once(
     relay: &Rc<Relay>,
     request: &RelayRequest,
-    mut sent: Sent,
-    patience_ms: u64,
-    tries: &mut Tries,
+    mut attempt: Attempt,
+    silence_timeout_ms: u64,
+    retry_state: &mut RetryState,
 ) -> SendEnd {
-    let endpoint = sent.endpoint().clone();
+    let endpoint = attempt.endpoint().clone();
     let options = SendOptions::default();
-    let listened = Listened {
-        borne: sent.begin(0),
+    let watched = WatchedAttempt {
+        progress: attempt.begin(0),
         endpoint: &endpoint,
         failure: Failure::Silent,
-        heard_at: relay.now(),
-        patience_ms,
+        last_received_at: relay.now(),
+        silence_timeout_ms,
         relay,
         request,
     };
-    let exchange = exchange(relay, request, &mut sent, &options);
-    let waited = listen(&listened, tries, exchange).await;
+    let exchange = exchange(relay, request, &mut attempt, &options);
+    let waited = watch_attempt(&watched, retry_state, exchange).await;
     let head = match waited {
-        Waited::Done(Ok(head)) => head,
-        Waited::Done(Err(error)) => {
+        WatchResult::Done(Ok(head)) => head,
+        WatchResult::Done(Err(error)) => {
             let (failure, cause) = (failure_of(&error), error.to_string());
-            return SendEnd::Failed(fail(relay, request, sent, failure, &cause));
+            return SendEnd::Failed(fail(relay, request, attempt, failure, &cause));
         }
-        Waited::Ended => {
+        WatchResult::Superseded => {
             let failure = Failure::Replaced;
-            return SendEnd::Failed(fail(relay, request, sent, failure, LIFE_ENDED));
+            return SendEnd::Failed(fail(relay, request, attempt, failure, INCARNATION_REPLACED));
         }
-        Waited::Replaced(next) => return SendEnd::Replaced(Box::new(next)),
-        Waited::Over => {
+        WatchResult::Replaced(next) => return SendEnd::Replaced(Box::new(next)),
+        WatchResult::DeadlineReached => {
             let failure = Failure::Silent;
-            return SendEnd::Failed(fail(relay, request, sent, failure, "no answer"));
+            return SendEnd::Failed(fail(relay, request, attempt, failure, "no answer"));
         }
     };
-    match collect(relay, request, sent, head).await {
-        Ok((verdict, answer)) => SendEnd::Answered(verdict, answer),
+    match read_response(relay, request, attempt, head).await {
+        Ok((verdict, response)) => SendEnd::Answered(verdict, response),
         Err(failure) => SendEnd::Failed(failure),
     }
 }
 
 /// Waits for the head of an answer; once it is doubted, for a successor as well.
-async fn listen<T>(
-    listened: &Listened<'_>,
-    tries: &mut Tries,
+async fn watch_attempt<T>(
+    watched: &WatchedAttempt<'_>,
+    retry_state: &mut RetryState,
     waiting: impl Future<Output = T>,
-) -> Waited<T, Next> {
+) -> WatchResult<T, NextAttempt> {
     tokio::pin!(waiting);
-    if let Some(ended) = listened.until_doubted(waiting.as_mut()).await {
+    if let Some(ended) = watched.wait_until_silent(waiting.as_mut()).await {
         return ended;
     }
-    let doubt = tries.begin_doubt(listened.endpoint.id.clone());
-    let next = open_next(listened.relay, listened.request, tries);
-    let waited = listened.until_replaced(waiting, next).await;
-    if !matches!(waited, Waited::Replaced(_)) {
-        tries.end_doubt(&doubt);
+    let presumed = retry_state.presume_failed(watched.endpoint.id.clone());
+    let next = open_next(watched.relay, watched.request, retry_state);
+    let waited = watched.wait_until_replaced(waiting, next).await;
+    if !matches!(waited, WatchResult::Replaced(_)) {
+        retry_state.retract_presumed_failure(&presumed);
     }
     waited
 }
--- a/crates/masticsill_relay/src/prompts.rs
+++ b/crates/masticsill_relay/src/prompts.rs
@@ -15,9 +15,9 @@
 
 /// Longest wait for the control replicas: several times the way to another zone and back (3 ms),
 /// and a few hundredths of what reading a long prompt takes.
-pub(crate) const BOUND: Duration = Duration::from_millis(25);
+pub(crate) const CONTROL_QUERY_TIMEOUT: Duration = Duration::from_millis(25);
 /// Prompts below this are read faster than they are asked about.
-const LEAST_TOKENS: u64 = 512;
+const MIN_PROMPT_TOKENS: u64 = 512;
 
 /// Asks the control replicas which engines keep the beginning of a stream's prompt.
 ///
@@ -29,7 +29,7 @@
     let tokens = prompt
         .iter()
         .fold(0, |sum: u64, part| sum.saturating_add(part.tokens));
-    if request.route.kind != RouteKind::Stream || tokens < LEAST_TOKENS {
+    if request.route.kind != RouteKind::Stream || tokens < MIN_PROMPT_TOKENS {
         return Vec::new();
     }
     let replicas: Vec<SocketAddr> = relay.control_reached.borrow().keys().copied().collect();
@@ -43,7 +43,7 @@
         });
     }
     drop(found);
-    let bound = Instant::now() + BOUND;
+    let bound = Instant::now() + CONTROL_QUERY_TIMEOUT;
     let mut kept = Vec::new();
     while let Ok(Some(answer)) = timeout_at(bound, answers.recv()).await {
         kept.extend(answer);
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -23,35 +23,35 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::config::RelayConfig;
-use crate::dispatching::Waiters;
+use crate::dispatch_queue::Waiters;
 use crate::events;
 use crate::metrics::{CauseLabel, RelayMetrics};
-use crate::pool::Pool;
-use crate::server::END_MARGIN;
-use crate::stream_times::StreamTimes;
+use crate::pool::ConnectionPool;
+use crate::server::SHUTDOWN_MARGIN;
+use crate::stream_durations::StreamDurations;
 
 /// Part of a request's time that it may wait for a first document or endpoint: the rest must
 /// suffice to serve it, or to come back elsewhere.
-pub(crate) const NEWS_SHARE: u64 = 10;
+pub(crate) const DISCOVERY_WAIT_DIVISOR: u64 = 10;
 /// Longest such wait: an instance that starts knows both within a second or two.
-pub(crate) const NEWS_BOUND_MS: u64 = 2_500;
+pub(crate) const MAX_DISCOVERY_WAIT_MS: u64 = 2_500;
 
 /// Time after the beginning of a shutdown in which streams are still begun: the balancer needs
 /// it to turn elsewhere.
-const STREAMS_UNTIL_MS: u64 = 1_200;
+const NEW_STREAMS_AFTER_SHUTDOWN_MS: u64 = 1_200;
 
 /// Endpoints that stand still: those who wait for them turn elsewhere.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Alarm {
+pub(crate) enum StallAlert {
     /// One endpoint.
     Endpoint(EndpointId),
     /// Those of a service in a zone.
     Zone { service: String, zone: ZoneId },
 }
 
-impl Alarm {
+impl StallAlert {
     /// Whether it tells of an endpoint.
-    pub(crate) fn is_about(&self, endpoint: &Announcement) -> bool {
+    pub(crate) fn applies_to(&self, endpoint: &Announcement) -> bool {
         match self {
             Self::Endpoint(id) => *id == endpoint.id,
             Self::Zone { service, zone } => *service == endpoint.service && *zone == endpoint.zone,
@@ -63,7 +63,7 @@
 pub(crate) struct Relay {
     /// Requests that are being answered.
     pub(crate) active: Cell<u32>,
-    pub(crate) alarms: watch::Sender<Option<Alarm>>,
+    pub(crate) stall_alerts: watch::Sender<Option<StallAlert>>,
     pub(crate) budgets: RefCell<IndexMap<String, RetryBudget>>,
     pub(crate) clock: MonotonicClock,
     pub(crate) config: RelayConfig,
@@ -71,7 +71,7 @@
     /// Control replicas that answered last time, and their zones.
     pub(crate) control_reached: RefCell<IndexMap<SocketAddr, ZoneId>>,
     /// Requests of whose endpoints it is being found out whether they crashed.
-    pub(crate) checked: RefCell<Vec<Fingerprint>>,
+    pub(crate) crash_checks: RefCell<Vec<Fingerprint>>,
     /// Requests under which endpoints crashed.
     pub(crate) crashes: RefCell<CrashLedger>,
     /// The requests that wait for an endpoint, in the order in which they go.
@@ -87,27 +87,27 @@
     /// Entries that share budgets and connections, this one included.
     pub(crate) entries: RefCell<EntryCount>,
     /// When anything came last, from an endpoint or a control replica.
-    pub(crate) heard_at: Cell<ClockMs>,
+    pub(crate) last_received_at: Cell<ClockMs>,
     pub(crate) metrics: RelayMetrics,
     /// Counts what was learned of requests that crash endpoints, for the tasks that tell and judge it.
-    pub(crate) noted_crashes: watch::Sender<u64>,
+    pub(crate) crash_changes: watch::Sender<u64>,
     /// The newest version of the document that a control replica told of.
     newest_document: Cell<Option<u64>>,
     /// Counts what was learned of the document and the endpoints, for requests that wait for it.
-    pub(crate) news: watch::Sender<u64>,
+    pub(crate) discovery_changes: watch::Sender<u64>,
     /// The document in force here; swapped as a whole, so that no request sees two versions.
     pub(crate) index: RefCell<Option<Arc<RouteIndex>>>,
     /// What callers' attempts tell of those before.
-    pub(crate) patience: RefCell<CallerPatience>,
-    pub(crate) pool: RefCell<Pool>,
+    pub(crate) prior_wait_estimator: RefCell<CallerPatience>,
+    pub(crate) pool: RefCell<ConnectionPool>,
     /// Told whenever an endpoint may have room for a request that waits.
     pub(crate) room_changed: Notify,
     /// This entry's place among those of its zone.
-    pub(crate) share: Cell<ZoneShare>,
+    pub(crate) zone_share: Cell<ZoneShare>,
     pub(crate) stopping: ShutdownSignal,
     /// Where requests run under which an endpoint has crashed.
     pub(crate) suspect_runs: RefCell<Vec<(Fingerprint, EndpointId)>>,
-    pub(crate) stream_times: Cell<StreamTimes>,
+    pub(crate) stream_durations: Cell<StreamDurations>,
     /// Where the ends of waits go.
     pub(crate) waiters: RefCell<Waiters>,
     /// When the graceful shutdown began.
@@ -131,16 +131,16 @@
         is_relaying: Arc<AtomicBool>,
         metrics: RelayMetrics,
     ) -> Self {
-        let heard_at = Cell::new(clock.now());
+        let last_received_at = Cell::new(clock.now());
         Self {
             active: Cell::new(0),
-            alarms: watch::Sender::new(None),
+            stall_alerts: watch::Sender::new(None),
             budgets: RefCell::default(),
             clock,
             config,
             control: ControlClient::new(AddressBook::default()),
             control_reached: RefCell::default(),
-            checked: RefCell::default(),
+            crash_checks: RefCell::default(),
             crashes: RefCell::default(),
             dispatcher: RefCell::default(),
             endpoints: RefCell::default(),
@@ -148,19 +148,19 @@
             is_relaying,
             load_changes: watch::Sender::default(),
             entries: RefCell::default(),
-            heard_at,
+            last_received_at,
             metrics,
             newest_document: Cell::new(None),
-            noted_crashes: watch::Sender::new(0),
-            news: watch::Sender::new(0),
+            crash_changes: watch::Sender::new(0),
+            discovery_changes: watch::Sender::new(0),
             index: RefCell::new(None),
-            patience: RefCell::default(),
+            prior_wait_estimator: RefCell::default(),
             pool: RefCell::default(),
             room_changed: Notify::new(),
-            share: Cell::new(ZoneShare::default()),
+            zone_share: Cell::new(ZoneShare::default()),
             stopping,
             suspect_runs: RefCell::default(),
-            stream_times: Cell::default(),
+            stream_durations: Cell::default(),
             waiters: RefCell::default(),
             stopping_since: Cell::new(None),
         }
@@ -175,11 +175,11 @@
     }
 
     /// Puts a document in force here.
-    pub(crate) fn take_index(&self, index: RouteIndex) {
+    pub(crate) fn install_index(&self, index: RouteIndex) {
         self.metrics.document_version.set(index.document().version);
         *self.index.borrow_mut() = Some(Arc::new(index));
         self.has_document.store(true, Ordering::Release);
-        self.note_news();
+        self.notify_discovery();
     }
 
     /// Notes the version of the document that a control replica has.
@@ -196,37 +196,40 @@
     }
 
     /// Wakes the requests that wait for a document or an endpoint.
-    pub(crate) fn note_news(&self) {
-        self.news.send_modify(|count| *count += 1);
+    pub(crate) fn notify_discovery(&self) {
+        self.discovery_changes.send_modify(|count| *count += 1);
     }
 
     /// Waits until something is found, `bound_ms` at most.
     ///
     /// Of an instance that has just started, a request asks for what will be known in a moment: it
     /// has not been given up, and is better served here than sent away.
-    pub(crate) async fn await_news<T>(
+    pub(crate) async fn wait_for_discovery<T>(
         &self,
         bound_ms: u64,
         mut find: impl FnMut() -> Option<T>,
     ) -> Option<T> {
-        let mut news = self.news.subscribe();
+        let mut discovery_changes = self.discovery_changes.subscribe();
         let bound = Instant::now() + Duration::from_millis(bound_ms);
         loop {
             if let Some(found) = find() {
                 return Some(found);
             }
-            if timeout_at(bound, news.changed()).await.is_err() {
+            if timeout_at(bound, discovery_changes.changed())
+                .await
+                .is_err()
+            {
                 return None;
             }
         }
     }
 
     /// Takes the names of the entries in this zone.
-    pub(crate) fn take_nearby(&self, nearby: &[NodeId]) {
+    pub(crate) fn update_zone_share(&self, nearby: &[NodeId]) {
         let place = nearby.iter().position(|node| *node == self.config.node);
         if let Some(place) = place {
             let entries = nearby.len();
-            self.share.set(ZoneShare { entries, place });
+            self.zone_share.set(ZoneShare { entries, place });
         }
     }
 
@@ -238,19 +241,20 @@
 
     /// Notes the time of a whole stream.
     pub(crate) fn note_stream_ms(&self, took_ms: u64) {
-        let mut times = self.stream_times.get();
-        times.note(took_ms);
-        self.stream_times.set(times);
+        let mut times = self.stream_durations.get();
+        times.record(took_ms);
+        self.stream_durations.set(times);
     }
 
     /// Whether a stream may still be begun: a graceful shutdown must not cut it.
-    pub(crate) fn takes_streams(&self) -> bool {
+    pub(crate) fn accepts_streams(&self) -> bool {
         let Some(stopping_for_ms) = self.stopping_for_ms() else {
             return true;
         };
         let left = Duration::from_millis(self.config.grace_ms.saturating_sub(stopping_for_ms));
-        let left = left.saturating_sub(END_MARGIN);
-        stopping_for_ms <= STREAMS_UNTIL_MS && self.stream_times.get().fits(left)
+        let left = left.saturating_sub(SHUTDOWN_MARGIN);
+        stopping_for_ms <= NEW_STREAMS_AFTER_SHUTDOWN_MS
+            && self.stream_durations.get().fits_within(left)
     }
 
     /// This entry, as control replicas know it.
@@ -279,7 +283,7 @@
     }
 
     /// Whether an endpoint's life is known to have ended, so that nothing more can come of it.
-    pub(crate) fn has_ended(&self, id: &EndpointId) -> bool {
+    pub(crate) fn has_incarnation_ended(&self, id: &EndpointId) -> bool {
         let endpoints = self.endpoints.borrow();
         endpoints.is_outlived(id) || endpoints.get(id).is_some_and(Endpoint::is_replaced)
     }
@@ -321,7 +325,7 @@
     }
 
     /// Notes what changes too often to be counted at each change.
-    pub(crate) fn note_gauges(&self) {
+    pub(crate) fn update_gauges(&self) {
         let (now, entries) = (self.now(), self.entry_count());
         self.metrics.active.set(i64::from(self.active.get()));
         let is_behind = self.is_behind_document();
@@ -360,7 +364,7 @@
         if failure != Failure::Stalled {
             return;
         }
-        let alarm = if is_zone_still {
+        let alert = if is_zone_still {
             log_event!(
                 warn,
                 events::ZONE_SUSPECT,
@@ -368,22 +372,23 @@
                 service = endpoint.service,
                 endpoint = endpoint.id
             );
-            Alarm::Zone {
+            StallAlert::Zone {
                 service: endpoint.service.clone(),
                 zone: endpoint.zone.clone(),
             }
         } else {
-            Alarm::Endpoint(id.clone())
+            StallAlert::Endpoint(id.clone())
         };
-        self.alarms.send_replace(Some(alarm));
+        self.stall_alerts.send_replace(Some(alert));
     }
 
     /// Ends a life of an endpoint that has begun anew under its id: it answers nothing any more.
     ///
     /// Its connections lead to nobody, or to its successor. What was sent on them may have run.
-    pub(crate) fn end_life(&self, id: &EndpointId) {
+    pub(crate) fn retire_incarnation(&self, id: &EndpointId) {
         self.pool.borrow_mut().drop_endpoint(id);
-        self.alarms.send_replace(Some(Alarm::Endpoint(id.clone())));
+        self.stall_alerts
+            .send_replace(Some(StallAlert::Endpoint(id.clone())));
     }
 
     /// Notes that an endpoint refused a request for want of room.
@@ -398,8 +403,8 @@
     }
 
     /// Notes that a control replica answered.
-    pub(crate) fn note_control_heard(&self) {
-        self.heard_at.set(self.now());
+    pub(crate) fn note_control_reply(&self) {
+        self.last_received_at.set(self.now());
     }
 
     /// Notes that a control replica stopped answering; where no other one of its zone answers, nothing
@@ -416,13 +421,13 @@
 
     /// How long nothing has come from any endpoint or control replica.
     pub(crate) fn silent_ms(&self) -> u64 {
-        self.now().since(self.heard_at.get())
+        self.now().since(self.last_received_at.get())
     }
 
     /// Notes that a byte of an endpoint's answer came.
     pub(crate) fn note_heard(&self, id: &EndpointId) {
         let now = self.now();
-        self.heard_at.set(now);
+        self.last_received_at.set(now);
         self.with_endpoint(id, |it| it.health.note_heard(now));
     }
 
@@ -476,11 +481,11 @@
 
 /// Counts a request as being answered, until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveRequest {
     relay: Rc<Relay>,
 }
 
-impl Active {
+impl ActiveRequest {
     pub(crate) fn begin(relay: &Rc<Relay>) -> Self {
         relay.active.set(relay.active.get() + 1);
         relay.is_relaying.store(true, Ordering::Relaxed);
@@ -490,7 +495,7 @@
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         let left = self.relay.active.get() - 1;
         self.relay.active.set(left);
--- a/crates/masticsill_relay/src/ending.rs
+++ b/crates/masticsill_relay/src/request_end.rs
@@ -8,37 +8,37 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-use crate::answer::{Answer, Refusal};
 use crate::events;
 use crate::metrics::{CauseLabel, as_f64};
 use crate::plain::PlainEnd;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
+use crate::response::{Refusal, Response};
 use crate::stream::{BrokenOff, StreamEnd};
-use crate::timing::Timing;
+use crate::stream_timing::StreamTiming;
 
 /// Kind of a request that no route was found for, in metrics.
 const UNADMITTED: &str = "unadmitted";
 
 /// Whether the connection goes on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum After {
+pub(crate) enum ConnectionAction {
     /// Ended after an answer that said so.
     Close,
     /// Ended after an answer that did not say so: the shutdown began meanwhile.
-    CloseUnsaid,
+    CloseUnannounced,
     /// Cut without an end: the answer is not whole.
-    Cut,
+    Abort,
     /// Goes on with the next request.
     Keep,
 }
 
-impl After {
+impl ConnectionAction {
     /// The same for a caller that sends no further request.
     pub(crate) fn at_least_close(self) -> Self {
         match self {
             Self::Keep => Self::Close,
-            Self::Close | Self::CloseUnsaid | Self::Cut => self,
+            Self::Close | Self::CloseUnannounced | Self::Abort => self,
         }
     }
 }
@@ -49,15 +49,15 @@
     writer: &mut OwnedWriteHalf,
     request: &RelayRequest,
     end: PlainEnd,
-) -> After {
+) -> ConnectionAction {
     match end {
         PlainEnd::Answered {
-            answer,
+            response,
             endpoint,
             sends,
         } => {
-            log_answered(relay, request, answer.status, &endpoint, sends);
-            write_answer(relay, writer, &answer, request.head.is_keep_alive).await
+            log_answered(relay, request, response.status, &endpoint, sends);
+            write_answer(relay, writer, &response, request.head.is_keep_alive).await
         }
         PlainEnd::Refused(refusal) => refuse(relay, writer, request, refusal).await,
     }
@@ -70,7 +70,7 @@
     request: &RelayRequest,
     end: StreamEnd,
     is_closing: bool,
-) -> After {
+) -> ConnectionAction {
     match end {
         StreamEnd::Whole {
             endpoint,
@@ -81,24 +81,24 @@
             relay.note_stream_ms(relay.now().since(request.received_at));
             log_whole_stream(relay, request, &endpoint, resumes, timing);
             match (is_closing, relay.stopping.is_requested()) {
-                (true, _) => After::Close,
-                (false, true) => After::CloseUnsaid,
-                (false, false) => After::Keep,
+                (true, _) => ConnectionAction::Close,
+                (false, true) => ConnectionAction::CloseUnannounced,
+                (false, false) => ConnectionAction::Keep,
             }
         }
-        StreamEnd::Plain(answer, endpoint) => {
-            log_answered(relay, request, answer.status, &endpoint, 1);
-            write_answer(relay, writer, &answer, request.head.is_keep_alive).await
+        StreamEnd::Plain(response, endpoint) => {
+            log_answered(relay, request, response.status, &endpoint, 1);
+            write_answer(relay, writer, &response, request.head.is_keep_alive).await
         }
         StreamEnd::Refused(refusal) => refuse(relay, writer, request, refusal).await,
         StreamEnd::BrokenOff(broken) => {
             note_broken_off(relay, request, &broken);
-            After::Cut
+            ConnectionAction::Abort
         }
         StreamEnd::CallerLeft(error) => {
             note_end(relay, request, "caller_left");
             log_caller_left(relay, &request.id, request.received_at, error);
-            After::Cut
+            ConnectionAction::Abort
         }
     }
 }
@@ -132,7 +132,7 @@
     writer: &mut OwnedWriteHalf,
     request: &RelayRequest,
     refusal: Refusal,
-) -> After {
+) -> ConnectionAction {
     note_end(relay, request, refusal.name());
     write_refusal(
         relay,
@@ -151,17 +151,20 @@
     request_id: &str,
     refusal: Refusal,
     is_kept: bool,
-) -> After {
+) -> ConnectionAction {
     relay.metrics.note_end(UNADMITTED, refusal.name());
     write_refusal(relay, writer, request_id, refusal, is_kept).await
 }
 
 /// Answers what is no request; the connection can't go on after it.
-pub(crate) async fn write_own(writer: &mut OwnedWriteHalf, refusal: Refusal) -> After {
-    let bytes = Answer::own(refusal).to_bytes(true);
+pub(crate) async fn write_final_refusal(
+    writer: &mut OwnedWriteHalf,
+    refusal: Refusal,
+) -> ConnectionAction {
+    let bytes = Response::from_refusal(refusal).to_bytes(true);
     match writer.write_all(&bytes).await {
-        Ok(()) => After::Close,
-        Err(_) => After::Cut,
+        Ok(()) => ConnectionAction::Close,
+        Err(_) => ConnectionAction::Abort,
     }
 }
 
@@ -171,7 +174,7 @@
     request_id: &str,
     refusal: Refusal,
     is_kept: bool,
-) -> After {
+) -> ConnectionAction {
     log_event!(
         warn,
         events::REQUEST_REFUSED,
@@ -180,21 +183,21 @@
         status = refusal.status(),
         active = relay.active.get()
     );
-    write_answer(relay, writer, &Answer::own(refusal), is_kept).await
+    write_answer(relay, writer, &Response::from_refusal(refusal), is_kept).await
 }
 
 async fn write_answer(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
-    answer: &Answer,
+    response: &Response,
     is_kept: bool,
-) -> After {
+) -> ConnectionAction {
     let is_closing = !is_kept || relay.stopping.is_requested();
-    let bytes = answer.to_bytes(is_closing);
+    let bytes = response.to_bytes(is_closing);
     match writer.write_all(&bytes).await {
-        Ok(()) if is_closing => After::Close,
-        Ok(()) => After::Keep,
-        Err(_) => After::Cut,
+        Ok(()) if is_closing => ConnectionAction::Close,
+        Ok(()) => ConnectionAction::Keep,
+        Err(_) => ConnectionAction::Abort,
     }
 }
 
@@ -253,7 +256,7 @@
     request: &RelayRequest,
     endpoint: &EndpointId,
     resumes: u32,
-    timing: Timing,
+    timing: StreamTiming,
 ) {
     let first_ms = timing.first_ms.unwrap_or_default();
     relay.metrics.first_event_ms.observe(as_f64(first_ms));
--- a/crates/masticsill_relay/src/reservation.rs
+++ b/crates/masticsill_relay/src/reservation.rs
@@ -14,7 +14,7 @@
 
 /// What a request takes at an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Place {
+pub(crate) enum ReservedLoad {
     /// A run that goes on from a copy of its memory: nothing is read.
     Copy {
         /// Tokens that it holds in the end.
@@ -31,7 +31,7 @@
     Whole,
 }
 
-impl From<&Work> for Place {
+impl From<&Work> for ReservedLoad {
     fn from(work: &Work) -> Self {
         match work {
             Work::Stream {
@@ -47,7 +47,7 @@
     }
 }
 
-impl Place {
+impl ReservedLoad {
     fn tokens(self) -> u64 {
         match self {
             Self::Copy { tokens } | Self::Prompt { tokens, .. } => tokens,
@@ -58,7 +58,7 @@
 
 /// A prompt that is being read.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct Prefill {
     began_at: ClockMs,
     /// Whether no other prompt was before it, so that its time tells of the engine.
     is_alone: bool,
@@ -69,8 +69,8 @@
 #[derive(Debug)]
 pub(crate) struct Reservation {
     endpoint: Announcement,
-    place: Place,
-    reading: Option<Reading>,
+    load: ReservedLoad,
+    prefill: Option<Prefill>,
     relay: Rc<Relay>,
     /// The request, if an endpoint has crashed under it.
     suspect: Option<Fingerprint>,
@@ -78,12 +78,12 @@
 
 impl Reservation {
     /// Takes a place.
-    pub(crate) fn take(relay: &Rc<Relay>, endpoint: Announcement, place: Place) -> Self {
-        let mut reading = None;
+    pub(crate) fn take(relay: &Rc<Relay>, endpoint: Announcement, load: ReservedLoad) -> Self {
+        let mut prefill = None;
         let began_at = relay.now();
         relay.with_endpoint(&endpoint.id, |it| {
-            if let Place::Prompt { prompt_tokens, .. } = place {
-                reading = Some(Reading {
+            if let ReservedLoad::Prompt { prompt_tokens, .. } = load {
+                prefill = Some(Prefill {
                     began_at,
                     is_alone: it.reading_total(began_at) == 0,
                     tokens: prompt_tokens,
@@ -91,16 +91,16 @@
                 it.begin_reading();
             }
             it.in_flight += 1;
-            it.held_tokens += place.tokens();
+            it.held_tokens += load.tokens();
         });
         let reservation = Self {
             endpoint,
-            place,
-            reading,
+            load,
+            prefill,
             relay: Rc::clone(relay),
             suspect: None,
         };
-        reservation.tell();
+        reservation.report_change();
         reservation
     }
 
@@ -110,43 +110,43 @@
     }
 
     /// Notes that an endpoint has crashed under the request, so that others of the kind go elsewhere.
-    pub(crate) fn note_suspect(&mut self, fingerprint: Fingerprint) {
+    pub(crate) fn mark_suspect_run(&mut self, fingerprint: Fingerprint) {
         self.suspect = Some(fingerprint);
         let run = (fingerprint, self.endpoint.id.clone());
         self.relay.suspect_runs.borrow_mut().push(run);
     }
 
     /// Notes how much of the prompt the engine keeps: that much is not read.
-    pub(crate) fn note_kept(&mut self, tokens: u64) {
-        if let Some(reading) = &mut self.reading {
-            reading.tokens = reading.tokens.saturating_sub(tokens);
+    pub(crate) fn note_cached_tokens(&mut self, tokens: u64) {
+        if let Some(prefill) = &mut self.prefill {
+            prefill.tokens = prefill.tokens.saturating_sub(tokens);
         }
     }
 
     /// Notes the first event of a stream: its prompt has been read.
-    pub(crate) fn end_reading(&mut self) {
-        let Some(reading) = self.reading.take() else {
+    pub(crate) fn end_prefill(&mut self) {
+        let Some(prefill) = self.prefill.take() else {
             return;
         };
         let now = self.relay.now();
-        let elapsed_ms = now.since(reading.began_at);
+        let elapsed_ms = now.since(prefill.began_at);
         self.relay.with_endpoint(&self.endpoint.id, |it| {
             it.end_reading(now);
-            if reading.is_alone {
-                it.reading_pace.note(reading.tokens, elapsed_ms);
+            if prefill.is_alone {
+                it.reading_pace.note(prefill.tokens, elapsed_ms);
             }
         });
-        self.tell();
+        self.report_change();
         self.relay.room_changed.notify_one();
     }
 
     /// Lets the other entries hear of it. Whole answers end sooner than the word would arrive.
-    fn tell(&self) {
-        match self.place {
-            Place::Copy { .. } | Place::Prompt { .. } => {
+    fn report_change(&self) {
+        match self.load {
+            ReservedLoad::Copy { .. } | ReservedLoad::Prompt { .. } => {
                 self.relay.note_load_change(&self.endpoint.zone);
             }
-            Place::Whole => {}
+            ReservedLoad::Whole => {}
         }
     }
 }
@@ -160,30 +160,30 @@
                 runs.swap_remove(place);
             }
         }
-        let is_reading = self.reading.is_some();
+        let is_prefilling = self.prefill.is_some();
         let now = self.relay.now();
         self.relay.with_endpoint(&self.endpoint.id, |it| {
-            if is_reading {
+            if is_prefilling {
                 it.end_reading(now);
             }
             it.in_flight = it.in_flight.saturating_sub(1);
-            it.held_tokens = it.held_tokens.saturating_sub(self.place.tokens());
+            it.held_tokens = it.held_tokens.saturating_sub(self.load.tokens());
             it.note_left(now);
         });
-        self.tell();
+        self.report_change();
         self.relay.room_changed.notify_one();
     }
 }
 
 /// Memory of an engine that a copy of another engine's run takes; dropped, it counts no more.
 #[derive(Debug)]
-pub(crate) struct CopyPlace {
+pub(crate) struct CopyReservation {
     endpoint: EndpointId,
     relay: Rc<Relay>,
     tokens: u64,
 }
 
-impl CopyPlace {
+impl CopyReservation {
     pub(crate) fn take(relay: &Rc<Relay>, endpoint: &Announcement, tokens: u64) -> Self {
         relay.with_endpoint(&endpoint.id, |it| it.held_tokens += tokens);
         relay.note_load_change(&endpoint.zone);
@@ -195,7 +195,7 @@
     }
 }
 
-impl Drop for CopyPlace {
+impl Drop for CopyReservation {
     fn drop(&mut self) {
         let mut zone = None;
         let now = self.relay.now();
--- a/crates/masticsill_relay/src/answer.rs
+++ b/crates/masticsill_relay/src/response.rs
@@ -5,7 +5,7 @@
 
 /// An answer whose body is known.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) body: Bytes,
     pub(crate) headers: Vec<Header>,
     /// When the caller should come back.
@@ -13,9 +13,9 @@
     pub(crate) status: u16,
 }
 
-impl Answer {
+impl Response {
     /// The relay's own answer; it never bears an endpoint's signature.
-    pub(crate) fn own(refusal: Refusal) -> Self {
+    pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         Self {
             body: Bytes::from_static(refusal.text().as_bytes()),
             headers: Vec::new(),
@@ -52,12 +52,12 @@
 }
 
 /// When to come back after a refusal for want of a place: an endpoint's usual restart.
-const BUSY_RETRY_MS: u64 = 250;
+const BUSY_RETRY_AFTER_MS: u64 = 250;
 /// When to come back to an instance that is stopping: another one is found at once.
-const ELSEWHERE_RETRY_MS: u64 = 50;
+const STOPPING_RETRY_AFTER_MS: u64 = 50;
 /// When to come back to an instance that has no document yet. Where all instances start at the
 /// same time, the document comes half a second later, and a caller with little time comes once.
-const STARTED_RETRY_MS: u64 = 250;
+const NO_DOCUMENT_RETRY_AFTER_MS: u64 = 250;
 
 /// Why the relay answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -120,12 +120,12 @@
 
     fn retry_after_ms(self) -> Option<u64> {
         match self {
-            Self::DeadlineBeforeSend | Self::NoEndpoint => Some(BUSY_RETRY_MS),
-            Self::NoDocument => Some(STARTED_RETRY_MS),
+            Self::DeadlineBeforeSend | Self::NoEndpoint => Some(BUSY_RETRY_AFTER_MS),
+            Self::NoDocument => Some(NO_DOCUMENT_RETRY_AFTER_MS),
             Self::Overloaded { retry_after_ms } | Self::Quarantined { retry_after_ms } => {
                 Some(retry_after_ms)
             }
-            Self::Stopping => Some(ELSEWHERE_RETRY_MS),
+            Self::Stopping => Some(STOPPING_RETRY_AFTER_MS),
             Self::BodyTooLong
             | Self::Broken
             | Self::DeadlineAfterSend
--- a/crates/masticsill_relay/src/tries.rs
+++ b/crates/masticsill_relay/src/retry_state.rs
@@ -3,23 +3,23 @@
 use masticsill_dispatch::Overload;
 use masticsill_registry::EndpointId;
 
-use crate::answer::Refusal;
 use crate::attempt::SendFailure;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
+use crate::response::Refusal;
 
 /// Endpoints that can't be connected to before a request is given up of which nothing was passed on.
-const MAX_DIALS: usize = 8;
+const MAX_FAILED_DIALS: usize = 8;
 /// Longest wait for the first connection: a healthy endpoint accepts within a few milliseconds, and
 /// what was not sent costs nothing to send elsewhere.
-const FIRST_DIAL_MS: u64 = 120;
+const MIN_DIAL_TIMEOUT_MS: u64 = 120;
 /// First pause before what was begun is tried again: a tenth of the pause between events from which a
 /// stream is late (700 ms).
-const FIRST_PAUSE_MS: u64 = 70;
+const MIN_RETRY_PAUSE_MS: u64 = 70;
 /// Longest of them: no longer than an endpoint is left alone after its failures.
-const LONGEST_PAUSE_MS: u64 = 1_120;
+const MAX_RETRY_PAUSE_MS: u64 = 1_120;
 /// Longest wait for any: a lost first packet is sent again after a second.
-const LONGEST_DIAL_MS: u64 = 1_200;
+const MAX_DIAL_TIMEOUT_MS: u64 = 1_200;
 /// Endpoints that a request may reach, those included that did not run it.
 const MAX_ARRIVALS: u32 = 10;
 
@@ -44,13 +44,13 @@
     /// It may have run, and may not run twice.
     MayNotRepeat,
     /// No endpoint is known that it could go to.
-    Nobody,
+    NoEndpoint,
     /// It could not be answered in time.
     Overloaded,
     /// It crashes the endpoints that run it.
     Quarantined,
     /// The endpoint that was chosen could not be connected to.
-    Unreached,
+    Unreachable,
 }
 
 impl Obstacle {
@@ -64,24 +64,24 @@
             Self::Dials => "dials",
             Self::Held { .. } => "held",
             Self::MayNotRepeat => "may_not_repeat",
-            Self::Nobody => "nobody",
+            Self::NoEndpoint => "nobody",
             Self::Overloaded => "overloaded",
             Self::Quarantined => "quarantined",
-            Self::Unreached => "unreached",
+            Self::Unreachable => "unreached",
         }
     }
 }
 
 impl Obstacle {
     /// Whether time alone may remove it.
-    pub(crate) fn is_passing(self) -> bool {
+    pub(crate) fn is_transient(self) -> bool {
         match self {
             Self::Budget
             | Self::Dials
             | Self::Held { .. }
-            | Self::Nobody
+            | Self::NoEndpoint
             | Self::Overloaded
-            | Self::Unreached => true,
+            | Self::Unreachable => true,
             Self::Arrivals
             | Self::Attempts
             | Self::Deadline
@@ -93,7 +93,7 @@
 
 /// A run that is counted as failed, though it may still go on.
 #[derive(Debug)]
-pub(crate) struct Doubt {
+pub(crate) struct PresumedFailure {
     id: EndpointId,
     /// Whether anything may have run before.
     may_have_run: bool,
@@ -101,7 +101,7 @@
 
 /// What is known of a request that has not been answered yet.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct RetryState {
     /// Sends that reached an endpoint, those included that it did not run: all of them count
     /// against the retry budget.
     arrivals: u32,
@@ -119,7 +119,7 @@
     pub(crate) sends: u32,
 }
 
-impl Tries {
+impl RetryState {
     /// Notes an answer that says that the request did not run.
     ///
     /// It is no attempt where the endpoint was asked for a copy's sake only, or where its address
@@ -155,33 +155,33 @@
     }
 
     /// Counts a run that is doubted as one that failed, until it goes on.
-    pub(crate) fn begin_doubt(&mut self, id: EndpointId) -> Doubt {
-        let doubt = Doubt {
+    pub(crate) fn presume_failed(&mut self, id: EndpointId) -> PresumedFailure {
+        let presumed = PresumedFailure {
             id: id.clone(),
             may_have_run: self.may_have_run,
         };
         self.note(id, &SendFailure::MayHaveRun);
-        doubt
+        presumed
     }
 
     /// Takes a doubt back: the run goes on.
-    pub(crate) fn end_doubt(&mut self, doubt: &Doubt) {
-        self.excluded.retain(|id| *id != doubt.id);
+    pub(crate) fn retract_presumed_failure(&mut self, presumed: &PresumedFailure) {
+        self.excluded.retain(|id| *id != presumed.id);
         self.arrivals -= 1;
         self.sends -= 1;
-        self.may_have_run = doubt.may_have_run;
+        self.may_have_run = presumed.may_have_run;
     }
 
     /// Lets endpoints be asked again that could not be reached or had no room, but not `running`.
-    pub(crate) fn ask_again(&mut self, running: Option<&EndpointId>) {
+    pub(crate) fn clear_exclusions(&mut self, running: Option<&EndpointId>) {
         self.excluded.retain(|id| Some(id) == running);
     }
 
     /// How long the next connection may take: longer each time from the third on, since what is slow
     /// may be this relay's own link.
-    pub(crate) fn dial_ms(&self) -> u64 {
+    pub(crate) fn dial_timeout_ms(&self) -> u64 {
         let doublings = self.dials_failed.saturating_sub(1).min(8);
-        (FIRST_DIAL_MS << doublings).min(LONGEST_DIAL_MS)
+        (MIN_DIAL_TIMEOUT_MS << doublings).min(MAX_DIAL_TIMEOUT_MS)
     }
 
     /// Notes that a connection stands.
@@ -190,22 +190,22 @@
     }
 
     /// Notes that a run is at work.
-    pub(crate) fn note_at_work(&mut self) {
+    pub(crate) fn reset_pauses(&mut self) {
         self.pauses = 0;
     }
 
     /// Pause before what was begun is tried again: longer each time, so that an engine that refuses is
     /// not asked without end.
     pub(crate) fn next_pause_ms(&mut self) -> u64 {
-        let pause_ms = (FIRST_PAUSE_MS << self.pauses.min(8)).min(LONGEST_PAUSE_MS);
+        let pause_ms = (MIN_RETRY_PAUSE_MS << self.pauses.min(8)).min(MAX_RETRY_PAUSE_MS);
         self.pauses += 1;
         pause_ms
     }
 
     /// Whether so many endpoints could not be reached, or did not run it, that the next one is asked
     /// only after a pause.
-    pub(crate) fn is_to_pause(&self) -> bool {
-        self.dials_failed as usize >= MAX_DIALS || self.arrivals >= MAX_ARRIVALS
+    pub(crate) fn needs_pause(&self) -> bool {
+        self.dials_failed as usize >= MAX_FAILED_DIALS || self.arrivals >= MAX_ARRIVALS
     }
 
     /// Whether the request may be sent once more, as far as it is known here.
@@ -216,7 +216,7 @@
     /// # Errors
     ///
     /// What keeps it from that.
-    pub(crate) fn may_go_on(
+    pub(crate) fn check_may_send(
         &self,
         relay: &Relay,
         request: &RelayRequest,
@@ -229,7 +229,7 @@
         if self.may_have_run && !request.route.may_repeat() {
             return Err(Obstacle::MayNotRepeat);
         }
-        if self.excluded.len() >= MAX_DIALS {
+        if self.excluded.len() >= MAX_FAILED_DIALS {
             return Err(Obstacle::Dials);
         }
         if self.arrivals >= MAX_ARRIVALS && !is_begun {
--- a/crates/masticsill_relay/src/role.rs
+++ b/crates/masticsill_relay/src/role.rs
@@ -15,7 +15,7 @@
 
 use crate::config::RelayConfig;
 use crate::discovery::start_discovery;
-use crate::dispatching::run_dispatch;
+use crate::dispatch_queue::run_dispatch;
 use crate::documents::{DocumentParts, READ_RING_ITEMS, run_documents};
 use crate::events;
 use crate::metrics::RelayMetrics;
@@ -62,7 +62,7 @@
         let metrics = RelayMetrics::new(registry);
         let seeds = Ring::with_capacity(SEED_RING_ITEMS);
         let new_seeds = seeds.clone();
-        let (shown, signal) = (Arc::clone(&has_document), stopping.clone());
+        let (document_flag, signal) = (Arc::clone(&has_document), stopping.clone());
         let ended = ShutdownSignal::default();
         let is_relaying = Arc::new(AtomicBool::new(false));
         let read = Ring::with_capacity(READ_RING_ITEMS);
@@ -77,7 +77,7 @@
         };
         let documents = spawn_async_duty("relay_documents", || run_documents(parts))?;
         let duty = spawn_async_duty("relay", move || async move {
-            let relay = Relay::new(config, clock, signal, shown, is_relaying, metrics);
+            let relay = Relay::new(config, clock, signal, document_flag, is_relaying, metrics);
             let relay = Rc::new(relay);
             start_discovery(&relay, new_seeds, sources, read);
             spawn_local(run_dispatch(Rc::clone(&relay)));
--- a/crates/masticsill_relay/src/server.rs
+++ b/crates/masticsill_relay/src/server.rs
@@ -15,17 +15,17 @@
 use crate::relay::Relay;
 
 /// Pause after a failed accept, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// How long new connections are taken after a shutdown began: a balancer that asks once a second
 /// turns elsewhere after two answers.
-const ACCEPT_UNTIL: Duration = Duration::from_millis(2_500);
+const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(2_500);
 /// Part of the grace that is left for the end of the process itself, which takes 6 ms after the last
 /// request on a fifth of a core.
-pub(crate) const END_MARGIN: Duration = Duration::from_millis(450);
+pub(crate) const SHUTDOWN_MARGIN: Duration = Duration::from_millis(450);
 /// How often the end of the last request is looked for.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How often idle connections to endpoints are looked through.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Serves callers until a graceful shutdown is over.
 pub(crate) async fn serve(relay: Rc<Relay>, listener: net::TcpListener) {
@@ -45,16 +45,16 @@
     relay.stopping_since.set(Some(relay.now()));
     log_event!(info, events::RELAY_STOPPING, active = relay.active.get());
     let began = Instant::now();
-    let last_call = sleep_until(began + ACCEPT_UNTIL);
+    let accept_deadline = sleep_until(began + ACCEPT_AFTER_SHUTDOWN);
     tokio::select! {
         () = accept(&relay, &listener) => {}
-        () = last_call => {}
+        () = accept_deadline => {}
     }
     drop(listener);
     let grace = Duration::from_millis(relay.config.grace_ms);
-    let end_by = began + grace.saturating_sub(END_MARGIN);
+    let end_by = began + grace.saturating_sub(SHUTDOWN_MARGIN);
     while relay.active.get() > 0 && Instant::now() < end_by {
-        sleep(DRAIN_POLL).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     log_event!(info, events::RELAY_STOPPED, cut = relay.active.get());
 }
@@ -67,7 +67,7 @@
             }
             Err(error) => {
                 log_event!(warn, events::ACCEPT_FAILED, cause = error);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
@@ -75,9 +75,9 @@
 
 async fn run_housekeeping(relay: Rc<Relay>) {
     loop {
-        sleep(HOUSEKEEPING).await;
+        sleep(HOUSEKEEPING_INTERVAL).await;
         relay.pool.borrow_mut().close_idle(relay.now());
         relay.judge_crashes();
-        relay.note_gauges();
+        relay.update_gauges();
     }
 }
--- a/crates/masticsill_relay/src/stream.rs
+++ b/crates/masticsill_relay/src/stream.rs
@@ -19,17 +19,17 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::sleep;
 
-use crate::answer::{Answer, Refusal};
-use crate::attempt::{SendFailure, Sent, open};
-use crate::copies::{Copy, CopyKeeper};
-use crate::dispatching::Dispatched;
+use crate::attempt::{Attempt, SendFailure, open};
+use crate::copies::{CopyManager, RunCopy};
+use crate::dispatch_queue::Dispatched;
+use crate::event_order::EventOrder;
 use crate::events;
-use crate::lineage::EventOrder;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
-use crate::reservation::{CopyPlace, Place, Reservation};
-use crate::timing::Timing;
-use crate::tries::{Obstacle, Tries};
+use crate::reservation::{CopyReservation, Reservation, ReservedLoad};
+use crate::response::{Refusal, Response};
+use crate::retry_state::{Obstacle, RetryState};
+use crate::stream_timing::StreamTiming;
 
 /// How a stream ended towards its caller.
 #[derive(Debug)]
@@ -38,10 +38,10 @@
     Whole {
         endpoint: EndpointId,
         resumes: u32,
-        timing: Timing,
+        timing: StreamTiming,
     },
     /// An endpoint's answer that is no stream, to be written as a whole.
-    Plain(Answer, EndpointId),
+    Plain(Response, EndpointId),
     /// The relay's own answer, to be written; nothing of the stream was.
     Refused(Refusal),
     /// Part of it was written and the rest can't be had: the connection must be closed.
@@ -65,28 +65,28 @@
 }
 
 /// The next run of a stream, about to be sent.
-struct Next {
-    from_copy: Option<Copy>,
-    sent: Sent,
+struct NextAttempt {
+    from_copy: Option<RunCopy>,
+    attempt: Attempt,
 }
 
 /// How one run ended.
 enum RunEnd {
     Whole,
-    Plain(Answer),
+    Plain(Response),
     /// It did not run; whether because the address belongs to another incarnation.
     NotRun {
         is_replaced: bool,
     },
     Failed(SendFailure),
     /// It was silent, and its successor's connection stands.
-    Replaced(Box<Next>),
+    Replaced(Box<NextAttempt>),
     CallerLeft(io::Error),
 }
 
 /// One stream on its way to its caller.
 pub(crate) struct StreamRelay<'a> {
-    copies: CopyKeeper,
+    copies: CopyManager,
     /// Events passed on by any run.
     delivered: u64,
     is_closing: bool,
@@ -100,8 +100,8 @@
     relay: &'a Rc<Relay>,
     request: &'a RelayRequest,
     resumes: u32,
-    timing: Timing,
-    tries: Tries,
+    timing: StreamTiming,
+    retry_state: RetryState,
     writer: &'a mut OwnedWriteHalf,
 }
 
@@ -113,7 +113,7 @@
         is_closing: bool,
     ) -> Self {
         Self {
-            copies: CopyKeeper::default(),
+            copies: CopyManager::default(),
             delivered: 0,
             is_closing,
             is_copy_usable: false,
@@ -124,8 +124,8 @@
             relay,
             request,
             resumes: 0,
-            timing: Timing::default(),
-            tries: Tries::default(),
+            timing: StreamTiming::default(),
+            retry_state: RetryState::default(),
             writer,
         }
     }
@@ -134,13 +134,13 @@
     pub(crate) async fn run(mut self) -> StreamEnd {
         let mut next = self.open_next(None).await;
         let obstacle = loop {
-            let Next { from_copy, sent } = match next {
+            let NextAttempt { from_copy, attempt } = match next {
                 Ok(next) => next,
                 Err(obstacle) => break obstacle,
             };
-            let id = sent.endpoint().id.clone();
+            let id = attempt.endpoint().id.clone();
             let delivered_before = self.delivered;
-            let end = self.run_once(sent, from_copy.as_ref()).await;
+            let end = self.run_once(attempt, from_copy.as_ref()).await;
             // Its prompt was not read to the end: of 612 such copies engines refused 594, and each
             // refusal uses up the retry budget.
             let is_unread = self.delivered == delivered_before && from_copy.is_none();
@@ -152,40 +152,41 @@
                         timing: self.timing,
                     };
                 }
-                RunEnd::Plain(answer) => return StreamEnd::Plain(answer, id),
+                RunEnd::Plain(response) => return StreamEnd::Plain(response, id),
                 RunEnd::CallerLeft(error) => return StreamEnd::CallerLeft(error),
                 RunEnd::NotRun { is_replaced } => {
                     // Nothing ran here that could have made a copy.
-                    self.copies.forget();
-                    self.tries.note_not_run(!is_replaced && from_copy.is_none());
+                    self.copies.clear();
+                    self.retry_state
+                        .note_not_run(!is_replaced && from_copy.is_none());
                     // An engine without the copy may still run the request from its prompt.
                     if from_copy.is_none() {
-                        self.tries.exclude(id);
+                        self.retry_state.exclude(id);
                     }
-                    if self.is_head_written && self.tries.is_to_pause() {
-                        let pause_ms = self.tries.next_pause_ms();
+                    if self.is_head_written && self.retry_state.needs_pause() {
+                        let pause_ms = self.retry_state.next_pause_ms();
                         sleep(Duration::from_millis(pause_ms)).await;
                     }
                     self.open_next(None).await
                 }
                 RunEnd::Failed(failure) => {
                     if is_unread {
-                        self.copies.forget();
+                        self.copies.clear();
                     }
-                    self.tries.note(id, &failure);
+                    self.retry_state.note(id, &failure);
                     self.open_next(None).await
                 }
                 RunEnd::Replaced(next) => Ok(*next),
             };
         };
-        let refusal = self.tries.refusal(self.relay, self.request);
+        let refusal = self.retry_state.refusal(self.relay, self.request);
         if self.is_head_written {
             StreamEnd::BrokenOff(BrokenOff {
                 delivered: self.delivered,
                 last_failure: self.last_failure,
                 obstacle,
                 refusal,
-                sends: self.tries.sends,
+                sends: self.retry_state.sends,
             })
         } else {
             StreamEnd::Refused(refusal)
@@ -196,33 +197,38 @@
     /// listened to meanwhile.
     ///
     /// For a stream that was begun, what time alone may remove is waited for.
-    async fn open_next(&mut self, doubted: Option<&EndpointId>) -> Result<Next, Obstacle> {
-        let is_begun = self.is_head_written || doubted.is_some();
-        let mut told = None;
+    async fn open_next(
+        &mut self,
+        silent_endpoint: Option<&EndpointId>,
+    ) -> Result<NextAttempt, Obstacle> {
+        let is_begun = self.is_head_written || silent_endpoint.is_some();
+        let mut logged_obstacle = None;
         loop {
             if self.request.left_ms(self.relay.now()) == 0 {
                 return Err(Obstacle::Deadline);
             }
-            let obstacle = match self.try_open(is_begun, doubted).await {
+            let obstacle = match self.try_open(is_begun, silent_endpoint).await {
                 Ok(next) => return Ok(next),
-                Err(Obstacle::Unreached) if !is_begun || !self.tries.is_to_pause() => continue,
+                Err(Obstacle::Unreachable) if !is_begun || !self.retry_state.needs_pause() => {
+                    continue;
+                }
                 Err(Obstacle::Held { left_ms }) => {
-                    self.relay.await_judgement(left_ms).await;
+                    self.relay.wait_for_crash_change(left_ms).await;
                     continue;
                 }
                 Err(obstacle) => obstacle,
             };
-            if !is_begun || !obstacle.is_passing() {
+            if !is_begun || !obstacle.is_transient() {
                 return Err(obstacle);
             }
-            if told != Some(obstacle) {
-                told = Some(obstacle);
-                self.log_wait(obstacle, doubted);
+            if logged_obstacle != Some(obstacle) {
+                logged_obstacle = Some(obstacle);
+                self.log_wait(obstacle, silent_endpoint);
             }
-            if matches!(obstacle, Obstacle::Dials | Obstacle::Nobody) {
-                self.tries.ask_again(doubted);
+            if matches!(obstacle, Obstacle::Dials | Obstacle::NoEndpoint) {
+                self.retry_state.clear_exclusions(silent_endpoint);
             }
-            let pause_ms = self.tries.next_pause_ms();
+            let pause_ms = self.retry_state.next_pause_ms();
             sleep(Duration::from_millis(pause_ms)).await;
         }
     }
@@ -230,18 +236,19 @@
     async fn try_open(
         &mut self,
         is_begun: bool,
-        doubted: Option<&EndpointId>,
-    ) -> Result<Next, Obstacle> {
-        self.tries.may_go_on(self.relay, self.request, is_begun)?;
-        if !self.tries.has_budget(self.relay, self.request) {
+        silent_endpoint: Option<&EndpointId>,
+    ) -> Result<NextAttempt, Obstacle> {
+        self.retry_state
+            .check_may_send(self.relay, self.request, is_begun)?;
+        if !self.retry_state.has_budget(self.relay, self.request) {
             return Err(Obstacle::Budget);
         }
-        let (reservation, from_copy) = self.choose(doubted).await?;
-        let sent = open(self.relay, self.request, reservation, &mut self.tries).await?;
-        Ok(Next { from_copy, sent })
+        let (reservation, from_copy) = self.choose(silent_endpoint).await?;
+        let attempt = open(self.relay, self.request, reservation, &mut self.retry_state).await?;
+        Ok(NextAttempt { from_copy, attempt })
     }
 
-    fn log_wait(&self, obstacle: Obstacle, doubted: Option<&EndpointId>) {
+    fn log_wait(&self, obstacle: Obstacle, silent_endpoint: Option<&EndpointId>) {
         if obstacle == Obstacle::Budget {
             self.relay.note_retry_refused(&self.request.service);
         }
@@ -250,8 +257,8 @@
             events::STREAM_WAITS,
             request = self.request.id,
             obstacle = obstacle.name(),
-            is_listened_to = doubted.is_some(),
-            sends = self.tries.sends,
+            is_listened_to = silent_endpoint.is_some(),
+            sends = self.retry_state.sends,
             left_ms = self.request.left_ms(self.relay.now())
         );
     }
@@ -259,21 +266,23 @@
     /// The endpoint that holds a copy of the run, while it can be used, or the best of all.
     async fn choose(
         &mut self,
-        doubted: Option<&EndpointId>,
-    ) -> Result<(Reservation, Option<Copy>), Obstacle> {
-        self.copies.collect(self.relay.now());
+        silent_endpoint: Option<&EndpointId>,
+    ) -> Result<(Reservation, Option<RunCopy>), Obstacle> {
+        self.copies.poll_pending(self.relay.now());
         let copy = self.copies.copy().filter(|_| self.is_copy_usable);
         if let Some(copy) = copy {
-            let is_tried = self.tries.excluded.contains(&copy.at.id);
+            let is_tried = self.retry_state.excluded.contains(&copy.at.id);
             let obstacle = self.relay.obstacle(&copy.at.id);
-            let meets_suspect = self.relay.would_meet_suspect(self.request, &copy.at.id);
+            let is_colocated = self
+                .relay
+                .would_colocate_with_suspect(self.request, &copy.at.id);
             let obstacle = obstacle
                 .or(is_tried.then_some("tried before"))
-                .or(meets_suspect.then_some("a request may crash it"));
+                .or(is_colocated.then_some("a request may crash it"));
             let Some(cause) = obstacle else {
                 let tokens = self.request.held_tokens(&self.relay.config.headers);
-                let place = Place::Copy { tokens };
-                let mut reservation = Reservation::take(self.relay, copy.at.clone(), place);
+                let load = ReservedLoad::Copy { tokens };
+                let mut reservation = Reservation::take(self.relay, copy.at.clone(), load);
                 self.relay.mark_suspect(self.request, &mut reservation);
                 return Ok((reservation, Some(copy.clone())));
             };
@@ -287,40 +296,40 @@
                 cause = cause
             );
             // A run that is only doubted may go on, and needs its copy then.
-            if doubted.is_none() {
-                self.copies.forget();
+            if silent_endpoint.is_none() {
+                self.copies.clear();
             }
         }
         let is_resume = self.delivered > 0;
         let choosing = self
             .relay
-            .choose_or_wait(self.request, &self.tries, is_resume);
+            .choose_or_wait(self.request, &self.retry_state, is_resume);
         match choosing.await {
-            Dispatched::Sent(_, reservation) => Ok((*reservation, None)),
+            Dispatched::Assigned(_, reservation) => Ok((*reservation, None)),
             Dispatched::Refused(overload) => {
-                self.tries.note_overload(overload);
+                self.retry_state.note_overload(overload);
                 Err(Obstacle::Overloaded)
             }
-            Dispatched::Nobody => Err(Obstacle::Nobody),
+            Dispatched::NoEndpoint => Err(Obstacle::NoEndpoint),
         }
     }
 
     /// Where the engine is to keep a copy: in another zone, so that it survives this one.
-    fn choose_copy(&self, endpoint: &Announcement) -> Option<Copy> {
-        let excluded = &self.tries.excluded;
+    fn choose_copy(&self, endpoint: &Announcement) -> Option<RunCopy> {
+        let excluded = &self.retry_state.excluded;
         let at = self
             .relay
             .choose_copy_holder(self.request, excluded, endpoint)?;
         let tokens = self.request.held_tokens(&self.relay.config.headers);
-        let place = CopyPlace::take(self.relay, &at, tokens);
-        Some(Copy::backup(at, place))
+        let place = CopyReservation::take(self.relay, &at, tokens);
+        Some(RunCopy::backup(at, place))
     }
 }
 
 impl Drop for StreamRelay<'_> {
     /// However the stream ends, its copy must not hold an engine's memory any longer.
     fn drop(&mut self) {
-        self.copies.collect(self.relay.now());
+        self.copies.poll_pending(self.relay.now());
         self.copies.release(self.relay);
     }
 }
--- a/crates/masticsill_relay/src/stream/run.rs
+++ b/crates/masticsill_relay/src/stream/run.rs
@@ -11,29 +11,33 @@
 use masticsill_types::{ClockMs, log_event};
 use tokio::io::AsyncWriteExt;
 
-use super::{Next, RunEnd, StreamRelay};
-use crate::attempt::{Borne, SendFailure, Sent, exchange, fail, failure_of};
-use crate::copies::Copy;
-use crate::doubt::{LIFE_ENDED, Listened, Waited};
+use super::{NextAttempt, RunEnd, StreamRelay};
+use crate::attempt::{Attempt, RunProgress, SendFailure, exchange, fail, failure_of};
+use crate::copies::RunCopy;
+use crate::endpoint_response::{Verdict, forwarded_headers, read_response};
+use crate::event_order::Placed;
 use crate::events;
-use crate::lineage::Placed;
+use crate::failover::{INCARNATION_REPLACED, WatchResult, WatchedAttempt};
 use crate::metrics::CauseLabel;
 use crate::request::SendOptions;
-use crate::whole::{Verdict, collect, passed_headers};
 
 /// Silence between events after which a run is given up: twice the longest usual gap, which is
 /// that of six decoding steps beside another request's prefill (180 ms).
-const EVENT_SILENCE_MS: u64 = 350;
+const EVENT_GAP_TIMEOUT_MS: u64 = 350;
 /// Silence before the first event, beside the time that the prompt takes to read.
-const FIRST_EVENT_MS: u64 = 3_000;
+const FIRST_EVENT_BASE_TIMEOUT_MS: u64 = 3_000;
 /// Prompt tokens that an engine is expected to read in a millisecond, behind other prompts.
 const PROMPT_TOKENS_PER_MS: u64 = 3;
 
 impl StreamRelay<'_> {
     /// Sends the stream's request on an open connection, and passes on what comes until that ends.
-    pub(super) async fn run_once(&mut self, mut sent: Sent, from_copy: Option<&Copy>) -> RunEnd {
+    pub(super) async fn run_once(
+        &mut self,
+        mut attempt: Attempt,
+        from_copy: Option<&RunCopy>,
+    ) -> RunEnd {
         let (relay, request) = (self.relay, self.request);
-        let endpoint = sent.endpoint().clone();
+        let endpoint = attempt.endpoint().clone();
         let copy = self.choose_copy(&endpoint);
         let options = SendOptions {
             backup_at: copy.as_ref().map(|copy| copy.at.address.to_string()),
@@ -44,37 +48,42 @@
             self.note_resume(&endpoint, from_copy.is_some());
         }
         // The engine begins its copy while it reads the prompt, before any answer.
-        self.copies.begin(copy);
+        self.copies.reset(copy);
         self.is_copy_usable = from_copy.is_some();
-        let patience_ms = self.first_patience_ms();
-        let borne = sent.begin(self.reached_ms);
-        let listened = self.listened(&endpoint, borne, patience_ms, Failure::Silent);
-        let sent_at = listened.heard_at;
-        let exchange = exchange(relay, request, &mut sent, &options);
-        let head = match self.listen(&listened, exchange).await {
-            Waited::Done(Ok(head)) => head,
-            Waited::Done(Err(error)) => {
-                return self.run_failed(sent, failure_of(&error), &error.to_string());
+        let silence_timeout_ms = self.first_event_timeout_ms();
+        let progress = attempt.begin(self.reached_ms);
+        let watched = self.watched(&endpoint, progress, silence_timeout_ms, Failure::Silent);
+        let sent_at = watched.last_received_at;
+        let exchange = exchange(relay, request, &mut attempt, &options);
+        let head = match self.watch_attempt(&watched, exchange).await {
+            WatchResult::Done(Ok(head)) => head,
+            WatchResult::Done(Err(error)) => {
+                return self.run_failed(attempt, failure_of(&error), &error.to_string());
+            }
+            WatchResult::Replaced(next) => return RunEnd::Replaced(Box::new(next)),
+            WatchResult::Superseded => {
+                return self.run_failed(attempt, Failure::Replaced, INCARNATION_REPLACED);
+            }
+            WatchResult::DeadlineReached => {
+                return self.run_failed(attempt, Failure::Silent, "no answer");
             }
-            Waited::Replaced(next) => return RunEnd::Replaced(Box::new(next)),
-            Waited::Ended => return self.run_failed(sent, Failure::Replaced, LIFE_ENDED),
-            Waited::Over => return self.run_failed(sent, Failure::Silent, "no answer"),
         };
         if head.status != 200 {
-            return match collect(relay, request, sent, head).await {
+            return match read_response(relay, request, attempt, head).await {
                 Ok((Verdict::NotRun { is_replaced }, _)) => RunEnd::NotRun { is_replaced },
                 // The caller has another run's head already.
                 Ok(_) if self.is_head_written => RunEnd::Failed(SendFailure::MayHaveRun),
-                Ok((_, answer)) => RunEnd::Plain(answer),
+                Ok((_, response)) => RunEnd::Plain(response),
                 Err(failure) => RunEnd::Failed(failure),
             };
         }
-        self.pass_events(sent, &head, sent_at + patience_ms).await
+        self.forward_events(attempt, &head, sent_at + silence_timeout_ms)
+            .await
     }
 
-    fn run_failed(&mut self, sent: Sent, failure: Failure, cause: &str) -> RunEnd {
+    fn run_failed(&mut self, attempt: Attempt, failure: Failure, cause: &str) -> RunEnd {
         self.last_failure = failure.name();
-        RunEnd::Failed(fail(self.relay, self.request, sent, failure, cause))
+        RunEnd::Failed(fail(self.relay, self.request, attempt, failure, cause))
     }
 
     /// Counts and logs that the stream goes on at another engine.
@@ -91,99 +100,99 @@
             zone = endpoint.zone,
             after_event = self.order.last().unwrap_or_default(),
             from_copy = is_from_copy,
-            sends = self.tries.sends
+            sends = self.retry_state.sends
         );
     }
 
     /// Waits for something of a run. Once it is doubted, a successor is looked for, and the run listened
     /// to until that is connected.
-    async fn listen<T>(
+    async fn watch_attempt<T>(
         &mut self,
-        listened: &Listened<'_>,
+        watched: &WatchedAttempt<'_>,
         waiting: impl Future<Output = T>,
-    ) -> Waited<T, Next> {
+    ) -> WatchResult<T, NextAttempt> {
         tokio::pin!(waiting);
-        if let Some(ended) = listened.until_doubted(waiting.as_mut()).await {
+        if let Some(ended) = watched.wait_until_silent(waiting.as_mut()).await {
             return ended;
         }
-        let id = &listened.endpoint.id;
-        let doubt = self.tries.begin_doubt(id.clone());
+        let id = &watched.endpoint.id;
+        let presumed = self.retry_state.presume_failed(id.clone());
         let next = self.open_next(Some(id));
-        let waited = listened.until_replaced(waiting, next).await;
-        if matches!(waited, Waited::Replaced(_)) {
-            self.last_failure = listened.failure.name();
+        let waited = watched.wait_until_replaced(waiting, next).await;
+        if matches!(waited, WatchResult::Replaced(_)) {
+            self.last_failure = watched.failure.name();
         } else {
-            self.tries.end_doubt(&doubt);
+            self.retry_state.retract_presumed_failure(&presumed);
         }
         waited
     }
 
     /// The run as it is listened to from now on.
-    fn listened<'b>(
+    fn watched<'b>(
         &self,
         endpoint: &'b Announcement,
-        borne: Borne,
-        patience_ms: u64,
+        progress: RunProgress,
+        silence_timeout_ms: u64,
         failure: Failure,
-    ) -> Listened<'b>
+    ) -> WatchedAttempt<'b>
     where
         Self: 'b,
     {
-        let heard_at = self.relay.now();
-        Listened {
-            borne,
+        let last_received_at = self.relay.now();
+        WatchedAttempt {
+            progress,
             endpoint,
             failure,
-            heard_at,
-            patience_ms: patience_ms.min(self.request.left_ms(heard_at)),
+            last_received_at,
+            silence_timeout_ms: silence_timeout_ms.min(self.request.left_ms(last_received_at)),
             relay: self.relay,
             request: self.request,
         }
     }
 
-    fn first_patience_ms(&self) -> u64 {
+    fn first_event_timeout_ms(&self) -> u64 {
         let tokens = self.request.prompt_tokens(&self.relay.config.headers);
         let reading_ms = tokens.unwrap_or_default() / PROMPT_TOKENS_PER_MS;
         let left_ms = self.request.left_ms(self.relay.now());
-        left_ms.min(FIRST_EVENT_MS + reading_ms)
+        left_ms.min(FIRST_EVENT_BASE_TIMEOUT_MS + reading_ms)
     }
 
     /// Passes a run's events on until it ends.
-    async fn pass_events(
+    async fn forward_events(
         &mut self,
-        mut sent: Sent,
+        mut attempt: Attempt,
         head: &ResponseHead,
-        first_by: ClockMs,
+        first_event_deadline: ClockMs,
     ) -> RunEnd {
-        let endpoint = sent.endpoint().clone();
+        let endpoint = attempt.endpoint().clone();
         let mut decoder = BodyDecoder::new(head.framing);
         let mut splitter = EventSplitter::default();
         let mut has_event = false;
         loop {
             let now = self.relay.now();
             let silence_ms = if has_event {
-                EVENT_SILENCE_MS
+                EVENT_GAP_TIMEOUT_MS
             } else {
                 // Whose head came in the last moment has that much time for its first event.
-                first_by.since(now).max(EVENT_SILENCE_MS)
+                first_event_deadline.since(now).max(EVENT_GAP_TIMEOUT_MS)
             };
             let silence = if has_event {
                 Failure::Stalled
             } else {
                 Failure::Silent
             };
-            let listened = self.listened(&endpoint, sent.borne, silence_ms, silence);
-            let reading = sent.upstream().next_piece(&mut decoder);
-            let (failure, cause) = match self.listen(&listened, reading).await {
-                Waited::Replaced(next) => return RunEnd::Replaced(Box::new(next)),
-                Waited::Ended => (Failure::Replaced, LIFE_ENDED.to_owned()),
-                Waited::Over => (silence, "no event".to_owned()),
-                Waited::Done(Ok(Some(piece))) => {
+            let watched = self.watched(&endpoint, attempt.progress, silence_ms, silence);
+            let reading = attempt.upstream().next_piece(&mut decoder);
+            let (failure, cause) = match self.watch_attempt(&watched, reading).await {
+                WatchResult::Replaced(next) => return RunEnd::Replaced(Box::new(next)),
+                WatchResult::Superseded => (Failure::Replaced, INCARNATION_REPLACED.to_owned()),
+                WatchResult::DeadlineReached => (silence, "no event".to_owned()),
+                WatchResult::Done(Ok(Some(piece))) => {
                     self.relay.note_heard(&endpoint.id);
                     splitter.push(&piece);
-                    match self.pass_whole_events(&mut splitter, head).await {
+                    match self.forward_complete_events(&mut splitter, head).await {
                         Ok(true) => {
-                            self.reached_ms = sent.note_event();
+                            self.reached_ms = attempt.note_event();
                             self.relay.note_progress(self.request, self.reached_ms);
                             if has_event {
                                 let pace_ms = self.relay.now().since(now);
@@ -191,33 +200,35 @@
                             }
                             has_event = true;
                             self.is_copy_usable = true;
-                            self.tries.note_at_work();
-                            self.keep_copy(&endpoint);
+                            self.retry_state.reset_pauses();
+                            self.ensure_copy(&endpoint);
                             continue;
                         }
                         Ok(false) => continue,
-                        Err(PassError::Caller(error)) => return RunEnd::CallerLeft(error),
-                        Err(PassError::Order) => {
+                        Err(ForwardError::Caller(error)) => return RunEnd::CallerLeft(error),
+                        Err(ForwardError::Order) => {
                             (Failure::Malformed, "events are missing".to_owned())
                         }
                     }
                 }
-                Waited::Done(Ok(None)) if splitter.pending_bytes() == 0 => {
-                    return self.finish(sent, head).await;
+                WatchResult::Done(Ok(None)) if splitter.pending_bytes() == 0 => {
+                    return self.finish(attempt, head).await;
+                }
+                WatchResult::Done(Ok(None)) => {
+                    (Failure::Broken, "the last event is cut".to_owned())
                 }
-                Waited::Done(Ok(None)) => (Failure::Broken, "the last event is cut".to_owned()),
-                Waited::Done(Err(error)) => (failure_of(&error), error.to_string()),
+                WatchResult::Done(Err(error)) => (failure_of(&error), error.to_string()),
             };
-            return self.run_failed(sent, failure, &cause);
+            return self.run_failed(attempt, failure, &cause);
         }
     }
 
     /// Writes the events that are whole; returns whether there was one.
-    async fn pass_whole_events(
+    async fn forward_complete_events(
         &mut self,
         splitter: &mut EventSplitter,
         head: &ResponseHead,
-    ) -> Result<bool, PassError> {
+    ) -> Result<bool, ForwardError> {
         let mut passed = BytesMut::new();
         let mut is_missing = false;
         let mut has_event = false;
@@ -239,10 +250,12 @@
         if !passed.is_empty() {
             let received_at = self.request.received_at;
             self.timing.note_events(received_at, self.relay.now());
-            self.write(head, &passed).await.map_err(PassError::Caller)?;
+            self.write(head, &passed)
+                .await
+                .map_err(ForwardError::Caller)?;
         }
         if is_missing {
-            Err(PassError::Order)
+            Err(ForwardError::Order)
         } else {
             Ok(has_event)
         }
@@ -261,7 +274,7 @@
         }
         self.is_head_written = true;
         let mut writer = HeadWriter::response(head.status);
-        for header in &passed_headers(head) {
+        for header in &forwarded_headers(head) {
             writer.copy(header);
         }
         writer.field("Transfer-Encoding", "chunked");
@@ -272,9 +285,9 @@
     }
 
     /// Sees to it that another engine holds a copy of the run.
-    fn keep_copy(&mut self, running: &Announcement) {
+    fn ensure_copy(&mut self, running: &Announcement) {
         let now = self.relay.now();
-        self.copies.collect(now);
+        self.copies.poll_pending(now);
         let relay = self.relay;
         if !self
             .copies
@@ -285,15 +298,16 @@
         // The engine that holds it gets what is new; another one would get all of it.
         let held = self.copies.copy().map(|copy| copy.at.clone());
         let held = held.filter(|at| relay.is_ready(&at.id));
-        let renewed = held.and_then(|at| Some((at, self.copies.place()?)));
-        let anew = || self.choose_copy(running).map(Copy::into_parts);
-        if let Some((at, place)) = renewed.or_else(anew) {
-            self.copies.ask(relay, &self.request.id, running, at, place);
+        let renewed = held.and_then(|at| Some((at, self.copies.reservation()?)));
+        let anew = || self.choose_copy(running).map(RunCopy::into_parts);
+        if let Some((at, reservation)) = renewed.or_else(anew) {
+            self.copies
+                .start_copy(relay, &self.request.id, running, at, reservation);
         }
     }
 
-    async fn finish(&mut self, sent: Sent, head: &ResponseHead) -> RunEnd {
-        sent.keep(head);
+    async fn finish(&mut self, attempt: Attempt, head: &ResponseHead) -> RunEnd {
+        attempt.return_to_pool(head);
         self.relay.note_completion(self.request);
         let mut bytes = self.head_bytes(head);
         write_last_chunk(&mut bytes);
@@ -305,7 +319,7 @@
 }
 
 /// Why events could not be passed on.
-enum PassError {
+enum ForwardError {
     Caller(io::Error),
     Order,
 }
--- a/crates/masticsill_relay/src/timing.rs
+++ b/crates/masticsill_relay/src/stream_timing.rs
@@ -4,7 +4,7 @@
 
 /// When the caller got the events of a stream.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Timing {
+pub(crate) struct StreamTiming {
     /// Time from the request to the first event.
     pub(crate) first_ms: Option<u64>,
     last_at: ClockMs,
@@ -12,7 +12,7 @@
     pub(crate) longest_gap_ms: u64,
 }
 
-impl Timing {
+impl StreamTiming {
     /// Notes that events are passed on now.
     pub(crate) fn note_events(&mut self, received_at: ClockMs, now: ClockMs) {
         match self.first_ms {
--- a/crates/masticsill_relay/src/suspects.rs
+++ b/crates/masticsill_relay/src/suspects.rs
@@ -10,25 +10,25 @@
 use masticsill_types::log_event;
 use tokio::time::{sleep, timeout};
 
-use crate::crash_watch::PROBE_MS;
+use crate::crash_check::CRASH_PROBE_TIMEOUT_MS;
 use crate::events;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
 use crate::reservation::Reservation;
-use crate::tries::Obstacle;
+use crate::retry_state::Obstacle;
 
 /// Pause before a replica that did not answer is told again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Up to where a control replica has been told what was noted here.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct ReportedRevision {
     revision: Rc<Cell<u64>>,
 }
 
-impl Told {
+impl ReportedRevision {
     /// Has everything told again, to a replica that may have forgotten it.
-    pub(crate) fn begin_anew(&self) {
+    pub(crate) fn reset(&self) {
         self.revision.set(0);
     }
 }
@@ -41,17 +41,17 @@
             .borrow_mut()
             .note_crash(now, fingerprint, crash);
         self.metrics.runs_crashed.inc();
-        self.wake_tellers();
+        self.notify_crash_reporters();
     }
 
     /// Notes that it is known of an endpoint whether it crashed under a request.
-    pub(crate) fn end_check(&self, fingerprint: Fingerprint) {
-        let mut checked = self.checked.borrow_mut();
-        if let Some(place) = checked.iter().position(|it| *it == fingerprint) {
-            checked.swap_remove(place);
+    pub(crate) fn finish_crash_check(&self, fingerprint: Fingerprint) {
+        let mut crash_checks = self.crash_checks.borrow_mut();
+        if let Some(place) = crash_checks.iter().position(|it| *it == fingerprint) {
+            crash_checks.swap_remove(place);
         }
-        drop(checked);
-        self.wake_tellers();
+        drop(crash_checks);
+        self.notify_crash_reporters();
     }
 
     /// Notes that an endpoint ran a request to an end, well or not: it bore it.
@@ -61,7 +61,7 @@
         let before = ledger.noted_revision();
         ledger.note_completion(now, fingerprint);
         if ledger.noted_revision() != before {
-            self.wake_tellers();
+            self.notify_crash_reporters();
         }
     }
 
@@ -71,12 +71,12 @@
         let before = ledger.noted_revision();
         ledger.note_progress(request.fingerprint, reached_ms);
         if ledger.noted_revision() != before {
-            self.wake_tellers();
+            self.notify_crash_reporters();
         }
     }
 
     /// Takes what a control replica tells of requests that crash endpoints.
-    pub(crate) fn take_suspects(&self, records: &[RequestRecord]) {
+    pub(crate) fn merge_crash_records(&self, records: &[RequestRecord]) {
         if records.is_empty() {
             return;
         }
@@ -93,7 +93,7 @@
         }
         drop(ledger);
         // One that was run to an end here is to be cleared elsewhere.
-        self.wake_tellers();
+        self.notify_crash_reporters();
     }
 
     /// Judges the crashes that were noted here while no control replica does, and forgets what is old.
@@ -110,8 +110,8 @@
     }
 
     /// Has the tasks that tell control replicas of crashes look for what is new.
-    pub(crate) fn wake_tellers(&self) {
-        self.noted_crashes.send_modify(|count| *count += 1);
+    pub(crate) fn notify_crash_reporters(&self) {
+        self.crash_changes.send_modify(|count| *count += 1);
     }
 
     /// Endpoints that a request is kept from, so that it doesn't meet another one under which an
@@ -120,14 +120,14 @@
     ///
     /// Those of this entry are known. From those of other entries it is kept apart by its fingerprint
     /// once a further crash may have it sent nowhere.
-    pub(crate) fn endpoints_kept_from(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
+    pub(crate) fn isolation_exclusions(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
         let beside = self.endpoints_of_other_suspects(request);
         let mut lists = Vec::new();
         if self.is_one_crash_short(request) {
             let fingerprint = &request.fingerprint;
             let endpoints = self.endpoints.borrow();
-            let said = endpoints.iter().map(|it| &it.announcement);
-            let of_service = said.filter(|it| it.service == request.service);
+            let announcements = endpoints.iter().map(|it| &it.announcement);
+            let of_service = announcements.filter(|it| it.service == request.service);
             let others = of_service.filter(|it| !fingerprint.is_kept_at(&it.id));
             let others: Vec<EndpointId> = others.map(|it| it.id.clone()).collect();
             lists.push([beside.as_slice(), &others].concat());
@@ -140,7 +140,11 @@
 
     /// Whether a request which another crash may have sent nowhere would meet one of this entry under
     /// which an endpoint has crashed as well.
-    pub(crate) fn would_meet_suspect(&self, request: &RelayRequest, endpoint: &EndpointId) -> bool {
+    pub(crate) fn would_colocate_with_suspect(
+        &self,
+        request: &RelayRequest,
+        endpoint: &EndpointId,
+    ) -> bool {
         let is_short = self.is_one_crash_short(request);
         is_short && self.endpoints_of_other_suspects(request).contains(endpoint)
     }
@@ -164,13 +168,13 @@
     /// Marks where a request goes to run, if an endpoint has crashed under it, or may have.
     pub(crate) fn mark_suspect(&self, request: &RelayRequest, reservation: &mut Reservation) {
         if self.is_crash_suspect(request) {
-            reservation.note_suspect(request.fingerprint);
+            reservation.mark_suspect_run(request.fingerprint);
         }
     }
 
     fn is_crash_suspect(&self, request: &RelayRequest) -> bool {
         let fingerprint = &request.fingerprint;
-        let is_checked = self.checked.borrow().contains(fingerprint);
+        let is_checked = self.crash_checks.borrow().contains(fingerprint);
         is_checked || self.crashes.borrow().is_suspect(fingerprint)
     }
 
@@ -181,9 +185,11 @@
     /// It is sent nowhere, or is to wait for the judgement of a crash.
     pub(crate) fn check_crashes(&self, request: &RelayRequest) -> Result<(), Obstacle> {
         let fingerprint = &request.fingerprint;
-        let is_checked = self.checked.borrow().contains(fingerprint);
+        let is_checked = self.crash_checks.borrow().contains(fingerprint);
         if is_checked && self.is_one_crash_short(request) {
-            return Err(Obstacle::Held { left_ms: PROBE_MS });
+            return Err(Obstacle::Held {
+                left_ms: CRASH_PROBE_TIMEOUT_MS,
+            });
         }
         match self.standing(request) {
             Standing::Free => Ok(()),
@@ -206,28 +212,32 @@
     }
 
     /// Waits until something is learned of crashes, `bound_ms` at most.
-    pub(crate) async fn await_judgement(&self, bound_ms: u64) {
-        let mut noted = self.noted_crashes.subscribe();
+    pub(crate) async fn wait_for_crash_change(&self, bound_ms: u64) {
+        let mut noted = self.crash_changes.subscribe();
         // The bound ends the wait where nobody judges.
         let _ = timeout(Duration::from_millis(bound_ms), noted.changed()).await;
     }
 }
 
 /// Tells a control replica what is noted here of requests under which endpoints crashed, for good.
-pub(crate) async fn tell_crashes(relay: Rc<Relay>, address: SocketAddr, told: Told) {
-    let mut noted = relay.noted_crashes.subscribe();
+pub(crate) async fn report_crashes(
+    relay: Rc<Relay>,
+    address: SocketAddr,
+    reported: ReportedRevision,
+) {
+    let mut noted = relay.crash_changes.subscribe();
     while noted.changed().await.is_ok() {
         loop {
             let (revision, records) = {
                 let ledger = relay.crashes.borrow();
-                if ledger.noted_revision() <= told.revision.get() {
+                if ledger.noted_revision() <= reported.revision.get() {
                     break;
                 }
-                let records = ledger.noted_since(relay.now(), told.revision.get());
+                let records = ledger.noted_since(relay.now(), reported.revision.get());
                 (ledger.revision(), records)
             };
             if relay.control.tell_crashes(address, &records).await {
-                told.revision.set(revision);
+                reported.revision.set(revision);
                 continue;
             }
             sleep(RETRY_PAUSE).await;
