--- a/crates/masticsill_relay/src/admission.rs
+++ b/crates/masticsill_relay/src/admission.rs
@@ -1,4 +1,5 @@
-//! The filters that a request passes before it is sent anywhere: route, workspace, deadline.
+//! Admission checks that a request passes before it is sent to an endpoint: route, workspace and
+//! deadline.
 
 use std::sync::Arc;
 
@@ -13,14 +14,20 @@
 use crate::request::RelayRequest;
 use crate::response::Refusal;
 
-/// What a document says of a request.
+/// The route and workspace that a document assigns to a request.
 pub(crate) struct Authorized {
     route: Arc<Route>,
-    /// The workspace that holds the caller's key.
+    /// The workspace that owns the caller's API key.
     workspace: Option<String>,
 }
 
-/// Finds a request's route, and whose it is, under one document; or says why not.
+/// Looks up the route and the workspace of a request in one document.
+///
+///
+/// # Errors
+///
+///
+/// The refusal to answer with: malformed request, unknown route or unknown API key.
 pub(crate) fn authorize(
     index: &RouteIndex,
     names: &HeaderNames,
@@ -40,7 +47,7 @@
     })
 }
 
-/// Admits a whole request that a document allows.
+/// Builds the relayed request from an authorized, completely read request.
 pub(crate) fn admit(
     authorized: Authorized,
     names: &HeaderNames,
@@ -94,7 +101,7 @@
     Ok(Some(workspace.name.clone()))
 }
 
-/// A service by the route's weights; `random` is any number.
+/// Picks one of the route's services according to their weights; `random` is any random number.
 fn choose_service(route: &Route, random: u64) -> String {
     let total: u64 = route.services.iter().map(|share| share.weight).sum();
     let mut left = random % total.max(1);
--- a/crates/masticsill_relay/src/attempt.rs
+++ b/crates/masticsill_relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one endpoint, up to the head of its answer.
+//! One attempt: a request sent to one endpoint, up to the head of the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,61 +18,63 @@
 use crate::retry_state::{Obstacle, RetryState};
 use masticsill_dispatch::Failure;
 
-/// Longest idle time of a connection for a request that may not run twice: the less, the less
-/// likely it crosses the endpoint's close, which would leave its outcome unknown.
+/// Maximum idle time of a pooled connection used for a request that may not run twice. A short
+/// limit makes it unlikely that the request crosses the endpoint's close, which would leave its
+/// outcome unknown.
 const MAX_IDLE_NON_REPEATABLE_MS: u64 = 1_500;
-/// Silence of an endpoint after which it is given up once it is known to stand still.
+/// Silence after which an attempt is given up when its endpoint, or the endpoint's zone, is known
+/// to be stalled.
 const STALLED_SILENCE_TIMEOUT_MS: u64 = 150;
-/// Lateness of a timer that tells of the relay's own standstill: several times what timers and a
+/// Timer lateness that indicates that the relay itself was stalled: several times what timers and a
 /// busy processor cost (10 ms).
 const OWN_STALL_THRESHOLD_MS: u64 = 50;
-/// Time to read what came while the relay stood still.
+/// Extension of a timeout in which the relay reads what arrived while it was stalled itself.
 const OWN_STALL_EXTENSION_MS: u64 = 100;
 
-/// What an endpoint has borne of a request.
+/// Progress of a request at one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunProgress {
-    /// When the first event of its answer came, for a stream.
+    /// When the first event of the stream arrived; never set for a plain request.
     answered_at: Option<ClockMs>,
-    /// For how long the runs had been answered that this one goes on from.
+    /// Time in milliseconds for which the preceding runs that this run resumes had produced events.
     prior_answered_ms: u64,
     pub(crate) began_at: ClockMs,
 }
 
 impl RunProgress {
-    /// For how long the endpoint has answered it.
+    /// Time in milliseconds since the endpoint's first event; 0 before that event.
     pub(crate) fn answered_ms(&self, now: ClockMs) -> u64 {
         self.answered_at.map_or(0, |at| now.since(at))
     }
 
-    /// The same with the runs that it goes on from.
+    /// Like [`Self::answered_ms`], including the preceding runs that this run resumes.
     pub(crate) fn reached_ms(&self, now: ClockMs) -> u64 {
         self.prior_answered_ms + self.answered_ms(now)
     }
 }
 
-/// The connection of one send, and its place at the endpoint. Dropped, it closes the connection,
-/// whether the request has left or not.
+/// One attempt: its connection, and its reservation at the endpoint. Dropping an attempt closes the
+/// connection, whether or not the request was sent.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// What its endpoint has borne of the request.
+    /// Progress of the request at the endpoint.
     pub(crate) progress: RunProgress,
     relay: Rc<Relay>,
     reservation: Reservation,
     upstream: Option<Upstream>,
 }
 
-/// How a send ended before an answer.
+/// How an attempt ended without a response.
 #[derive(Debug)]
 pub(crate) enum SendFailure {
-    /// Nothing was sent: any request may be sent elsewhere.
+    /// Nothing was sent: any request may be sent to another endpoint.
     NotSent,
     /// The request was sent and may have run.
     MayHaveRun,
 }
 
 impl SendFailure {
-    /// The name in logs.
+    /// Name in logs.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -88,13 +90,13 @@
             .expect("it is taken only with the whole value")
     }
 
-    /// Where it was sent.
+    /// The endpoint of the attempt.
     pub(crate) fn endpoint(&self) -> &Announcement {
         self.reservation.endpoint()
     }
 
-    /// Notes that the request is sent now, and for how long the runs had been answered that this one
-    /// goes on from.
+    /// Records that the request is sent now. `prior_answered_ms` is the time for which the
+    /// preceding runs that this run resumes had produced events.
     pub(crate) fn begin(&mut self, prior_answered_ms: u64) -> RunProgress {
         self.progress = RunProgress {
             answered_at: None,
@@ -104,8 +106,9 @@
         self.progress
     }
 
-    /// Notes an event of a stream: its prompt has been read. Returns for how long it has been answered
-    /// by now, with the runs that it goes on from.
+    /// Records an event of a stream; the first one ends the prefill. Returns the time in
+    /// milliseconds for which the request has produced events so far, including the preceding runs
+    /// that this run resumes.
     pub(crate) fn note_event(&mut self) -> u64 {
         let now = self.relay.now();
         self.progress.answered_at.get_or_insert(now);
@@ -113,7 +116,7 @@
         self.progress.reached_ms(now)
     }
 
-    /// Keeps the connection for the next request if the answer allows it.
+    /// Returns the connection to the pool if the response allows its reuse.
     pub(crate) fn return_to_pool(mut self, head: &ResponseHead) {
         let upstream = self.upstream.take();
         let stream = upstream.and_then(Upstream::into_reusable);
@@ -142,13 +145,18 @@
     }
 }
 
-/// Connects to an endpoint, and spends the retry budget if the request has been anywhere before.
+/// Connects to an endpoint, and spends retry budget if the request has reached an endpoint before.
+///
+///
+/// The budget is spent only after the connection succeeds, because a failed connection puts no load
+/// on any endpoint.
 ///
-/// It is spent only now: what could not be connected reaches nobody.
 ///
 /// # Errors
 ///
-/// Why there is no connection: the endpoint, which is left out of `tries` then, or the budget.
+///
+/// Why there is no attempt: the connection failed, which excludes the endpoint in `retry_state`; a
+/// crash check holds or quarantines the request; or the retry budget is exhausted.
 pub(crate) async fn open(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -178,7 +186,8 @@
         reservation,
         upstream: Some(Upstream::new(stream)),
     };
-    // It may have waited for a place, or for the connection, while endpoints crashed under it elsewhere.
+    // Other endpoints may have crashed under this request while it waited for a reservation or for
+    // the connection.
     relay.check_crashes(request)?;
     if retry_state.spend(relay, request) {
         Ok(attempt)
@@ -187,7 +196,13 @@
     }
 }
 
-/// Sends a request on its connection and waits for the head of the answer.
+/// Sends a request on the attempt's connection and waits for the head of the response.
+///
+///
+/// # Errors
+///
+///
+/// The connection failed, or the endpoint's bytes are not a valid response.
 pub(crate) async fn exchange(
     relay: &Relay,
     request: &RelayRequest,
@@ -212,7 +227,7 @@
     Ok(head)
 }
 
-/// Ends a send that failed after the request had left.
+/// Ends an attempt that failed after the request was sent.
 pub(crate) fn fail(
     relay: &Relay,
     request: &RelayRequest,
@@ -221,7 +236,7 @@
     cause: &str,
 ) -> SendFailure {
     log_failure(relay, request, attempt.endpoint(), failure.name(), cause);
-    // An answer that the deadline overtook says nothing against its endpoint.
+    // A response that missed the request's deadline says nothing about the endpoint's health.
     let is_silence = matches!(failure, Failure::Silent | Failure::Stalled);
     let is_deadline_over = is_silence && request.left_ms(relay.now()) == 0;
     if !is_deadline_over {
@@ -290,11 +305,14 @@
     Ok(stream)
 }
 
-/// Waits for something of an endpoint that was last heard at `heard_at`; `None` once it has been
-/// silent for too long, or for a shorter time while its zone is suspect.
+/// Waits for `waiting`, which depends on an endpoint last heard from at `last_received_at`. Returns
+/// `None` once the endpoint has been silent for `silence_timeout_ms`, or for a shorter time while
+/// the endpoint or its zone is reported as stalled.
+///
 ///
-/// Time in which the relay itself stood still says nothing of the endpoint, whose bytes may lie in the
-/// relay's own socket: they are waited for once more, up to the same time again.
+/// Time in which the relay itself was stalled says nothing about the endpoint, whose bytes may
+/// still be in the relay's socket buffer. The timeout is therefore extended, by no more than its
+/// own length in total.
 pub(crate) async fn with_silence_timeout<T>(
     relay: &Relay,
     endpoint: &Announcement,
@@ -332,7 +350,7 @@
     }
 }
 
-/// How long the endpoint keeps the connection, if it says.
+/// How long the endpoint keeps an idle connection, if it states that, in milliseconds.
 fn keep_alive_ms(head: &ResponseHead) -> Option<u64> {
     let parameters = head.headers.text("keep-alive")?;
     let mut parameters = parameters.split(',').map(str::trim);
--- a/crates/masticsill_relay/src/caller.rs
+++ b/crates/masticsill_relay/src/caller.rs
@@ -1,4 +1,4 @@
-//! Reading from a caller: heads, bodies, and whether it is still there.
+//! The read side of a caller's connection: request heads, bodies, and the detection of a close.
 
 use std::io;
 use std::rc::Rc;
@@ -16,37 +16,38 @@
 use crate::relay::Relay;
 use crate::response::Refusal;
 
-/// Room made for each read.
+/// Buffer space reserved for each read.
 const READ_RESERVE_BYTES: usize = 8 * 1024;
-/// Bytes of a next request that are read ahead while one is being answered.
+/// Maximum bytes of the next request that are read ahead while one is being answered.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Limits while no document is known.
+/// Limits that apply while no document is known.
 const DEFAULT_LIMITS: RequestLimits = RequestLimits {
     body_bytes: 4 * 1024 * 1024,
     header_bytes: 16 * 1024,
     header_timeout_ms: 3_000,
     idle_timeout_ms: 15_000,
 };
-/// Idle time beyond the stated limit: a caller that uses its connection at the limit still gets
-/// an answer.
+/// Idle time granted beyond the configured limit, so that a caller which reuses its connection
+/// right at the limit still gets an answer.
 const IDLE_TIMEOUT_SLACK_MS: u64 = 1_000;
-/// How long a closing side reads on, so that the last answer is not lost to a reset.
+/// How long the closing side keeps reading, so that a connection reset does not discard the last
+/// response.
 pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What ended the wait for a request.
+/// Result of waiting for a request.
 pub(crate) enum NextRequest {
     Request(RequestHead, ClockMs),
     Refused(Refusal),
     Ended,
 }
 
-/// A caller's side of the connection.
+/// The read half of a caller's connection.
 pub(crate) struct Caller {
     buffer: BytesMut,
     reader: OwnedReadHalf,
 }
 
-/// Why a body could not be had.
+/// Why a body could not be read.
 pub(crate) enum BodyError {
     Ended,
     Refused(Refusal),
@@ -84,10 +85,12 @@
         }
     }
 
-    /// Waits while the connection is idle; false when it is to end.
+    /// Waits while the connection is idle; false when the connection should be closed.
     ///
-    /// The limit is read again when it seems to be over: a caller goes by the newest document, and may
-    /// send its next request later than the one allowed that was in force when the rest began.
+    ///
+    /// The limit is read again when it seems to have expired: a caller goes by the newest document,
+    /// and may send its next request later than allowed by the document that was active when the
+    /// connection became idle.
     async fn wait_for_bytes(&mut self, relay: &Rc<Relay>) -> bool {
         let began_at = relay.now();
         loop {
@@ -104,7 +107,7 @@
                     }
                 }
                 () = relay.stopping.requested() => {
-                    // What is on its way when the shutdown begins is still answered.
+                    // A request that is in transit when the shutdown begins is still answered.
                     let last = self.read_more();
                     return matches!(timeout(LINGER_TIMEOUT, last).await, Ok(Ok(true)));
                 }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Waits until the caller has closed its side. What it sends meanwhile is read ahead.
+    /// Waits until the caller has closed its side. Bytes received meanwhile are buffered.
     pub(crate) async fn wait_for_close(&mut self) {
         loop {
             if self.buffer.len() >= READ_AHEAD_BYTES {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Ends the connection so that the last answer still arrives.
+    /// Closes the connection such that the last response still arrives.
     pub(crate) async fn linger(&mut self, writer: &mut OwnedWriteHalf) {
         if writer.shutdown().await.is_err() {
             return;
--- a/crates/masticsill_relay/src/config.rs
+++ b/crates/masticsill_relay/src/config.rs
@@ -1,4 +1,4 @@
-//! What a relay is told at its start.
+//! Settings of a relay.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,46 +8,47 @@
 use masticsill_http1::RequestHead;
 use masticsill_types::{NodeId, ZoneId};
 
-/// Reads the operator's bytes of a document; the text names what is wrong.
+/// Parses the document as the operator submitted it; the error text says what is wrong with the
+/// document.
 pub type DocumentReader = fn(&[u8]) -> Result<RouteDocument, String>;
 
 /// Settings of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// Extra sends to endpoints that the system may make.
+    /// Retry budget: how many extra attempts may be made per service.
     pub budget: BudgetSettings,
-    /// Addresses of control replicas to begin with.
+    /// Addresses of the control replicas contacted first.
     pub control_seeds: Vec<SocketAddr>,
-    /// How engines are asked for copies of a run's memory.
+    /// Paths and JSON fields of the calls that ask engines for copies of a run's KV cache.
     pub engine_calls: Arc<EngineCalls>,
-    /// How long a shutdown may take.
+    /// Maximum duration of a graceful shutdown, in milliseconds.
     pub grace_ms: u64,
-    /// The names of header fields.
+    /// Names of the header fields.
     pub headers: Arc<HeaderNames>,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen_address: SocketAddr,
-    /// This process.
+    /// Node id of this process.
     pub node: NodeId,
-    /// Reads documents.
+    /// Parser of documents.
     pub read_document: DocumentReader,
-    /// This process's availability zone.
+    /// Availability zone of this process.
     pub zone: ZoneId,
 }
 
-/// The calls to engines about copies of a run's memory: paths and fields of their JSON.
+/// Calls to engines about copies of a run's KV cache: paths and JSON field names.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineCalls {
-    /// Path of the call that copies a run's memory to another engine.
+    /// Path of the call that copies a run's KV cache to another engine.
     pub copy_path: String,
-    /// Field of its answer that names the copy.
+    /// Response field with the copy's handle.
     pub handle_field: String,
-    /// Field with the request's id.
+    /// Request field with the request's id.
     pub id_field: String,
-    /// Field that says whether the run is to stop.
+    /// Request field that says whether the run is to stop after the copy.
     pub is_last_field: String,
-    /// Path of the call that drops a copy, before the copy's name.
+    /// Path prefix of the call that drops a copy; the copy's handle is appended.
     pub release_path: String,
-    /// Field with the other engine's address.
+    /// Request field with the address of the engine that is to hold the copy.
     pub target_field: String,
 }
 
@@ -64,30 +65,30 @@
     }
 }
 
-/// The names of the header fields that callers, endpoints and the relay exchange.
+/// Names of the header fields that callers, endpoints and the relay exchange.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HeaderNames {
-    /// The caller's API key; never passed on.
+    /// The caller's API key; never forwarded.
     pub api_key: String,
-    /// Where an engine keeps a copy of a run's memory.
+    /// Address of the engine that is to hold a copy of the run's KV cache.
     pub backup_at: String,
-    /// Milliseconds that are left to answer.
+    /// Time left to answer, in milliseconds.
     pub deadline_ms: String,
-    /// The incarnation that a request is meant for.
+    /// The endpoint incarnation that a request is meant for.
     pub expected_endpoint: String,
-    /// The last event that the caller has.
+    /// Number of the last event that the caller has received.
     pub last_event: String,
-    /// What only the system sets, besides the fields named here; dropped when a caller sends it.
+    /// Further fields that only the system sets; dropped when a caller sends them.
     pub reserved: Vec<String>,
     /// The parts of a prompt in order, each as `id:tokens`, separated by commas.
     pub prompt_parts: String,
-    /// Names one attempt of a caller; endpoints repeat it.
+    /// Id of one attempt of a caller; endpoints repeat it in their responses.
     pub request_id: String,
-    /// Where an engine finds the memory that a run goes on from.
+    /// Location of the KV cache copy that a run resumes from.
     pub resume_from: String,
-    /// An endpoint's signature of its answer.
+    /// An endpoint's signature of its response.
     pub signature: String,
-    /// The numbers of prompt tokens and of output tokens at most, separated by a comma.
+    /// The number of prompt tokens and the maximum number of output tokens, separated by a comma.
     pub token_count: String,
     /// Says that an endpoint did not run a request.
     pub not_run: String,
@@ -96,7 +97,7 @@
 }
 
 impl HeaderNames {
-    /// The id that a caller gave to its attempt; empty when it gave none.
+    /// The id that the caller gave its attempt; empty if there is none.
     pub(crate) fn request_id_of<'a>(&self, head: &'a RequestHead) -> &'a str {
         head.headers.text(&self.request_id).unwrap_or_default()
     }
--- a/crates/masticsill_relay/src/connection.rs
+++ b/crates/masticsill_relay/src/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: its requests, one after the other.
+//! A caller's connection: its requests are served one after the other.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 use crate::response::Refusal;
 use crate::stream::StreamRelay;
 
-/// Serves a connection until either side ends it.
+/// Serves a connection until either side closes it.
 pub(crate) async fn serve_connection(relay: Rc<Relay>, stream: TcpStream) {
     if watch_peer(&stream).is_err() {
         return;
@@ -49,7 +49,7 @@
                 break;
             }
             ConnectionAction::CloseUnannounced => {
-                // Nothing more is read: a request that crosses this is the caller's to send again.
+                // Nothing more is read: the caller has to resend a request that crosses this close.
                 let _ = writer.shutdown().await;
                 tokio::time::sleep(LINGER_TIMEOUT).await;
                 break;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Answers a request that has been read whole.
+/// Answers a request whose body has been read completely.
 async fn answer_complete_request(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
@@ -127,10 +127,12 @@
     }
 }
 
-/// What is known to be in force says of a request; `None` while that can't be told.
+/// The authorization of a request by the active document; `None` while the answer is not known for
+/// certain.
 ///
-/// Callers don't come back after an unknown route or key, so that neither is said by a document which
-/// is known to be old: the newer one may have it.
+///
+/// Callers do not retry after an unknown route or API key. A document known to be outdated
+/// therefore refuses neither, because the newer document may contain the route or key.
 fn authorize_now(relay: &Relay, head: &RequestHead) -> Option<Result<Authorized, Refusal>> {
     let index = relay.index()?;
     let authorized = authorize(&index, &relay.config.headers, head);
--- a/crates/masticsill_relay/src/copies.rs
+++ b/crates/masticsill_relay/src/copies.rs
@@ -1,8 +1,9 @@
-//! Copies of a run's memory, from which another engine goes on when the run breaks.
+//! Copies of a run's KV cache, from which another engine resumes when the run breaks.
 //!
-//! An engine sends its memory to a second one as it grows, if the request asks for it. That copy
-//! dies with its holder, while the run may have seconds to go: then a new copy is made from the
-//! running engine, and made again before it expires.
+//!
+//! If the request asks for it, an engine streams its KV cache to a second engine as the cache
+//! grows. That copy is lost with the engine that holds it, while the run may have seconds to go. In
+//! that case a new copy is requested from the running engine, and renewed before it expires.
 
 use std::rc::Rc;
 
@@ -19,29 +20,31 @@
 use crate::relay::Relay;
 use crate::reservation::CopyReservation;
 
-/// Longest wait for a copy: 14,400 tokens take a quarter of a second between zones, behind others.
+/// Timeout of a copy request. Copying 14,400 tokens between zones takes 250 ms, queued behind other
+/// copies.
 const COPY_TIMEOUT_MS: u64 = 1_500;
-/// Age at which a copy is made again: engines drop one that is not used within four seconds.
+/// Age at which a requested copy is renewed: engines drop a copy that is not used within four
+/// seconds.
 const COPY_RENEW_AGE_MS: u64 = 2_800;
 /// Pause after a copy could not be made.
 const COPY_RETRY_PAUSE_MS: u64 = 400;
 
-/// A copy of a run's memory.
+/// A copy of a run's KV cache.
 #[derive(Clone, Debug)]
 pub(crate) struct RunCopy {
-    /// The engine that holds it.
+    /// The engine that holds the copy.
     pub(crate) at: Announcement,
     origin: Origin,
-    /// The memory that it takes there.
+    /// The memory reserved at the holder.
     reservation: Rc<CopyReservation>,
 }
 
 /// How a copy was made.
 #[derive(Clone, Debug)]
 enum Origin {
-    /// The running engine sends what it has as it grows.
+    /// The running engine streams its KV cache to the holder as it grows.
     Backup,
-    /// The running engine was asked for it; it names the copy by this handle.
+    /// The copy was requested from the running engine, which named it by this handle.
     Requested {
         handle: String,
         made_at: ClockMs,
@@ -50,7 +53,7 @@
 }
 
 impl RunCopy {
-    /// The copy that an engine keeps as the run grows.
+    /// The copy that the running engine streams as the KV cache grows.
     pub(crate) fn backup(at: Announcement, reservation: CopyReservation) -> Self {
         Self {
             at,
@@ -59,12 +62,12 @@
         }
     }
 
-    /// The holder, and the memory that the copy takes there.
+    /// The holder, and the memory reserved there.
     pub(crate) fn into_parts(self) -> (Announcement, Rc<CopyReservation>) {
         (self.at, self.reservation)
     }
 
-    /// What a request that goes on from the copy names.
+    /// The value of the resume header field of a request that resumes from the copy.
     pub(crate) fn reference(&self, request_id: &str) -> String {
         match &self.origin {
             Origin::Backup => format!("{}/{request_id}", self.at.address),
@@ -73,7 +76,7 @@
     }
 }
 
-/// Keeps a copy of one run while it lasts.
+/// Keeps a copy of one run available while the run lasts.
 #[derive(Debug, Default)]
 pub(crate) struct CopyManager {
     copy: Option<RunCopy>,
@@ -81,7 +84,7 @@
     retry_at: ClockMs,
 }
 
-/// A copy that is being made.
+/// A copy that has been requested and is not complete yet.
 #[derive(Debug)]
 struct PendingCopy {
     at: Announcement,
@@ -91,18 +94,18 @@
 }
 
 impl CopyManager {
-    /// The copy, if there is one.
+    /// The current copy, if there is one.
     pub(crate) fn copy(&self) -> Option<&RunCopy> {
         self.copy.as_ref()
     }
 
-    /// The memory that the copy takes at its holder.
+    /// The memory reserved at the holder of the current copy.
     pub(crate) fn reservation(&self) -> Option<Rc<CopyReservation>> {
         let copy = self.copy.as_ref()?;
         Some(Rc::clone(&copy.reservation))
     }
 
-    /// Starts anew with a run's own copy.
+    /// Starts a new run with the copy that its engine streams, if any.
     pub(crate) fn reset(&mut self, copy: Option<RunCopy>) {
         self.copy = copy;
         self.pending = None;
@@ -113,7 +116,7 @@
         self.reset(None);
     }
 
-    /// Takes in a copy that was made meanwhile.
+    /// Adopts a requested copy that has been completed meanwhile.
     pub(crate) fn poll_pending(&mut self, now: ClockMs) {
         let Some(mut pending) = self.pending.take() else {
             return;
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Whether a copy must be made now: there is none that lives, or it is about to expire.
+    /// Whether a copy has to be made now: there is none on a usable holder, or the copy is about to
+    /// expire.
     pub(crate) fn needs_copy(&self, now: ClockMs, lives: impl Fn(&RunCopy) -> bool) -> bool {
         if self.pending.is_some() || now < self.retry_at {
             return false;
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Asks the running engine for a copy at another one.
+    /// Requests a copy from the running engine, to be held by another one.
     pub(crate) fn start_copy(
         &mut self,
         relay: &Rc<Relay>,
@@ -186,7 +190,7 @@
         });
     }
 
-    /// Lets the engines drop the copy of a run that has ended.
+    /// Has the engines drop the copy of a run that has ended.
     pub(crate) fn release(&mut self, relay: &Rc<Relay>) {
         let copy = self.copy.take();
         let Some(Origin::Requested { handle, source, .. }) = copy.map(|copy| copy.origin) else {
@@ -196,7 +200,7 @@
         spawn_local(async move {
             let calls = &relay.config.engine_calls;
             let target = format!("{}{handle}", calls.release_path);
-            // An engine that can't be told drops the copy by itself within seconds.
+            // An engine that cannot be reached drops the copy by itself within seconds.
             let _ = call(&relay, &source, "DELETE", &target, "").await;
         });
     }
@@ -230,7 +234,13 @@
         .ok_or_else(|| format!("the answer has no `{handle_field}`"))
 }
 
-/// Calls an engine; its answer's body if it says 200, or what went wrong.
+/// Calls an engine and returns the body of a response with status 200.
+///
+///
+/// # Errors
+///
+///
+/// A text that says what went wrong: another status, a failed connection, or no response in time.
 async fn call(
     relay: &Rc<Relay>,
     engine: &Announcement,
@@ -246,7 +256,7 @@
         target,
     };
     let calling = client.call(&call, COPY_TIMEOUT_MS);
-    // A zone that stands still ends the wait sooner.
+    // A report that the engine or its zone is stalled shortens the wait.
     match with_silence_timeout(relay, engine, relay.now(), COPY_TIMEOUT_MS, calling).await {
         Some(Ok((200, answer))) => Ok(answer),
         Some(Ok((status, _))) => Err(format!("the engine answered {status}")),
--- a/crates/masticsill_relay/src/crash_check.rs
+++ b/crates/masticsill_relay/src/crash_check.rs
@@ -1,7 +1,8 @@
-//! Finds out whether a run ended together with its endpoint.
+//! Determines whether a run ended because its endpoint's process ended.
 //!
-//! A connection breaks for many reasons: it was reset, an answer was cut, the endpoint's process has
-//! ended. Only the last one may be the request's doing.
+//!
+//! A connection breaks for many reasons: a reset, a truncated response, or the end of the
+//! endpoint's process. Only the last one may have been caused by the request.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -18,19 +19,19 @@
 use crate::relay::Relay;
 use crate::request::RelayRequest;
 
-/// Longest wait for a connection: an endpoint that runs accepts within a few milliseconds.
+/// Timeout of the probe connection: a running endpoint accepts within a few milliseconds.
 pub(crate) const CRASH_PROBE_TIMEOUT_MS: u64 = 120;
 
-/// What a failure says of its endpoint's process.
+/// What a failure says about the endpoint's process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Suspicion {
-    /// It has ended.
+    /// The process has ended.
     Down,
-    /// It may have, and is down if it can't be connected to.
+    /// The process may have ended; it counts as down if no connection can be made.
     Likely,
-    /// It stands still, or can't be reached; it has ended only if it refuses connections.
+    /// The process is stalled or unreachable; it counts as down only if it refuses connections.
     Unlikely,
-    /// It runs.
+    /// The process runs.
     Up,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Asks the endpoint of a run that failed for a connection, and notes whether it is down.
+/// Probes the endpoint of a failed run with a connection, and records a crash if it is down.
 pub(crate) fn check_for_crash(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -54,7 +55,7 @@
     progress: RunProgress,
 ) {
     let suspicion = Suspicion::from(failure);
-    // One that leaves ends by itself, and what it still ran with it.
+    // An endpoint that is leaving exits regularly, and its remaining runs end with it.
     let is_expected_exit = suspicion != Suspicion::Down && is_leaving(relay, endpoint);
     if suspicion == Suspicion::Up || is_expected_exit {
         return;
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -1,8 +1,9 @@
-//! Follows the control replicas: the document in force and the endpoints that registered.
+//! Watches the control replicas for the active document and the registered endpoints.
 //!
-//! Every replica is followed at once, so that an entry in touch with the one that acknowledged
-//! something hears of it directly. What they tell of the document's version goes to the duty that
-//! fetches it, and what that has read comes into force here.
+//!
+//! All replicas are watched at once, so that an entry learns of a change directly from the replica
+//! that acknowledged it. The document versions that the replicas report go to the duty that fetches
+//! documents; the documents it has read become active here.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,27 +25,29 @@
 use crate::relay::Relay;
 use crate::suspects::{ReportedRevision, report_crashes};
 
-/// Longest wait for news.
+/// Maximum wait for a watch reply, in milliseconds.
 const WATCH_TIMEOUT_MS: u64 = 1_000;
-/// How often the own zone's replica is told of this entry's load and asked for the others':
-/// about as often as requests for long generations come.
+/// Maximum wait for a watch reply of a replica in this zone, in milliseconds. Each watch request
+/// carries this entry's loads and its reply the other entries' loads; the interval is about that
+/// between requests for long generations.
 const OWN_ZONE_WATCH_TIMEOUT_MS: u64 = 200;
-/// Pause before changed loads are told, so that what happens at the same moment shares a message.
+/// Delay before changed loads are reported, so that simultaneous changes share a message.
 const LOAD_REPORT_DELAY: Duration = Duration::from_millis(4);
-/// Pause before an address is asked again whether it serves control, and who else does.
+/// Pause before an address is asked again whether it serves control, and which other replicas
+/// exist.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a replica did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What the followers share.
+/// State shared by the tasks that watch replicas.
 struct Discovery {
     watched_addresses: RefCell<IndexSet<SocketAddr>>,
     relay: Rc<Relay>,
-    /// For the duty that fetches documents.
+    /// Document versions per replica, for the duty that fetches documents.
     sources: watch::Sender<DocumentSources>,
 }
 
-/// Follows the seeds, every replica that they tell of, and those that are told later.
+/// Watches the seed addresses, every replica that they report, and addresses added later.
 pub(crate) fn start_discovery(
     relay: &Rc<Relay>,
     new_seeds: Ring<SocketAddr>,
@@ -74,8 +77,8 @@
         }
     }
 
-    /// Whether a replica answers at an address. A process without state knows of the replicas, and
-    /// they are followed.
+    /// Whether a control replica serves an address. A process without control state reports the
+    /// replicas it knows, and these are watched.
     async fn is_replica(self: &Rc<Self>, address: SocketAddr) -> bool {
         let Some(directory) = self.relay.control.directory(address, None).await else {
             return false;
@@ -86,7 +89,7 @@
         directory.keeps_state
     }
 
-    /// Notes which version a replica has.
+    /// Records which document version a replica has.
     fn note_document(&self, address: SocketAddr, reply: &WatchReply) {
         let source = DocumentSource {
             is_near: reply.zone == self.relay.config.zone,
@@ -129,7 +132,7 @@
     }
 }
 
-/// Puts the documents that were read in force, one after the other.
+/// Activates the documents that were read, one after the other.
 async fn install_documents(relay: Rc<Relay>, read: Ring<ReadDocument>) {
     while let Some(document) = read.pop().await {
         let version = document.index.document().version;
@@ -148,13 +151,13 @@
     }
 }
 
-/// Follows one replica for good.
+/// Watches one replica until the relay ends.
 async fn watch_replica(discovery: Rc<Discovery>, address: SocketAddr) {
     let relay = Rc::clone(&discovery.relay);
     while !discovery.is_replica(address).await {
         sleep(DIRECTORY_INTERVAL).await;
     }
-    // The replica is named by its address here: its node is of no use to an entry.
+    // The address serves as the replica's node id here: an entry has no use for the real one.
     let node = NodeId::new(address.to_string()).expect("an address holds allowed characters");
     let watcher = relay.watcher();
     let mut request = WatchRequest {
@@ -227,7 +230,7 @@
         relay.merge_crash_records(&reply.suspects);
         request.suspects_revision = reply.suspects_revision;
         if reply.registry != request.registry {
-            // Another life of the replica may have forgotten what it was told.
+            // A restarted replica may have lost what was reported to it.
             reported.reset();
             relay.notify_crash_reporters();
         }
@@ -247,10 +250,12 @@
     }
 }
 
-/// Tells a replica of this entry's streams in its zone whenever they change, for good.
+/// Reports this entry's streams in a replica's zone to that replica whenever they change, until the
+/// relay ends.
+///
 ///
-/// A question brings the loads along as well, but the next one may be a second away, and entries
-/// that choose on old loads send their prompts to the same engine.
+/// Watch requests carry the loads as well, but the next one may be a second away, and entries that
+/// select endpoints by outdated loads send their prompts to the same engine.
 async fn report_loads(
     discovery: Rc<Discovery>,
     address: SocketAddr,
@@ -268,7 +273,7 @@
         }
         reported = count.unwrap_or_default();
         let loads = relay.endpoints.borrow().loads_in(relay.now(), &zone);
-        // What a replica that can't be reached misses comes with the next question.
+        // Loads that an unreachable replica misses are included in the next watch request.
         relay.control.tell_loads(address, &watcher, &loads).await;
     }
 }
--- a/crates/masticsill_relay/src/dispatch_queue.rs
+++ b/crates/masticsill_relay/src/dispatch_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait here for an endpoint, until the dispatcher ends their wait.
+//! Queue of requests that wait for an endpoint, until the dispatcher ends their wait.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,34 +17,34 @@
 use crate::request::RelayRequest;
 use crate::reservation::{Reservation, ReservedLoad};
 
-/// How often the waiting requests are looked through even though nothing changed: what waits in
-/// vain must hear of it soon.
+/// Interval at which the queue is checked even without a change, so that requests that cannot be
+/// served are refused soon.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How a wait ended.
+/// How the wait of a queued request ended.
 pub(crate) enum WaitEnd {
     Refused(Overload),
     Assigned(Box<Choice>, Box<Reservation>),
 }
 
-/// Where the ends of waits go, by ticket.
+/// Receivers of wait results, by ticket.
 pub(crate) type Waiters = IndexMap<Ticket, Waiter>;
 
-/// A request that waits.
+/// A queued request.
 pub(crate) struct Waiter {
     end: oneshot::Sender<WaitEnd>,
     load: ReservedLoad,
 }
 
-/// What became of a request that asked for an endpoint.
+/// Result of dispatching a request.
 pub(crate) enum Dispatched {
-    /// No endpoint of its service is known that it could go to.
+    /// No usable endpoint of the service is known.
     NoEndpoint,
     Refused(Overload),
     Assigned(Box<Choice>, Box<Reservation>),
 }
 
-/// Takes a request out of the queue when its caller leaves.
+/// Removes a request from the queue when its caller disconnects.
 struct QueueGuard<'a> {
     relay: &'a Relay,
     ticket: Ticket,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Has a request sent somewhere, waiting for a place if there is none.
+/// Reserves an endpoint for a request, and queues the request while no endpoint has capacity.
 pub(crate) async fn dispatch(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -119,10 +119,10 @@
     }
 }
 
-/// Ends waits whenever something changes, for good.
+/// Ends the waits of queued requests whenever capacity changes, until the relay ends.
 pub(crate) async fn run_dispatch(relay: Rc<Relay>) {
     loop {
-        // Without a change in time the queue is looked through as well.
+        // After the timeout the queue is checked without a change.
         let _ = timeout(QUEUE_CHECK_INTERVAL, relay.room_changed.notified()).await;
         while let Some(ended) = next_end(&relay) {
             end_wait(&relay, ended);
@@ -147,7 +147,7 @@
     let (ticket, choice) = match ended {
         Ended::Refuse(ticket, overload) => {
             if let Some(waiter) = relay.waiters.borrow_mut().swap_remove(&ticket) {
-                // A caller that has just left needs no word.
+                // The send fails only if the caller has just disconnected.
                 let _ = waiter.end.send(WaitEnd::Refused(overload));
             }
             return;
@@ -158,7 +158,8 @@
     let endpoint = announcement_of(relay, &choice);
     if let (Some(waiter), Some(endpoint)) = (waiter, endpoint) {
         let reservation = Reservation::take(relay, endpoint, waiter.load);
-        // If its caller has just left, the place is free again with this.
+        // If the caller has just disconnected, the failed send drops the reservation, which frees
+        // it.
         let _ = waiter
             .end
             .send(WaitEnd::Assigned(Box::new(choice), Box::new(reservation)));
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -1,7 +1,8 @@
-//! Fetches and reads documents on a thread of its own, so that streams never wait for either.
+//! Fetches and parses documents on a separate thread, so that neither delays streams.
 //!
-//! One version at a time is fetched, piece by piece, and read; versions that were superseded before
-//! they were begun are skipped. What was read goes to the relay's thread through a ring.
+//!
+//! One version at a time is fetched piece by piece and parsed. Versions superseded before their
+//! fetch begins are skipped. Parsed documents go to the relay's thread through a ring.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,15 +25,16 @@
 use crate::config::DocumentReader;
 use crate::events;
 
-/// Documents that were read and wait for the relay's thread; the oldest gives way to a new one.
+/// Maximum number of parsed documents that wait for the relay's thread; a new one displaces the
+/// oldest.
 pub(crate) const READ_RING_ITEMS: usize = 2;
-/// Longest wait for an answer. Of 32 KB this bears a link of 0.3 Mbit/s; after a silence less is
-/// asked for.
+/// Timeout of a call, in milliseconds: a reply of 32 KB arrives within it over a link of 0.3
+/// Mbit/s. After a timeout less is requested.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// Pause after no replica could be asked, or none had what was asked for.
+/// Pause when no replica could be asked, or none had what was requested.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// A document that is ready to come into force.
+/// A parsed document that is ready to become active.
 #[derive(Debug)]
 pub(crate) struct ReadDocument {
     pub(crate) fetch_ms: u64,
@@ -44,20 +46,21 @@
     pub(crate) reused_pieces: usize,
 }
 
-/// What the duty is built from.
+/// Inputs of the duty that fetches documents.
 #[derive(Debug)]
 pub(crate) struct DocumentParts {
     pub(crate) clock: MonotonicClock,
-    /// Told when the relay's thread has ended; one that drains still takes new documents.
+    /// Signalled when the relay's thread has ended; a relay that drains still activates new
+    /// documents.
     pub(crate) ended: ShutdownSignal,
-    /// Whether requests are being answered, to which the link is left in part.
+    /// Whether requests are being answered, for which part of the link's bandwidth is left free.
     pub(crate) is_relaying: Arc<AtomicBool>,
     pub(crate) read: Ring<ReadDocument>,
     pub(crate) reader: DocumentReader,
     pub(crate) sources: watch::Receiver<DocumentSources>,
 }
 
-/// Fetches and reads every document that becomes known, until the relay ends.
+/// Fetches and parses every document that becomes known, until the relay ends.
 pub(crate) async fn run_documents(parts: DocumentParts) {
     let ended = parts.ended.clone();
     let mut duty = DocumentDuty {
@@ -75,34 +78,34 @@
     }
 }
 
-/// The bytes of a document, from where they were listed, and when their fetch began.
+/// A fetched document, the replica that listed its pieces, and when the fetch began.
 struct Fetched {
     began: ClockMs,
     document: JoinedDocument,
     from: SocketAddr,
 }
 
-/// Pieces that a replica gave.
+/// Pieces returned by a replica.
 type Pieces = Vec<(PieceHash, PackedPiece)>;
 
-/// What became of a call for pieces.
+/// Outcome of a call for pieces.
 struct PiecesReply {
-    /// Whether another replica was asked because the first was late, and its answer came first.
+    /// Whether the first replica was late, and another one that was asked as well answered first.
     is_late: bool,
     pieces: Option<Pieces>,
 }
 
 struct DocumentDuty {
-    /// Its own connections: pieces don't hold up news of endpoints.
+    /// Client with its own connections, so that pieces do not delay endpoint updates.
     client: ControlClient,
     fetch: PieceFetch,
     pace: FetchPace,
     parts: DocumentParts,
-    /// The last version that was read.
+    /// The last version that was parsed.
     read: Option<u64>,
-    /// Replicas that were late with pieces of the version that is being fetched.
+    /// Replicas that were late with pieces of the version being fetched.
     slow_replicas: IndexSet<SocketAddr>,
-    /// Shares the work of equal replicas among relays.
+    /// Random offset that spreads the load of equally suitable replicas among relays.
     rotation: usize,
 }
 
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Fetches the newest version; none when it can't be had at the moment.
+    /// Fetches the newest version; `None` if it is not available at the moment.
     async fn fetch(&mut self) -> Option<Fetched> {
         let began = self.parts.clock.now();
         let (list, from) = self.list().await?;
@@ -141,7 +144,7 @@
                 }
                 Ok(None) => {
                     if !self.fetch_next().await {
-                        // What came is kept for the next version.
+                        // The pieces received so far are kept for the next version.
                         self.fetch.give_up();
                     }
                 }
@@ -158,8 +161,9 @@
         None
     }
 
-    /// Asks what the newest version consists of: one replica, and the next as well once the answer is
-    /// late. A list is small; a replica that cuts a large document first needs some time for it.
+    /// Requests the piece list of the newest version from one replica, and from a further one each
+    /// time the reply is late. A list is small, but a replica that first has to cut a large
+    /// document needs some time.
     async fn list(&self) -> Option<(PieceList, SocketAddr)> {
         let late = Duration::from_millis(self.pace.late_ms() * 2);
         let mut skipped = IndexSet::new();
@@ -196,7 +200,7 @@
         Some((asked.await?, address))
     }
 
-    /// Fetches the next pieces, from one replica after the other; false when none has them.
+    /// Fetches the next pieces, trying one replica after the other; false if none has them.
     async fn fetch_next(&mut self) -> bool {
         let mut skipped = self.slow_replicas.clone();
         loop {
@@ -232,7 +236,8 @@
         sources.holder(version, self.rotation, skipped)
     }
 
-    /// Asks a replica, and another one for the first piece alone when the answer is late.
+    /// Requests pieces from a replica. If the reply is late, requests the first piece alone from
+    /// another one as well.
     async fn request_pieces(&mut self, address: SocketAddr, wanted: &[PieceHash]) -> PiecesReply {
         let began = self.parts.clock.now();
         let client = self.client.clone();
@@ -260,7 +265,7 @@
         reply
     }
 
-    /// Takes what came; whether something was missing of it.
+    /// Stores received pieces; returns whether any of them was still missing.
     fn store_pieces(&mut self, pieces: Option<Pieces>) -> bool {
         let mut has_progress = false;
         for (hash, piece) in pieces.into_iter().flatten() {
@@ -277,7 +282,7 @@
         has_progress
     }
 
-    /// Reads a document, and hands it to the relay's thread.
+    /// Parses a document and hands it to the relay's thread.
     fn read(&mut self, fetched: Fetched) {
         let Fetched {
             began,
@@ -316,14 +321,14 @@
             if self.parts.read.is_closed() {
                 return;
             }
-            // The relay's thread has not come to the older one, which is superseded.
+            // The relay's thread has not taken the older document yet, which is now superseded.
             drop(self.parts.read.try_pop());
             next = document;
         }
     }
 }
 
-/// The first of two calls that is answered with pieces; none when neither is.
+/// Returns the first of two replies that contains pieces; `None` or no pieces if neither does.
 async fn first_reply(
     asked: impl Future<Output = Option<Pieces>>,
     hedge: impl Future<Output = Option<Pieces>>,
--- a/crates/masticsill_relay/src/endpoint_choice.rs
+++ b/crates/masticsill_relay/src/endpoint_choice.rs
@@ -1,4 +1,5 @@
-//! The choice of an endpoint for one send: what is known of the endpoints, and of the prompt.
+//! Selection of an endpoint for one attempt, from the known state of the endpoints and the cached
+//! parts of the prompt.
 
 use std::rc::Rc;
 
@@ -14,18 +15,18 @@
 use crate::dispatch_queue::{Dispatched, dispatch};
 use crate::engine_reservation::reserve_engine;
 use crate::events;
-use crate::prompts::find_kept;
+use crate::prompts::find_cached;
 use crate::relay::{DISCOVERY_WAIT_DIVISOR, MAX_DISCOVERY_WAIT_MS, Relay};
 use crate::request::RelayRequest;
 use crate::retry_state::RetryState;
 
-/// Part of the connections that an endpoint accepts which the entries use: health checks and
-/// connections that are just closing take the rest.
+/// Percentage of the connections accepted by an endpoint that the entries use. Health checks and
+/// connections that are just closing need the rest.
 const USED_PERCENT: u32 = 85;
 
 impl Relay {
-    /// Chooses the engine that is to hold a copy of a run: in another zone than the running one,
-    /// so that it survives that, and with memory to spare.
+    /// Chooses the engine that is to hold a copy of a run: in another zone than the running engine,
+    /// so that the copy survives a failure of that zone, and with memory to spare.
     pub(crate) fn choose_copy_holder(
         &self,
         request: &RelayRequest,
@@ -56,10 +57,11 @@
         Some(holder.announcement.clone())
     }
 
-    /// Has a request sent to an endpoint, waiting for a place while there is none.
+    /// Reserves an endpoint for a request, waiting while none has capacity.
     ///
-    /// Of an endpoint that has just begun, the relay may not have heard yet: while the request has
-    /// gone nowhere, it waits a little for news.
+    ///
+    /// The relay may not have been informed yet of an endpoint that has just started. A request
+    /// that has not been tried anywhere therefore waits briefly for discovery.
     pub(crate) async fn choose_or_wait(
         self: &Rc<Self>,
         request: &RelayRequest,
@@ -110,13 +112,13 @@
         }
     }
 
-    /// What a request needs of an endpoint.
+    /// What a request requires of an endpoint.
     async fn need_of(self: &Rc<Self>, request: &RelayRequest, retry_state: &RetryState) -> Need {
         let names = &self.config.headers;
         let (kept, place) = match request.route.kind {
             RouteKind::Stream => {
-                // Boxed, as every request's own state would hold both questions otherwise.
-                let kept = Box::pin(find_kept(self, request));
+                // Boxed, because otherwise the future of every request would contain both queries.
+                let kept = Box::pin(find_cached(self, request));
                 let place = Box::pin(reserve_engine(self, request, retry_state));
                 tokio::join!(kept, place)
             }
@@ -135,7 +137,7 @@
             RouteKind::Idempotent | RouteKind::NonIdempotent => Work::Whole,
         };
         Need {
-            // Filled in for each choice.
+            // Set for each choice.
             excluded: Vec::new(),
             kept,
             place,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Logs and counts a choice with what decided it.
+    /// Logs and counts a choice, with the values that decided it.
     fn note_choice(
         &self,
         request: &RelayRequest,
@@ -174,8 +176,8 @@
         );
     }
 
-    /// Endpoints that accept no more connections of this entry: all entries share what one
-    /// accepts, and it resets what is beyond.
+    /// Endpoints that accept no further connection from this entry. The connection limit of an
+    /// endpoint is shared by all entries, and the endpoint resets connections beyond it.
     pub(crate) fn full_endpoints(
         &self,
         endpoints: &EndpointTable,
@@ -197,7 +199,7 @@
             .collect()
     }
 
-    /// Endpoints of a zone that take requests, but would not be sent this one.
+    /// Ready endpoints of a zone to which this request would not be sent.
     pub(crate) fn unusable_endpoints(
         &self,
         service: &str,
@@ -219,14 +221,14 @@
         unusable.map(|it| it.announcement.id.clone()).collect()
     }
 
-    /// Whether a service's endpoints in a zone seem to be down together.
+    /// Whether a service's endpoints in a zone appear to be down together.
     pub(crate) fn is_suspect(&self, service: &str, zone: &ZoneId) -> bool {
         let endpoints = self.endpoints.borrow();
         suspect_zones(&endpoints, service, self.now()).contains(&zone)
     }
 
-    /// What keeps requests from an endpoint, if anything does.
-    pub(crate) fn obstacle(&self, id: &EndpointId) -> Option<&'static str> {
+    /// Why requests cannot be sent to an endpoint; `None` if they can.
+    pub(crate) fn unavailability_reason(&self, id: &EndpointId) -> Option<&'static str> {
         let endpoints = self.endpoints.borrow();
         match endpoints.get(id) {
             None => Some("forgotten"),
@@ -237,7 +239,7 @@
     }
 }
 
-/// For how long a request may wait. Its caller's aim counts from the caller's first attempt.
+/// The time limits of a request. The latency target counts from the caller's first attempt.
 fn terms_of(request: &RelayRequest, is_resume: bool) -> Terms {
     let asked_at = request.received_at.before(request.had_waited_ms);
     Terms {
--- a/crates/masticsill_relay/src/endpoint_response.rs
+++ b/crates/masticsill_relay/src/endpoint_response.rs
@@ -1,4 +1,4 @@
-//! Whole answers of endpoints: read to their end, and judged.
+//! Complete responses of endpoints: read to their end and classified.
 
 use std::rc::Rc;
 
@@ -12,20 +12,20 @@
 use crate::response::Response;
 use masticsill_dispatch::Failure;
 
-/// Bytes of a whole answer at most; it is held until its end has come.
+/// Maximum size of a complete response, which is buffered until its end.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Status of an endpoint that is not the incarnation which the request was meant for.
+/// Status sent by an endpoint that is not the incarnation for which the request was meant.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// What an answer means for the request.
+/// What a response means for the request.
 pub(crate) enum Verdict {
-    /// Pass it on.
+    /// Deliver the response to the caller.
     Deliver,
-    /// It failed; an idempotent request may run again.
+    /// The request failed; an idempotent one may run again.
     Failed,
-    /// It says that the request did not run.
+    /// The response says that the request did not run.
     NotRun {
-        /// Whether that is because the address belongs to another incarnation.
+        /// Whether the reason is that another incarnation has the address.
         is_replaced: bool,
     },
 }
@@ -42,7 +42,14 @@
     }
 }
 
-/// Reads the rest of an answer whose head has come.
+/// Reads the rest of a response whose head has arrived.
+///
+///
+/// # Errors
+///
+///
+/// The request may have run: the response is incomplete, malformed, or a success without a
+/// signature.
 pub(crate) async fn read_response(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -107,7 +114,7 @@
     Ok((verdict, response))
 }
 
-/// The fields of an endpoint's answer that go to the caller.
+/// The header fields of an endpoint's response that are forwarded to the caller.
 pub(crate) fn forwarded_headers(head: &ResponseHead) -> Vec<Header> {
     let fields = head.headers.end_to_end();
     fields
--- a/crates/masticsill_relay/src/engine_reservation.rs
+++ b/crates/masticsill_relay/src/engine_reservation.rs
@@ -1,4 +1,4 @@
-//! Places at engines that control replicas hand out.
+//! Reservations of engines, made by control replicas.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,10 +14,12 @@
 use crate::request::RelayRequest;
 use crate::retry_state::RetryState;
 
-/// Asks for a place at an engine for a stream: in the own zone, and where that has none in the
-/// others, one after the other.
+/// Requests an engine reservation for a stream: in this zone first, then in the other zones, one
+/// after the other.
 ///
-/// Without any, what is known of the engines here must do.
+///
+/// Returns `None` if no zone grants one in time; the engine is then chosen by the loads known to
+/// this relay.
 pub(crate) async fn reserve_engine(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -45,14 +47,14 @@
     None
 }
 
-/// The replica of the own zone that hands out its places: all entries there ask the same one.
+/// The replica that reserves engines of this zone; all entries of the zone ask the same one.
 fn own_zone_replica(relay: &Relay) -> Option<(SocketAddr, ZoneId)> {
     let near = relay.config.zone.clone();
     Some((first_replica(relay, &near)?, near))
 }
 
-/// A replica of each other zone, in an order drawn at random so that not all who find no place go
-/// to the same one.
+/// A replica of each other zone, in random order so that entries without a reservation do not all
+/// go to the same zone.
 fn other_zone_replicas(relay: &Relay, service: &str) -> Vec<(SocketAddr, ZoneId)> {
     let zones: IndexSet<ZoneId> = relay.control_reached.borrow().values().cloned().collect();
     let is_other_zone =
--- a/crates/masticsill_relay/src/event_order.rs
+++ b/crates/masticsill_relay/src/event_order.rs
@@ -1,36 +1,37 @@
-//! The order of a stream's events: each exactly once, in sequence, of one request.
+//! The order of a stream's events: each is delivered exactly once, in sequence.
 
-/// What becomes of an event.
+/// Position of an event relative to the last delivered one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Placed {
-    /// The caller has it already.
+    /// The event was delivered before.
     Known,
-    /// It is the next one.
+    /// The event is the next one.
     Next,
-    /// Events before it are missing.
+    /// Events before this one are missing.
     Missing,
 }
 
-/// Follows the numbers of a stream's events.
+/// Tracks the numbers of a stream's events.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EventOrder {
     last: Option<u64>,
 }
 
 impl EventOrder {
-    /// A stream after the last event that the caller has.
+    /// The order of a stream whose caller has already received the event numbered `last`.
     #[must_use]
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
 
-    /// The last event that the caller has.
+    /// Number of the last event that the caller has received.
     #[must_use]
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Where an event belongs; one without a number goes with its neighbours.
+    /// Classifies an event by its number. An event without a number counts as the next one.
+    ///
     ///
     /// The first event of a stream may have any number: the endpoint chooses where to begin.
     #[must_use]
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Notes that the caller gets an event.
+    /// Records that an event is delivered to the caller.
     pub fn deliver(&mut self, id: Option<u64>) {
         if id.is_some() {
             self.last = id;
--- a/crates/masticsill_relay/src/events.rs
+++ b/crates/masticsill_relay/src/events.rs
@@ -6,63 +6,64 @@
 pub const RELAY_STARTED: Event = Event::new(2100, "relay_started");
 /// The relay has ended.
 pub const RELAY_STOPPED: Event = Event::new(2101, "relay_stopped");
-/// A graceful shutdown began: readiness is off and answers close their connections.
+/// A graceful shutdown began: readiness is off and responses close their connections.
 pub const RELAY_STOPPING: Event = Event::new(2102, "relay_stopping");
-/// A request was answered with an endpoint's answer.
+/// A request was answered with an endpoint's response.
 pub const REQUEST_ANSWERED: Event = Event::new(2110, "request_answered");
 /// A request was answered by the relay itself.
 pub const REQUEST_REFUSED: Event = Event::new(2111, "request_refused");
-/// An exchange with an endpoint ended without an answer that can be passed on.
+/// An exchange with an endpoint ended without a response that can be forwarded.
 pub const ATTEMPT_FAILED: Event = Event::new(2112, "attempt_failed");
-/// A stream goes on at another endpoint.
+/// A stream resumes at another endpoint.
 pub const STREAM_RESUMED: Event = Event::new(2113, "stream_resumed");
-/// A stream was broken off towards its caller.
+/// A stream was aborted after part of it had been delivered.
 pub const STREAM_BROKEN_OFF: Event = Event::new(2114, "stream_broken_off");
-/// A caller left before its answer was whole.
+/// A caller disconnected before its response was complete.
 pub const CALLER_LEFT: Event = Event::new(2115, "caller_left");
-/// Bytes of a caller are no request that can be relayed.
+/// Bytes received from a caller are not a request that can be relayed.
 pub const REQUEST_MALFORMED: Event = Event::new(2116, "request_malformed");
-/// An endpoint said that it did not run a request; it goes elsewhere, or back to its caller.
+/// An endpoint reported that it did not run a request, which is retried elsewhere or returned to
+/// its caller.
 pub const ATTEMPT_NOT_RUN: Event = Event::new(2117, "attempt_not_run");
-/// The endpoint that holds a copy of a stream's run can't take it over.
+/// The endpoint that holds a copy of a stream's run cannot resume the stream.
 pub const COPY_UNUSABLE: Event = Event::new(2118, "copy_unusable");
-/// A running engine was asked for a copy of a run's memory, because the run's first one is lost.
+/// A running engine was asked for a copy of a run's KV cache, because the first copy is lost.
 pub const COPY_ASKED: Event = Event::new(2119, "copy_asked");
-/// A document came into force here.
+/// A document became active.
 pub const DOCUMENT_TAKEN: Event = Event::new(2120, "document_taken");
-/// A document could not be read.
+/// A document could not be parsed.
 pub const DOCUMENT_UNREADABLE: Event = Event::new(2121, "document_unreadable");
-/// What a control replica told changed what is believed of an endpoint.
+/// An update from a control replica changed the known state of an endpoint.
 pub const ENDPOINT_CHANGED: Event = Event::new(2122, "endpoint_changed");
-/// Several endpoints of a zone failed at once; requests there turn elsewhere.
+/// Several endpoints of a zone failed at once; requests avoid the zone.
 pub const ZONE_SUSPECT: Event = Event::new(2123, "zone_suspect");
 /// A control replica answers.
 pub const CONTROL_REACHED: Event = Event::new(2124, "control_reached");
 /// A control replica stopped answering.
 pub const CONTROL_LOST: Event = Event::new(2125, "control_lost");
-/// The listener can't accept.
+/// The listener cannot accept connections.
 pub const ACCEPT_FAILED: Event = Event::new(2126, "relay_accept_failed");
-/// The retry budget of a service does not allow one more send.
+/// A service's retry budget does not allow another attempt.
 pub const RETRY_REFUSED: Event = Event::new(2127, "retry_refused");
-/// An endpoint was chosen for a stream, or for one more send of any request.
+/// An endpoint was chosen for a stream, or for a further attempt of any request.
 pub const ENDPOINT_CHOSEN: Event = Event::new(2128, "endpoint_chosen");
-/// A request waited here until an endpoint had room for it.
+/// A request waited until an endpoint had capacity.
 pub const REQUEST_WAITED: Event = Event::new(2129, "request_waited");
-/// A request is refused, since it could not be answered in time.
+/// A request was refused because it could not be answered in time.
 pub const OVERLOAD_REFUSED: Event = Event::new(2130, "overload_refused");
-/// An endpoint of a plain service is given fewer requests at once from now on, or no longer so.
+/// The limit of concurrent requests to an endpoint of a plain service was introduced or lifted.
 pub const ENDPOINT_LIMITED: Event = Event::new(2131, "endpoint_limited");
-/// The relay itself was late, or nothing at all reached it for a while.
+/// The relay's thread ran late, or the relay received nothing at all for a while.
 pub const RELAY_LATE: Event = Event::new(2132, "relay_late");
-/// A run that had been silent for too long goes on, before its successor was connected.
+/// A run that had exceeded its silence timeout continued before its replacement was connected.
 pub const RUN_WENT_ON: Event = Event::new(2133, "run_went_on");
-/// A stream that was begun waits for what keeps it from its next send.
+/// A stream that has begun waits until the obstacle to its next attempt is gone.
 pub const STREAM_WAITS: Event = Event::new(2134, "stream_waits");
-/// A piece of a document, or the whole, has other bytes than its hash says; it is fetched again.
+/// A piece of a document, or the assembled document, does not match its hash; it is fetched again.
 pub const PIECE_DAMAGED: Event = Event::new(2135, "piece_damaged");
-/// An exchange broke, and the endpoint was asked for a connection to learn whether it is down.
+/// An exchange broke, and the endpoint was probed with a connection to learn whether it is down.
 pub const CRASH_CHECKED: Event = Event::new(2136, "crash_checked");
-/// A request crashes endpoints and is sent nowhere any more, as a control replica told.
+/// A control replica reported that a request crashes endpoints; it is no longer sent to any.
 pub const REQUEST_QUARANTINED: Event = Event::new(2137, "request_quarantined");
 
 /// Every event of this crate.
--- a/crates/masticsill_relay/src/failover.rs
+++ b/crates/masticsill_relay/src/failover.rs
@@ -1,9 +1,11 @@
-//! What becomes of a send whose endpoint has been silent for too long.
+//! Handling of an attempt whose endpoint has been silent for too long.
 //!
-//! Silence proves nothing: it may be the relay's own, and an answer that comes late is worth more than
-//! none. So the send is listened to until the connection of its successor stands, and to its end where
-//! no successor can be had. Ended first, it would be lost whenever the retry budget, the route's
-//! attempts or a connection are then wanting.
+//!
+//! Silence proves nothing: the cause may be the relay itself, and a late response is worth more
+//! than none. The attempt is therefore kept open until the connection of its replacement is
+//! established, and to the request's deadline if there is no replacement. Ending the attempt first
+//! would lose the request whenever the retry budget or the route's attempts are exhausted or no
+//! connection can be made.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,37 +22,37 @@
 use crate::request::RelayRequest;
 use crate::retry_state::Obstacle;
 
-/// Cause of a send's end where its endpoint's life has ended.
+/// Failure cause of an attempt whose endpoint incarnation has been replaced.
 pub(crate) const INCARNATION_REPLACED: &str = "another life has its id or address";
 
-/// How the wait for something of a send ended.
+/// Result of watching an attempt.
 pub(crate) enum WatchResult<T, N> {
     Done(T),
-    /// Its endpoint's life has ended: nothing more can come.
+    /// The endpoint's incarnation has been replaced: nothing more can arrive.
     Superseded,
-    /// The connection of its successor stands.
+    /// The connection of the replacement attempt is established.
     Replaced(N),
-    /// The request's time is over.
+    /// The request's deadline has passed.
     DeadlineReached,
 }
 
-/// A send that is listened to.
+/// An attempt that is being watched for its next bytes.
 pub(crate) struct WatchedAttempt<'a> {
-    /// What its endpoint had borne of the request when it was last heard.
+    /// Progress of the request when the endpoint was last heard from.
     pub(crate) progress: RunProgress,
     pub(crate) endpoint: &'a Announcement,
-    /// How its silence is told.
+    /// The kind of failure that a silence counts as.
     pub(crate) failure: Failure,
-    /// When something of it was heard last.
+    /// When anything was last received on the attempt.
     pub(crate) last_received_at: ClockMs,
-    /// Silence after which it is doubted.
+    /// Silence after which the attempt is presumed to have failed.
     pub(crate) silence_timeout_ms: u64,
     pub(crate) relay: &'a Rc<Relay>,
     pub(crate) request: &'a RelayRequest,
 }
 
 impl WatchedAttempt<'_> {
-    /// Waits for something of the send until it is to be doubted; `None` then.
+    /// Waits for the next bytes of the attempt; `None` once the silence timeout has passed.
     pub(crate) async fn wait_until_silent<T, N>(
         &self,
         waiting: impl Future<Output = T>,
@@ -76,8 +78,8 @@
         None
     }
 
-    /// Waits for something of a send that is doubted, or for its successor, whichever comes first; to
-    /// the end of the request's time where no successor can be had.
+    /// Waits for the next bytes of a silent attempt or for its replacement, whichever comes first;
+    /// without a replacement, until the request's deadline.
     pub(crate) async fn wait_until_replaced<T, N>(
         &self,
         waiting: impl Future<Output = T>,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Notes that the send was ended for its successor.
+    /// Records that the attempt was ended in favour of its replacement.
     fn note_replaced(&self) {
         let cause = "silent until its successor was connected";
         log_failure(
@@ -127,7 +129,7 @@
     }
 }
 
-/// Notes that a send which was doubted goes on: its endpoint bears no mark of that.
+/// Records that a silent attempt continues: the failure recorded for its endpoint is retracted.
 fn note_recovered(
     relay: &Relay,
     request: &RelayRequest,
--- a/crates/masticsill_relay/src/lateness.rs
+++ b/crates/masticsill_relay/src/lateness.rs
@@ -1,7 +1,8 @@
-//! Whether the relay itself is late: its thread, or what reaches it.
+//! Detects lateness of the relay itself: of its thread, or of everything it receives.
 //!
-//! Silence that every peer shares is more likely the relay's own: its link is full, or its thread
-//! did not run. Without a word of that, each silent endpoint looks like one that has failed.
+//!
+//! Silence shared by all peers is more likely caused by the relay: its link is saturated, or its
+//! thread did not run. Without this log event each silent endpoint would look like a failed one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,16 +14,16 @@
 use crate::metrics::as_f64;
 use crate::relay::Relay;
 
-/// How often the relay looks at itself.
+/// Interval between checks.
 const CHECK_INTERVAL_MS: u64 = 50;
-/// Lateness that is worth a line: a third of the silence after which a run is doubted.
+/// Lateness that is logged: a third of the silence timeout between events.
 const LATE_LOG_THRESHOLD_MS: u64 = 120;
-/// Silence of all peers that is worth a line: control replicas of the own zone answer within 200 ms.
+/// Silence of all peers that is logged: control replicas in this zone answer within 200 ms.
 const SILENCE_LOG_THRESHOLD_MS: u64 = 300;
-/// Pause between two lines.
+/// Minimum interval between two log lines.
 const MIN_LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Looks at the relay's own lateness, for good.
+/// Monitors the relay's own lateness until the relay ends.
 pub(crate) async fn watch_lateness(relay: Rc<Relay>) {
     let mut logged_at: Option<ClockMs> = None;
     loop {
--- a/crates/masticsill_relay/src/lib.rs
+++ b/crates/masticsill_relay/src/lib.rs
@@ -1,10 +1,11 @@
-//! Relays requests and event streams of callers to endpoints that register themselves.
+//! Relays requests and event streams from callers to registered endpoints.
 //!
-//! Callers and endpoints speak HTTP/1.1; answers are passed on byte by byte. What may be repeated
-//! follows from a route's kind: an idempotent request may run again, a stream goes on after its
-//! last event, and everything else is sent at most once unless the endpoint says that it did not
-//! run it. One thread serves all connections of an entry; the decisions (who is sent where, who
-//! waits, who is refused) are pure and stand in `masticsill_dispatch`.
+//!
+//! Callers and endpoints speak HTTP/1.1; response bodies are forwarded unchanged. Whether a request
+//! may be repeated follows from its route's kind: an idempotent request may run again, a stream
+//! resumes after its last event, and any other request is sent at most once unless the endpoint
+//! reports that it did not run it. One thread serves all connections of an entry. The decisions
+//! which request is sent where, waits or is refused are pure functions of `masticsill_dispatch`.
 
 mod admission;
 mod attempt;
--- a/crates/masticsill_relay/src/metrics.rs
+++ b/crates/masticsill_relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of a relay. Their names and labels stand in docs/METRICS.md.
+//! Counters, gauges and histograms of a relay. docs/METRICS.md lists their names and labels.
 
 use std::sync::atomic::AtomicU64;
 
@@ -12,26 +12,26 @@
 
 use masticsill_dispatch::EndpointTable;
 
-/// Bounds of times in milliseconds: from a lookup to a long generation.
+/// Histogram buckets of durations in milliseconds: from a lookup to a long generation.
 const TIME_BUCKETS_MS: [f64; 14] = [
     5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 350.0, 700.0, 1_500.0, 3_000.0, 4_500.0, 8_000.0,
     15_000.0, 30_000.0,
 ];
 
-/// A request's kind and what became of it.
+/// Kind and outcome of a request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct RequestLabels {
     pub(crate) kind: &'static str,
     pub(crate) outcome: &'static str,
 }
 
-/// The kind of a request.
+/// Kind of a request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct KindLabel {
     pub(crate) kind: &'static str,
 }
 
-/// Why something happened.
+/// Cause of a counted event.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct CauseLabel {
     pub(crate) cause: &'static str,
@@ -67,7 +67,7 @@
 }
 
 impl RelayMetrics {
-    /// Metrics that count in a registry.
+    /// Creates the metrics and registers them.
     pub(crate) fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
             active: Gauge::default(),
@@ -169,26 +169,26 @@
         );
     }
 
-    /// Counts a request's end.
+    /// Counts a finished request.
     pub(crate) fn note_end(&self, kind: &'static str, outcome: &'static str) {
         self.requests
             .get_or_create(&RequestLabels { kind, outcome })
             .inc();
     }
 
-    /// Notes the time of a whole answer.
+    /// Records the duration of a finished request, in milliseconds.
     pub(crate) fn note_answer_ms(&self, kind: &'static str, answer_ms: u64) {
         self.answer_ms
             .get_or_create(&KindLabel { kind })
             .observe(as_f64(answer_ms));
     }
 
-    /// Notes the time for which a request waited for an endpoint.
+    /// Records how long a request was queued for an endpoint, in milliseconds.
     pub(crate) fn note_wait_ms(&self, wait_ms: u64) {
         self.wait_ms.observe(as_f64(wait_ms));
     }
 
-    /// Notes the endpoints as they are now.
+    /// Updates the gauges of the endpoints.
     pub(crate) fn note_endpoints(&self, table: &EndpointTable) {
         let shown = [
             EndpointState::Ready,
@@ -206,7 +206,7 @@
     }
 }
 
-/// A time as a histogram takes it; times are far below the type's precision.
+/// Converts milliseconds for a histogram; durations are far below the type's precision limit.
 pub(crate) fn as_f64(time_ms: u64) -> f64 {
     #[allow(clippy::cast_precision_loss)]
     let time_ms = time_ms as f64;
--- a/crates/masticsill_relay/src/plain.rs
+++ b/crates/masticsill_relay/src/plain.rs
@@ -1,4 +1,4 @@
-//! Requests with one whole answer.
+//! Plain requests: those answered by one complete response.
 
 use std::rc::Rc;
 
@@ -14,21 +14,21 @@
 use crate::retry_state::{Obstacle, RetryState};
 use masticsill_dispatch::Failure;
 
-/// Part of the time aimed at after which an idempotent request is sent elsewhere: what is left
-/// suffices for a healthy endpoint.
+/// Percentage of the route's latency target after which an idempotent request is sent to another
+/// endpoint. The rest of the target suffices for a healthy endpoint.
 const FIRST_SEND_TIMEOUT_PERCENT: u64 = 60;
 
-/// The next send of a request, about to leave.
+/// The next attempt of a request, connected and not sent yet.
 struct NextAttempt {
     silence_timeout_ms: u64,
     attempt: Attempt,
 }
 
-/// How one send ended.
+/// How one attempt ended.
 enum SendEnd {
     Answered(Verdict, Response),
     Failed(SendFailure),
-    /// It was silent, and its successor's connection stands.
+    /// The endpoint was silent, and the connection of the replacement attempt is established.
     Replaced(Box<NextAttempt>),
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Chooses where a request goes next, and connects there.
+/// Chooses the endpoint of the next attempt and connects to it.
 async fn open_next(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -129,20 +129,21 @@
     })
 }
 
-/// The end of a plain request.
+/// How a plain request ended.
 #[derive(Debug)]
 pub(crate) enum PlainEnd {
-    /// With an endpoint's answer.
+    /// With an endpoint's response.
     Answered {
         response: Response,
         endpoint: EndpointId,
         sends: u32,
     },
-    /// With the relay's own.
+    /// With a response of the relay itself.
     Refused(Refusal),
 }
 
-/// How long an endpoint may take before an idempotent request is sent to another.
+/// How long an endpoint may take before an idempotent request is sent to another one, in
+/// milliseconds.
 fn silence_timeout_ms(
     relay: &Relay,
     request: &RelayRequest,
@@ -151,7 +152,8 @@
 ) -> u64 {
     let left_ms = request.left_ms(relay.now());
     let has_more_sends = retry_state.sends + 1 < request.route.max_attempts;
-    // In an overload a slow answer tells of the overload, and a second send makes it larger.
+    // Under overload a slow response is caused by the overload, which another attempt would
+    // increase.
     let dispatcher = relay.dispatcher.borrow();
     let is_overloaded = dispatcher.is_overloaded(relay.now(), &request.service);
     if !request.route.may_repeat() || !has_more_sends || candidates < 2 || is_overloaded {
@@ -160,8 +162,8 @@
     left_ms.min(request.route.target_latency_ms * FIRST_SEND_TIMEOUT_PERCENT / 100)
 }
 
-/// Sends a request on its connection and reads its whole answer. After `patience_ms` it is listened to
-/// until its successor is connected.
+/// Sends a request on its connection and reads the complete response. After `silence_timeout_ms`
+/// without a response, the attempt is kept open until a replacement is connected.
 async fn send_once(
     relay: &Rc<Relay>,
     request: &RelayRequest,
@@ -204,7 +206,8 @@
     }
 }
 
-/// Waits for the head of an answer; once it is doubted, for a successor as well.
+/// Waits for the head of a response and, once the attempt is presumed to have failed, for a
+/// replacement as well.
 async fn watch_attempt<T>(
     watched: &WatchedAttempt<'_>,
     retry_state: &mut RetryState,
--- a/crates/masticsill_relay/src/pool.rs
+++ b/crates/masticsill_relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that are kept for the next request.
+//! Idle connections to endpoints, kept for further requests.
 
 use bytes::BytesMut;
 use indexmap::IndexMap;
@@ -6,15 +6,15 @@
 use masticsill_types::ClockMs;
 use tokio::net::TcpStream;
 
-/// Connections kept for one endpoint.
+/// Maximum number of idle connections per endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 8;
-/// How long a connection is kept where the endpoint doesn't say.
+/// Idle timeout of a connection whose endpoint states none.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 2_000;
-/// How long before the endpoint's own timeout a connection is given up, so that no request
-/// crosses its close.
+/// Margin by which an idle connection is closed before the endpoint's own timeout, so that no
+/// request crosses the endpoint's close.
 const IDLE_TIMEOUT_MARGIN_MS: u64 = 1_000;
 
-/// A connection without a request.
+/// An idle connection.
 #[derive(Debug)]
 struct IdleConnection {
     idle_since: ClockMs,
@@ -22,7 +22,7 @@
     stream: TcpStream,
 }
 
-/// Kept connections by endpoint, and how many are open in all.
+/// Idle connections by endpoint, and the number of open connections including those in use.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: IndexMap<EndpointId, Vec<IdleConnection>>,
@@ -30,7 +30,8 @@
 }
 
 impl ConnectionPool {
-    /// A kept connection on which nothing has arrived, idle for `idle_ms` at most.
+    /// Takes an idle connection that has received no bytes and has been idle for less than
+    /// `idle_ms`.
     pub(crate) fn take(
         &mut self,
         now: ClockMs,
@@ -49,7 +50,7 @@
         None
     }
 
-    /// Keeps a connection after a whole answer.
+    /// Keeps a connection after a complete response, for the time that the endpoint states.
     pub(crate) fn put(
         &mut self,
         now: ClockMs,
@@ -72,7 +73,7 @@
         });
     }
 
-    /// Whether a request finds a connection to an endpoint while at most `limit` may be open.
+    /// Whether a request can get a connection to an endpoint while at most `limit` may be open.
     pub(crate) fn has_room(&self, id: &EndpointId, limit: u32) -> bool {
         let has_idle = self.idle.get(id).is_some_and(|idle| !idle.is_empty());
         has_idle || self.open.get(id).copied().unwrap_or_default() < limit
@@ -86,7 +87,7 @@
         note_closed(&mut self.open, id);
     }
 
-    /// Closes what has been kept for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_idle(&mut self, now: ClockMs) {
         for (id, idle) in &mut self.idle {
             let before = idle.len();
@@ -99,7 +100,7 @@
         self.open.retain(|_, open| *open > 0);
     }
 
-    /// Closes every kept connection to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub(crate) fn drop_endpoint(&mut self, id: &EndpointId) {
         for _ in self.idle.swap_remove(id).into_iter().flatten() {
             note_closed(&mut self.open, id);
@@ -113,7 +114,8 @@
     }
 }
 
-/// Whether a connection is open and nothing has arrived on it: bytes there belong to no request.
+/// Whether a connection is open and has received nothing: bytes received while idle belong to no
+/// request.
 fn is_unused(stream: &TcpStream) -> bool {
     let mut one = BytesMut::zeroed(1);
     match stream.try_read(&mut one) {
--- a/crates/masticsill_relay/src/prompts.rs
+++ b/crates/masticsill_relay/src/prompts.rs
@@ -1,4 +1,4 @@
-//! Where a request's prompt is kept already.
+//! Lookup of the engines that have parts of a request's prompt cached.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,19 +13,20 @@
 use crate::relay::Relay;
 use crate::request::RelayRequest;
 
-/// Longest wait for the control replicas: several times the way to another zone and back (3 ms),
-/// and a few hundredths of what reading a long prompt takes.
+/// Timeout of a query to the control replicas: several times the round trip to another zone (3 ms),
+/// and a few hundredths of the prefill time of a long prompt.
 pub(crate) const CONTROL_QUERY_TIMEOUT: Duration = Duration::from_millis(25);
-/// Prompts below this are read faster than they are asked about.
+/// Prompts shorter than this take less time to prefill than to look up.
 const MIN_PROMPT_TOKENS: u64 = 512;
 
-/// Asks the control replicas which engines keep the beginning of a stream's prompt.
+/// Asks the control replicas which engines have the beginning of a stream's prompt cached.
 ///
-/// Each replica knows its own zone; one that does not answer in time leaves its zone out, which
-/// costs a reading and nothing else.
-pub(crate) async fn find_kept(relay: &Rc<Relay>, request: &RelayRequest) -> Vec<KeptTokens> {
+///
+/// Each replica knows its own zone. A replica that does not answer in time leaves its zone out,
+/// which at most costs a prefill.
+pub(crate) async fn find_cached(relay: &Rc<Relay>, request: &RelayRequest) -> Vec<KeptTokens> {
     let prompt = prompt_of(relay, request);
-    // Callers name the lengths.
+    // The token counts come from callers, so that the sum may overflow.
     let tokens = prompt
         .iter()
         .fold(0, |sum: u64, part| sum.saturating_add(part.tokens));
@@ -37,21 +38,21 @@
     for address in replicas {
         let (relay, prompt, found) = (Rc::clone(relay), prompt.clone(), found.clone());
         spawn_local(async move {
-            let kept = relay.control.find_kept(address, &prompt).await;
-            // An answer that comes too late finds nobody who waits for it.
-            let _ = found.send(kept.unwrap_or_default()).await;
+            let cached = relay.control.find_kept(address, &prompt).await;
+            // The send fails only if the answer is too late for the receiver.
+            let _ = found.send(cached.unwrap_or_default()).await;
         });
     }
     drop(found);
     let bound = Instant::now() + CONTROL_QUERY_TIMEOUT;
-    let mut kept = Vec::new();
+    let mut cached = Vec::new();
     while let Ok(Some(answer)) = timeout_at(bound, answers.recv()).await {
-        kept.extend(answer);
+        cached.extend(answer);
     }
-    kept
+    cached
 }
 
-/// The parts of a request's prompt, as far as they can be read.
+/// The parts of a request's prompt, up to the first one that cannot be parsed.
 fn prompt_of(relay: &Relay, request: &RelayRequest) -> Vec<PromptPart> {
     let parts = request
         .head
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! What the connections of one relay share.
+//! State shared by all connections of a relay.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -30,27 +30,27 @@
 use crate::server::SHUTDOWN_MARGIN;
 use crate::stream_durations::StreamDurations;
 
-/// Part of a request's time that it may wait for a first document or endpoint: the rest must
-/// suffice to serve it, or to come back elsewhere.
+/// Divisor of a request's remaining time that gives how long it may wait for the first document or
+/// endpoint. The rest has to suffice to serve the request, or for its caller to retry elsewhere.
 pub(crate) const DISCOVERY_WAIT_DIVISOR: u64 = 10;
-/// Longest such wait: an instance that starts knows both within a second or two.
+/// Upper bound of that wait: an instance that starts learns both within one or two seconds.
 pub(crate) const MAX_DISCOVERY_WAIT_MS: u64 = 2_500;
 
-/// Time after the beginning of a shutdown in which streams are still begun: the balancer needs
-/// it to turn elsewhere.
+/// Time after the beginning of a shutdown in which new streams are still accepted: the load
+/// balancer needs it to route callers elsewhere.
 const NEW_STREAMS_AFTER_SHUTDOWN_MS: u64 = 1_200;
 
-/// Endpoints that stand still: those who wait for them turn elsewhere.
+/// A report that endpoints are stalled. Requests that wait for them fail over sooner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum StallAlert {
     /// One endpoint.
     Endpoint(EndpointId),
-    /// Those of a service in a zone.
+    /// The endpoints of a service in one zone.
     Zone { service: String, zone: ZoneId },
 }
 
 impl StallAlert {
-    /// Whether it tells of an endpoint.
+    /// Whether the report covers an endpoint.
     pub(crate) fn applies_to(&self, endpoint: &Announcement) -> bool {
         match self {
             Self::Endpoint(id) => *id == endpoint.id,
@@ -59,56 +59,58 @@
     }
 }
 
-/// What the tasks of one relay share; all run on one thread.
+/// State shared by the tasks of a relay, which all run on one thread.
 pub(crate) struct Relay {
-    /// Requests that are being answered.
+    /// Number of requests being answered.
     pub(crate) active: Cell<u32>,
     pub(crate) stall_alerts: watch::Sender<Option<StallAlert>>,
     pub(crate) budgets: RefCell<IndexMap<String, RetryBudget>>,
     pub(crate) clock: MonotonicClock,
     pub(crate) config: RelayConfig,
     pub(crate) control: ControlClient,
-    /// Control replicas that answered last time, and their zones.
+    /// Control replicas whose last reply arrived, with their zones.
     pub(crate) control_reached: RefCell<IndexMap<SocketAddr, ZoneId>>,
-    /// Requests of whose endpoints it is being found out whether they crashed.
+    /// Requests whose endpoints are being probed for a crash, one entry per probe.
     pub(crate) crash_checks: RefCell<Vec<Fingerprint>>,
-    /// Requests under which endpoints crashed.
+    /// Requests whose endpoints crashed.
     pub(crate) crashes: RefCell<CrashLedger>,
-    /// The requests that wait for an endpoint, in the order in which they go.
+    /// The requests queued for an endpoint, in dispatch order.
     pub(crate) dispatcher: RefCell<Dispatcher>,
     pub(crate) endpoints: RefCell<EndpointTable>,
-    /// Whether a document is in force here, for the readiness that other duties tell.
+    /// Whether a document is active, for the readiness reported by other duties.
     pub(crate) has_document: Arc<AtomicBool>,
     /// Whether requests are being answered, for the duty that fetches documents.
     pub(crate) is_relaying: Arc<AtomicBool>,
-    /// Changes of this entry's streams at the endpoints of each zone, counted, for the replicas
-    /// that pass them on. Whole answers end sooner than the word of them would arrive.
+    /// Number of changes of this entry's streams per zone, for the tasks that report loads to
+    /// control replicas. Plain requests are left out, because they end sooner than a report would
+    /// arrive.
     pub(crate) load_changes: watch::Sender<IndexMap<ZoneId, u64>>,
-    /// Entries that share budgets and connections, this one included.
+    /// The number of entries that share retry budgets and connection limits, this one included.
     pub(crate) entries: RefCell<EntryCount>,
-    /// When anything came last, from an endpoint or a control replica.
+    /// When anything was last received from an endpoint or a control replica.
     pub(crate) last_received_at: Cell<ClockMs>,
     pub(crate) metrics: RelayMetrics,
-    /// Counts what was learned of requests that crash endpoints, for the tasks that tell and judge it.
+    /// Counts changes of the crash records, for the tasks that report them and the requests that
+    /// wait for them.
     pub(crate) crash_changes: watch::Sender<u64>,
-    /// The newest version of the document that a control replica told of.
+    /// The newest document version reported by any control replica.
     newest_document: Cell<Option<u64>>,
-    /// Counts what was learned of the document and the endpoints, for requests that wait for it.
+    /// Counts changes of the document and the endpoints, for requests that wait for them.
     pub(crate) discovery_changes: watch::Sender<u64>,
-    /// The document in force here; swapped as a whole, so that no request sees two versions.
+    /// The active document; replaced as a whole, so that no request sees two versions.
     pub(crate) index: RefCell<Option<Arc<RouteIndex>>>,
-    /// What callers' attempts tell of those before.
+    /// Estimates from a caller's attempts how long it has waited in earlier ones.
     pub(crate) prior_wait_estimator: RefCell<CallerPatience>,
     pub(crate) pool: RefCell<ConnectionPool>,
-    /// Told whenever an endpoint may have room for a request that waits.
+    /// Notified whenever an endpoint may have capacity for a queued request.
     pub(crate) room_changed: Notify,
-    /// This entry's place among those of its zone.
+    /// This entry's rank among the entries of its zone.
     pub(crate) zone_share: Cell<ZoneShare>,
     pub(crate) stopping: ShutdownSignal,
-    /// Where requests run under which an endpoint has crashed.
+    /// Endpoints that run requests under which an endpoint has crashed.
     pub(crate) suspect_runs: RefCell<Vec<(Fingerprint, EndpointId)>>,
     pub(crate) stream_durations: Cell<StreamDurations>,
-    /// Where the ends of waits go.
+    /// Receivers of the results of queued requests.
     pub(crate) waiters: RefCell<Waiters>,
     /// When the graceful shutdown began.
     pub(crate) stopping_since: Cell<Option<ClockMs>>,
@@ -174,7 +176,7 @@
         self.index.borrow().clone()
     }
 
-    /// Puts a document in force here.
+    /// Activates a document.
     pub(crate) fn install_index(&self, index: RouteIndex) {
         self.metrics.document_version.set(index.document().version);
         *self.index.borrow_mut() = Some(Arc::new(index));
@@ -182,13 +184,13 @@
         self.notify_discovery();
     }
 
-    /// Notes the version of the document that a control replica has.
+    /// Records the document version that a control replica has.
     pub(crate) fn note_document_version(&self, version: Option<u64>) {
         let newest = self.newest_document.get();
         self.newest_document.set(newest.max(version));
     }
 
-    /// Whether a newer document than the one in force here is known.
+    /// Whether a newer document than the active one is known.
     pub(crate) fn is_behind_document(&self) -> bool {
         let index = self.index.borrow();
         let held = index.as_ref().map(|index| index.document().version);
@@ -200,10 +202,11 @@
         self.discovery_changes.send_modify(|count| *count += 1);
     }
 
-    /// Waits until something is found, `bound_ms` at most.
+    /// Waits until `find` returns a value, `bound_ms` milliseconds at most.
     ///
-    /// Of an instance that has just started, a request asks for what will be known in a moment: it
-    /// has not been given up, and is better served here than sent away.
+    ///
+    /// An instance that has just started will know its document and endpoints in a moment. A
+    /// request is better served here after a short wait than sent away.
     pub(crate) async fn wait_for_discovery<T>(
         &self,
         bound_ms: u64,
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Takes the names of the entries in this zone.
+    /// Updates this entry's rank from the node ids of the entries in its zone.
     pub(crate) fn update_zone_share(&self, nearby: &[NodeId]) {
         let place = nearby.iter().position(|node| *node == self.config.node);
         if let Some(place) = place {
@@ -233,20 +236,20 @@
         }
     }
 
-    /// How long the graceful shutdown has lasted; `None` while there is none.
+    /// Time since the graceful shutdown began, in milliseconds; `None` if none has begun.
     pub(crate) fn stopping_for_ms(&self) -> Option<u64> {
         let since = self.stopping_since.get()?;
         Some(self.now().since(since))
     }
 
-    /// Notes the time of a whole stream.
+    /// Records the duration of a completed stream.
     pub(crate) fn note_stream_ms(&self, took_ms: u64) {
         let mut times = self.stream_durations.get();
         times.record(took_ms);
         self.stream_durations.set(times);
     }
 
-    /// Whether a stream may still be begun: a graceful shutdown must not cut it.
+    /// Whether a stream may still be started: a graceful shutdown must not cut it.
     pub(crate) fn accepts_streams(&self) -> bool {
         let Some(stopping_for_ms) = self.stopping_for_ms() else {
             return true;
@@ -257,7 +260,7 @@
             && self.stream_durations.get().fits_within(left)
     }
 
-    /// This entry, as control replicas know it.
+    /// This entry's identity towards control replicas.
     pub(crate) fn watcher(&self) -> Watcher {
         Watcher::Entry {
             node: self.config.node.clone(),
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Notes that a stream begins, goes on from its prompt to its events, or ends in a zone.
+    /// Records that a stream in a zone starts, ends its prefill, or ends.
     pub(crate) fn note_load_change(&self, zone: &ZoneId) {
         self.load_changes.send_modify(|changes| {
             if let Some(count) = changes.get_mut(zone) {
@@ -276,13 +279,14 @@
         });
     }
 
-    /// Whether an endpoint takes requests, as far as is known.
+    /// Whether an endpoint accepts requests, as far as is known.
     pub(crate) fn is_ready(&self, id: &EndpointId) -> bool {
         let endpoints = self.endpoints.borrow();
         endpoints.get(id).is_some_and(Endpoint::is_ready)
     }
 
-    /// Whether an endpoint's life is known to have ended, so that nothing more can come of it.
+    /// Whether an endpoint's incarnation is known to have ended, so that nothing more can arrive
+    /// from it.
     pub(crate) fn has_incarnation_ended(&self, id: &EndpointId) -> bool {
         let endpoints = self.endpoints.borrow();
         endpoints.is_outlived(id) || endpoints.get(id).is_some_and(Endpoint::is_replaced)
@@ -297,13 +301,13 @@
         self.entries.borrow().highest(self.now())
     }
 
-    /// Whether the retry budget allows one more send.
+    /// Whether the retry budget allows another attempt.
     pub(crate) fn has_retries_left(&self, service: &str) -> bool {
         let (now, entries) = (self.now(), self.entry_count());
         self.with_budget(service, |budget| budget.left(now, entries) > 0)
     }
 
-    /// Whether one more send of a request fits into the retry budget; it is spent then.
+    /// Spends retry budget for another attempt; false if the budget is exhausted.
     pub(crate) fn try_spend(&self, service: &str) -> bool {
         let (now, entries) = (self.now(), self.entry_count());
         let is_spent = self.with_budget(service, |budget| budget.try_spend(now, entries));
@@ -313,7 +317,7 @@
         is_spent
     }
 
-    /// Notes that the retry budget does not allow one more send.
+    /// Records that the retry budget did not allow another attempt.
     pub(crate) fn note_retry_refused(&self, service: &str) {
         self.metrics.retries_refused.inc();
         log_event!(
@@ -324,7 +328,7 @@
         );
     }
 
-    /// Notes what changes too often to be counted at each change.
+    /// Updates the gauges of values that change too often to be counted at each change.
     pub(crate) fn update_gauges(&self) {
         let (now, entries) = (self.now(), self.entry_count());
         self.metrics.active.set(i64::from(self.active.get()));
@@ -349,7 +353,7 @@
         act(budget.or_insert_with(|| RetryBudget::new(settings)))
     }
 
-    /// Notes a failed exchange with an endpoint, and what that says of its zone.
+    /// Records a failed exchange with an endpoint, and reports a stall of the endpoint or its zone.
     pub(crate) fn note_failure(&self, endpoint: &Announcement, failure: Failure) {
         let now = self.now();
         let id = &endpoint.id;
@@ -382,16 +386,18 @@
         self.stall_alerts.send_replace(Some(alert));
     }
 
-    /// Ends a life of an endpoint that has begun anew under its id: it answers nothing any more.
+    /// Retires an incarnation of an endpoint that has restarted under the same id: nothing more
+    /// will arrive from it.
+    ///
     ///
-    /// Its connections lead to nobody, or to its successor. What was sent on them may have run.
+    /// Its connections lead nowhere, or to the new incarnation. Requests sent on them may have run.
     pub(crate) fn retire_incarnation(&self, id: &EndpointId) {
         self.pool.borrow_mut().drop_endpoint(id);
         self.stall_alerts
             .send_replace(Some(StallAlert::Endpoint(id.clone())));
     }
 
-    /// Notes that an endpoint refused a request for want of room.
+    /// Records that an endpoint refused a request for lack of capacity.
     pub(crate) fn note_full(&self, id: &EndpointId) {
         let now = self.now();
         self.with_concurrency(id, |it| {
@@ -402,13 +408,13 @@
         });
     }
 
-    /// Notes that a control replica answered.
+    /// Records that a control replica answered.
     pub(crate) fn note_control_reply(&self) {
         self.last_received_at.set(self.now());
     }
 
-    /// Notes that a control replica stopped answering; where no other one of its zone answers, nothing
-    /// is known of the other entries' requests there any more.
+    /// Records that a control replica stopped answering. If no other replica of its zone answers,
+    /// the loads of the other entries in that zone are unknown from now on.
     pub(crate) fn note_control_lost(&self, address: &SocketAddr) {
         let mut reached = self.control_reached.borrow_mut();
         let Some(zone) = reached.swap_remove(address) else {
@@ -419,24 +425,24 @@
         }
     }
 
-    /// How long nothing has come from any endpoint or control replica.
+    /// Time since anything was received from an endpoint or control replica, in milliseconds.
     pub(crate) fn silent_ms(&self) -> u64 {
         self.now().since(self.last_received_at.get())
     }
 
-    /// Notes that a byte of an endpoint's answer came.
+    /// Records that bytes of a response were received from an endpoint.
     pub(crate) fn note_heard(&self, id: &EndpointId) {
         let now = self.now();
         self.last_received_at.set(now);
         self.with_endpoint(id, |it| it.health.note_heard(now));
     }
 
-    /// Notes the head of an answer.
+    /// Records the status of a response.
     pub(crate) fn note_answer(&self, id: &EndpointId, status: u16) {
         self.with_endpoint(id, |it| it.health.note_answer(status >= 500));
     }
 
-    /// Notes the time that a whole answer of an endpoint took, and the time aimed at.
+    /// Records how long an endpoint took for a complete response, and the route's latency target.
     pub(crate) fn note_answer_ms(&self, id: &EndpointId, answer_ms: u64, aim_ms: u64) {
         let now = self.now();
         self.with_concurrency(id, |it| {
@@ -447,7 +453,8 @@
         });
     }
 
-    /// Notes something of an endpoint that may limit it, or lift its limit, and says if it does.
+    /// Applies an update that may limit an endpoint's concurrency or lift the limit, and logs such
+    /// a change.
     fn with_concurrency(&self, id: &EndpointId, note: impl FnOnce(&mut Endpoint)) {
         self.with_endpoint(id, |it| {
             let was_limited = it.concurrency.is_limited();
@@ -466,12 +473,12 @@
         });
     }
 
-    /// Notes the time that one unit of an endpoint's work took.
+    /// Records how long an endpoint took for one unit of work.
     pub(crate) fn note_pace(&self, id: &EndpointId, pace_ms: u64) {
         self.with_endpoint(id, |it| it.health.note_pace(pace_ms));
     }
 
-    /// Notes something of an endpoint, unless it is forgotten.
+    /// Updates an endpoint, unless it has been evicted.
     pub(crate) fn with_endpoint(&self, id: &EndpointId, note: impl FnOnce(&mut Endpoint)) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
             note(endpoint);
@@ -479,7 +486,7 @@
     }
 }
 
-/// Counts a request as being answered, until it is dropped.
+/// Counts a request as being answered until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
     relay: Rc<Relay>,
--- a/crates/masticsill_relay/src/request.rs
+++ b/crates/masticsill_relay/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request once it is whole, and the head under which it is sent on.
+//! A caller's complete request, and the head with which it is forwarded.
 
 use std::sync::Arc;
 
@@ -18,34 +18,34 @@
     /// When the caller gives up, whatever the route allows.
     pub(crate) caller_leaves_at: ClockMs,
     pub(crate) deadline_at: ClockMs,
-    /// Names its content, whatever the attempt.
+    /// Identifies the content of the request, whatever the attempt.
     pub(crate) fingerprint: Fingerprint,
-    /// How long its caller has waited in attempts before this one, as far as can be told.
+    /// Estimate of how long the caller has waited in attempts before this one, in milliseconds.
     pub(crate) had_waited_ms: u64,
     pub(crate) head: RequestHead,
-    /// The id of this attempt of the caller; empty when it gave none.
+    /// The id of this attempt of the caller; empty if it gave none.
     pub(crate) id: String,
     pub(crate) received_at: ClockMs,
     pub(crate) route: Arc<Route>,
-    /// The service chosen among the route's.
+    /// The service chosen among those of the route.
     pub(crate) service: String,
-    /// The workspace that holds the caller's key.
+    /// The workspace that owns the caller's API key.
     pub(crate) workspace: Option<String>,
 }
 
-/// What one send adds to the caller's request.
+/// Header fields that one attempt adds to the caller's request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SendOptions {
-    /// Where the engine is to keep a copy of the run's memory.
+    /// Where the engine is to keep a copy of the run's KV cache.
     pub(crate) backup_at: Option<String>,
-    /// The last event that the caller has, where that is not what it said itself.
+    /// The last event that the caller has, if that differs from what the caller said.
     pub(crate) last_event: Option<u64>,
-    /// Where the engine finds the memory that the run goes on from.
+    /// The KV cache copy from which the engine is to resume the run.
     pub(crate) resume_from: Option<String>,
 }
 
 impl RelayRequest {
-    /// Time that is left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub(crate) fn left_ms(&self, now: ClockMs) -> u64 {
         self.deadline_at.since(now)
     }
@@ -55,13 +55,14 @@
         self.head.headers.number(&names.last_event)
     }
 
-    /// Tokens of the prompt, if the caller says.
+    /// Number of prompt tokens, if the caller states it.
     pub(crate) fn prompt_tokens(&self, names: &HeaderNames) -> Option<u64> {
         let counts = self.head.headers.text(&names.token_count)?;
         counts.split(',').next()?.trim().parse().ok()
     }
 
-    /// Tokens that a run of the request holds in an engine's memory in the end, if the caller says.
+    /// Number of tokens that a run of the request occupies in an engine's KV cache at its end; 0 if
+    /// the caller does not state it.
     pub(crate) fn held_tokens(&self, names: &HeaderNames) -> u64 {
         let counts = self.head.headers.text(&names.token_count);
         let counts = counts.unwrap_or_default().split(',');
@@ -78,7 +79,7 @@
         options: &SendOptions,
     ) -> BytesMut {
         let mut writer = HeadWriter::request(&self.head.method, &self.head.target);
-        let is_kept = |field: &&Header| !is_own(names, options, &field.name);
+        let is_kept = |field: &&Header| !is_managed_field(names, options, &field.name);
         for field in self.head.headers.end_to_end().filter(is_kept) {
             writer.copy(field);
         }
@@ -105,14 +106,15 @@
     }
 }
 
-/// A body without bytes is still a body, and some servers insist on its length.
+/// Whether the caller sent a body. An empty body is still a body, and some servers require its
+/// length.
 fn has_length(headers: &HeaderList) -> bool {
     let mut fields = headers.iter();
     fields.any(|field| field.is("content-length") || field.is("transfer-encoding"))
 }
 
-/// Fields that the relay writes itself, or that no caller may set.
-fn is_own(names: &HeaderNames, options: &SendOptions, field: &str) -> bool {
+/// Whether a field is written by the relay itself, or is one that no caller may set.
+fn is_managed_field(names: &HeaderNames, options: &SendOptions, field: &str) -> bool {
     let own = [
         "content-length",
         "expect",
--- a/crates/masticsill_relay/src/request_end.rs
+++ b/crates/masticsill_relay/src/request_end.rs
@@ -1,4 +1,5 @@
-//! The ends of requests: what is written, logged and counted, and whether the connection goes on.
+//! The end of a request: what is written, logged and counted, and whether the connection stays
+//! open.
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -17,24 +18,24 @@
 use crate::stream::{BrokenOff, StreamEnd};
 use crate::stream_timing::StreamTiming;
 
-/// Kind of a request that no route was found for, in metrics.
+/// Kind of a request without a route, in metrics.
 const UNADMITTED: &str = "unadmitted";
 
-/// Whether the connection goes on.
+/// What happens to the connection after a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ConnectionAction {
-    /// Ended after an answer that said so.
+    /// Closed after a response that announced it.
     Close,
-    /// Ended after an answer that did not say so: the shutdown began meanwhile.
+    /// Closed after a response that did not announce it, because the shutdown began meanwhile.
     CloseUnannounced,
-    /// Cut without an end: the answer is not whole.
+    /// Closed at once, because the response is incomplete.
     Abort,
-    /// Goes on with the next request.
+    /// Kept open for the next request.
     Keep,
 }
 
 impl ConnectionAction {
-    /// The same for a caller that sends no further request.
+    /// The action for a caller that sends no further request.
     pub(crate) fn at_least_close(self) -> Self {
         match self {
             Self::Keep => Self::Close,
@@ -126,7 +127,7 @@
     );
 }
 
-/// Answers an admitted request with the relay's own answer.
+/// Answers an admitted request with a response of the relay itself.
 pub(crate) async fn refuse(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
@@ -144,7 +145,7 @@
     .await
 }
 
-/// Answers a request that passed no route.
+/// Answers a request that was not admitted.
 pub(crate) async fn refuse_unadmitted(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
@@ -156,7 +157,7 @@
     write_refusal(relay, writer, request_id, refusal, is_kept).await
 }
 
-/// Answers what is no request; the connection can't go on after it.
+/// Answers input that is not a valid request; the connection has to be closed afterwards.
 pub(crate) async fn write_final_refusal(
     writer: &mut OwnedWriteHalf,
     refusal: Refusal,
--- a/crates/masticsill_relay/src/reservation.rs
+++ b/crates/masticsill_relay/src/reservation.rs
@@ -1,7 +1,9 @@
-//! The place that a request takes at an endpoint from the moment of its choice.
+//! The reservation that a request holds at an endpoint from the moment the endpoint is chosen.
 //!
-//! Were it counted only once its connection stands, requests that are placed at the same moment,
-//! as when a zone has just gone down, would all choose the engine that was the emptiest before.
+//!
+//! If a request were counted only once its connection is established, requests placed at the same
+//! moment, for example after a zone failure, would all choose the engine that was the least loaded
+//! before.
 
 use std::rc::Rc;
 
@@ -12,22 +14,22 @@
 
 use crate::relay::Relay;
 
-/// What a request takes at an endpoint.
+/// The load that a request puts on an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ReservedLoad {
-    /// A run that goes on from a copy of its memory: nothing is read.
+    /// A run that resumes from a copy of its KV cache, without a prefill.
     Copy {
-        /// Tokens that it holds in the end.
+        /// Tokens in the KV cache at the end of the run.
         tokens: u64,
     },
-    /// A run that begins with its prompt.
+    /// A run that begins with the prefill of its prompt.
     Prompt {
-        /// Tokens that the prompt has.
+        /// Tokens of the prompt.
         prompt_tokens: u64,
-        /// Tokens that the run holds in the end.
+        /// Tokens in the KV cache at the end of the run.
         tokens: u64,
     },
-    /// A whole answer.
+    /// A plain request.
     Whole,
 }
 
@@ -56,16 +58,17 @@
     }
 }
 
-/// A prompt that is being read.
+/// A prefill in progress.
 #[derive(Clone, Copy, Debug)]
 struct Prefill {
     began_at: ClockMs,
-    /// Whether no other prompt was before it, so that its time tells of the engine.
+    /// Whether no other prefill was in progress when this one began, so that its duration is a
+    /// measure of the engine's speed.
     is_alone: bool,
     tokens: u64,
 }
 
-/// A request's place at an endpoint; dropped, it is free again.
+/// A request's reservation at an endpoint, released on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     endpoint: Announcement,
@@ -77,7 +80,7 @@
 }
 
 impl Reservation {
-    /// Takes a place.
+    /// Reserves capacity at an endpoint.
     pub(crate) fn take(relay: &Rc<Relay>, endpoint: Announcement, load: ReservedLoad) -> Self {
         let mut prefill = None;
         let began_at = relay.now();
@@ -104,26 +107,27 @@
         reservation
     }
 
-    /// Where the place is.
+    /// The endpoint of the reservation.
     pub(crate) fn endpoint(&self) -> &Announcement {
         &self.endpoint
     }
 
-    /// Notes that an endpoint has crashed under the request, so that others of the kind go elsewhere.
+    /// Records that an endpoint has crashed under the request, so that other such requests avoid
+    /// this endpoint.
     pub(crate) fn mark_suspect_run(&mut self, fingerprint: Fingerprint) {
         self.suspect = Some(fingerprint);
         let run = (fingerprint, self.endpoint.id.clone());
         self.relay.suspect_runs.borrow_mut().push(run);
     }
 
-    /// Notes how much of the prompt the engine keeps: that much is not read.
+    /// Records how many prompt tokens the engine has cached, which are left out of the prefill.
     pub(crate) fn note_cached_tokens(&mut self, tokens: u64) {
         if let Some(prefill) = &mut self.prefill {
             prefill.tokens = prefill.tokens.saturating_sub(tokens);
         }
     }
 
-    /// Notes the first event of a stream: its prompt has been read.
+    /// Records the end of the prefill, at the first event of a stream.
     pub(crate) fn end_prefill(&mut self) {
         let Some(prefill) = self.prefill.take() else {
             return;
@@ -140,7 +144,8 @@
         self.relay.room_changed.notify_one();
     }
 
-    /// Lets the other entries hear of it. Whole answers end sooner than the word would arrive.
+    /// Triggers a load report to the other entries, except for plain requests, which end sooner
+    /// than the report would arrive.
     fn report_change(&self) {
         match self.load {
             ReservedLoad::Copy { .. } | ReservedLoad::Prompt { .. } => {
@@ -175,7 +180,7 @@
     }
 }
 
-/// Memory of an engine that a copy of another engine's run takes; dropped, it counts no more.
+/// Memory reserved at an engine for a copy of another engine's run; released on drop.
 #[derive(Debug)]
 pub(crate) struct CopyReservation {
     endpoint: EndpointId,
--- a/crates/masticsill_relay/src/response.rs
+++ b/crates/masticsill_relay/src/response.rs
@@ -1,20 +1,20 @@
-//! Whole answers to callers: an endpoint's, or the relay's own.
+//! Complete responses to callers: those of endpoints, and the relay's own.
 
 use bytes::{Bytes, BytesMut};
 use masticsill_http1::{HeadWriter, Header};
 
-/// An answer whose body is known.
+/// A response whose body is known.
 #[derive(Clone, Debug)]
 pub(crate) struct Response {
     pub(crate) body: Bytes,
     pub(crate) headers: Vec<Header>,
-    /// When the caller should come back.
+    /// When the caller should retry, in milliseconds.
     pub(crate) retry_after_ms: Option<u64>,
     pub(crate) status: u16,
 }
 
 impl Response {
-    /// The relay's own answer; it never bears an endpoint's signature.
+    /// A response of the relay itself; it never carries an endpoint's signature.
     pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         Self {
             body: Bytes::from_static(refusal.text().as_bytes()),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Milliseconds, written as seconds with a fraction.
+/// Milliseconds, formatted as seconds with a fraction.
 struct Seconds(u64);
 
 impl std::fmt::Display for Seconds {
@@ -51,12 +51,14 @@
     }
 }
 
-/// When to come back after a refusal for want of a place: an endpoint's usual restart.
+/// When to retry after a refusal for lack of capacity: the usual restart time of an endpoint.
 const BUSY_RETRY_AFTER_MS: u64 = 250;
-/// When to come back to an instance that is stopping: another one is found at once.
+/// When to retry after a refusal by a stopping instance: the load balancer finds another one at
+/// once.
 const STOPPING_RETRY_AFTER_MS: u64 = 50;
-/// When to come back to an instance that has no document yet. Where all instances start at the
-/// same time, the document comes half a second later, and a caller with little time comes once.
+/// When to retry after a refusal by an instance that has no document yet. If all instances start at
+/// the same time, the document arrives half a second later, and a caller with little time left
+/// retries only once.
 const NO_DOCUMENT_RETRY_AFTER_MS: u64 = 250;
 
 /// Why the relay answers a request itself.
@@ -64,35 +66,35 @@
 pub(crate) enum Refusal {
     /// The body is longer than the document allows.
     BodyTooLong,
-    /// The request was sent and may have run; its outcome is lost.
+    /// The request was sent and may have run; its response is lost.
     Broken,
-    /// The request was sent and may have run; its time is over.
+    /// The request was sent and may have run; its deadline has passed.
     DeadlineAfterSend,
-    /// Its time is over and it never ran.
+    /// The deadline has passed and the request did not run.
     DeadlineBeforeSend,
     /// The head is longer than the document allows.
     HeadTooLong,
-    /// The bytes are no request.
+    /// The bytes are not a valid request.
     Malformed,
-    /// The head came too slowly.
+    /// The head was not complete in time.
     SlowHead,
-    /// This instance knows no document, or knows that its own is old and may be wrong here.
+    /// This instance has no document, or an outdated one that may be wrong about this request.
     NoDocument,
-    /// No endpoint can take the request now, and it has not run.
+    /// No endpoint can accept the request now, and it did not run.
     NoEndpoint,
-    /// It could not be answered in time, and it has not run.
+    /// The request could not be answered in time, and it did not run.
     Overloaded {
-        /// When the caller should come back.
+        /// When the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// No route leads there.
+    /// No route matches the request's host and path.
     NoRoute,
-    /// It crashes the endpoints that run it, and has not run this time.
+    /// The request crashes the endpoints that run it, and did not run this time.
     Quarantined {
-        /// When it may be sent somewhere again.
+        /// Time until the request may be sent again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// This instance is shutting down, and the request has not run.
+    /// This instance is shutting down, and the request did not run.
     Stopping,
     /// The API key belongs to no workspace.
     UnknownKey,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// The name in logs and metrics.
+    /// Name in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::BodyTooLong => "body_too_long",
--- a/crates/masticsill_relay/src/retry_state.rs
+++ b/crates/masticsill_relay/src/retry_state.rs
@@ -1,4 +1,4 @@
-//! What has been tried for a request, and what may still be.
+//! The attempts of a request so far, and whether another one is allowed.
 
 use masticsill_dispatch::Overload;
 use masticsill_registry::EndpointId;
@@ -8,53 +8,55 @@
 use crate::request::RelayRequest;
 use crate::response::Refusal;
 
-/// Endpoints that can't be connected to before a request is given up of which nothing was passed on.
+/// Number of endpoints that cannot be reached after which a request is given up, provided that
+/// nothing of its response has been delivered.
 const MAX_FAILED_DIALS: usize = 8;
-/// Longest wait for the first connection: a healthy endpoint accepts within a few milliseconds, and
-/// what was not sent costs nothing to send elsewhere.
+/// Timeout of the first connection: a healthy endpoint accepts within a few milliseconds, and a
+/// request that was not sent can go to another endpoint at no cost.
 const MIN_DIAL_TIMEOUT_MS: u64 = 120;
-/// First pause before what was begun is tried again: a tenth of the pause between events from which a
-/// stream is late (700 ms).
+/// First pause before a stream that has begun is retried: a tenth of the gap between events from
+/// which a stream is late (700 ms).
 const MIN_RETRY_PAUSE_MS: u64 = 70;
-/// Longest of them: no longer than an endpoint is left alone after its failures.
+/// Maximum of these pauses: no longer than the backoff of an endpoint after failures.
 const MAX_RETRY_PAUSE_MS: u64 = 1_120;
-/// Longest wait for any: a lost first packet is sent again after a second.
+/// Maximum timeout of a connection: a lost first packet is retransmitted after one second.
 const MAX_DIAL_TIMEOUT_MS: u64 = 1_200;
-/// Endpoints that a request may reach, those included that did not run it.
+/// Maximum number of endpoints that a request may reach, including those that did not run it.
 const MAX_ARRIVALS: u32 = 10;
 
-/// What keeps a request from being sent once more.
+/// Why a request cannot be sent once more.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Obstacle {
-    /// It has reached as many endpoints as it may, those included that did not run it.
+    /// The request has reached the maximum number of endpoints, including those that did not run
+    /// it.
     Arrivals,
-    /// It has been sent as often as its route allows.
+    /// The request has been sent as often as its route allows.
     Attempts,
-    /// The service's retry budget is spent.
+    /// The service's retry budget is exhausted.
     Budget,
-    /// Its time is over.
+    /// The request's deadline has passed.
     Deadline,
-    /// Too many endpoints could not be connected to.
+    /// Too many endpoints could not be reached.
     Dials,
-    /// Endpoints crashed under it, and whether that counts is judged in a moment.
+    /// Endpoints crashed under the request, and whether that counts against it is judged shortly.
     Held {
-        /// The longest wait for that.
+        /// The maximum wait for that judgement, in milliseconds.
         left_ms: u64,
     },
-    /// It may have run, and may not run twice.
+    /// The request may have run, and may not run twice.
     MayNotRepeat,
-    /// No endpoint is known that it could go to.
+    /// No usable endpoint is known.
     NoEndpoint,
-    /// It could not be answered in time.
+    /// The request could not be answered in time.
     Overloaded,
-    /// It crashes the endpoints that run it.
+    /// The request crashes the endpoints that run it.
     Quarantined,
-    /// The endpoint that was chosen could not be connected to.
+    /// The chosen endpoint could not be connected to.
     Unreachable,
 }
 
 impl Obstacle {
-    /// The name in logs and metrics.
+    /// Name in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Arrivals => "arrivals",
@@ -73,7 +75,7 @@
 }
 
 impl Obstacle {
-    /// Whether time alone may remove it.
+    /// Whether the obstacle may disappear with time.
     pub(crate) fn is_transient(self) -> bool {
         match self {
             Self::Budget
@@ -91,50 +93,51 @@
     }
 }
 
-/// A run that is counted as failed, though it may still go on.
+/// A run that counts as failed although it may still continue.
 #[derive(Debug)]
 pub(crate) struct PresumedFailure {
     id: EndpointId,
-    /// Whether anything may have run before.
+    /// Whether the request may have run before this run.
     may_have_run: bool,
 }
 
-/// What is known of a request that has not been answered yet.
+/// State of a request that has not been answered yet.
 #[derive(Debug, Default)]
 pub(crate) struct RetryState {
-    /// Sends that reached an endpoint, those included that it did not run: all of them count
+    /// Attempts that reached an endpoint, including those that it did not run; all of them count
     /// against the retry budget.
     arrivals: u32,
-    /// Connections that could not be had, one after the other.
+    /// Consecutive connections that failed.
     dials_failed: u32,
-    /// Endpoints that it must not go to again.
+    /// Endpoints that the request must not be sent to again.
     pub(crate) excluded: Vec<EndpointId>,
-    /// Why it is not sent anywhere any more.
+    /// The dispatcher's refusal, if there was one.
     overload: Option<Overload>,
-    /// Whether it may have run somewhere.
+    /// Whether the request may have run at any endpoint.
     pub(crate) may_have_run: bool,
-    /// Pauses made so far.
+    /// Pauses since the last run that made progress.
     pauses: u32,
-    /// Sends that count against the route's attempts.
+    /// Attempts that count against the route's maximum.
     pub(crate) sends: u32,
 }
 
 impl RetryState {
-    /// Notes an answer that says that the request did not run.
+    /// Records a response that says that the request did not run.
     ///
-    /// It is no attempt where the endpoint was asked for a copy's sake only, or where its address
-    /// belongs to another incarnation.
+    ///
+    /// This is not counted as an attempt if the endpoint was chosen only because it holds a copy,
+    /// or if its address belongs to another incarnation.
     pub(crate) fn note_not_run(&mut self, is_attempt: bool) {
         self.arrivals += 1;
         self.sends += u32::from(is_attempt);
     }
 
-    /// Notes that it could not be answered in time.
+    /// Records that the request could not be answered in time.
     pub(crate) fn note_overload(&mut self, overload: Overload) {
         self.overload = Some(overload);
     }
 
-    /// Notes a send that failed; the endpoint is not asked again.
+    /// Records a failed attempt, and excludes its endpoint.
     pub(crate) fn note(&mut self, id: EndpointId, failure: &SendFailure) {
         self.exclude(id);
         match failure {
@@ -147,14 +150,14 @@
         }
     }
 
-    /// Leaves an endpoint out from now on.
+    /// Excludes an endpoint from further attempts.
     pub(crate) fn exclude(&mut self, id: EndpointId) {
         if !self.excluded.contains(&id) {
             self.excluded.push(id);
         }
     }
 
-    /// Counts a run that is doubted as one that failed, until it goes on.
+    /// Counts a silent run as failed, until it continues.
     pub(crate) fn presume_failed(&mut self, id: EndpointId) -> PresumedFailure {
         let presumed = PresumedFailure {
             id: id.clone(),
@@ -164,7 +167,7 @@
         presumed
     }
 
-    /// Takes a doubt back: the run goes on.
+    /// Retracts a presumed failure, because the run continues.
     pub(crate) fn retract_presumed_failure(&mut self, presumed: &PresumedFailure) {
         self.excluded.retain(|id| *id != presumed.id);
         self.arrivals -= 1;
@@ -172,50 +175,54 @@
         self.may_have_run = presumed.may_have_run;
     }
 
-    /// Lets endpoints be asked again that could not be reached or had no room, but not `running`.
+    /// Allows endpoints to be tried again that could not be reached or had no capacity, except
+    /// `running`.
     pub(crate) fn clear_exclusions(&mut self, running: Option<&EndpointId>) {
         self.excluded.retain(|id| Some(id) == running);
     }
 
-    /// How long the next connection may take: longer each time from the third on, since what is slow
-    /// may be this relay's own link.
+    /// Timeout of the next connection in milliseconds. It doubles with each failure from the second
+    /// on, because the cause may be this relay's own link.
     pub(crate) fn dial_timeout_ms(&self) -> u64 {
         let doublings = self.dials_failed.saturating_sub(1).min(8);
         (MIN_DIAL_TIMEOUT_MS << doublings).min(MAX_DIAL_TIMEOUT_MS)
     }
 
-    /// Notes that a connection stands.
+    /// Records that a connection was established.
     pub(crate) fn note_connected(&mut self) {
         self.dials_failed = 0;
     }
 
-    /// Notes that a run is at work.
+    /// Resets the pauses, because a run makes progress.
     pub(crate) fn reset_pauses(&mut self) {
         self.pauses = 0;
     }
 
-    /// Pause before what was begun is tried again: longer each time, so that an engine that refuses is
-    /// not asked without end.
+    /// Pause in milliseconds before a stream that has begun is retried. It doubles each time, so
+    /// that an engine which refuses is not asked continuously.
     pub(crate) fn next_pause_ms(&mut self) -> u64 {
         let pause_ms = (MIN_RETRY_PAUSE_MS << self.pauses.min(8)).min(MAX_RETRY_PAUSE_MS);
         self.pauses += 1;
         pause_ms
     }
 
-    /// Whether so many endpoints could not be reached, or did not run it, that the next one is asked
-    /// only after a pause.
+    /// Whether so many endpoints could not be reached, or did not run the request, that the next
+    /// attempt is made only after a pause.
     pub(crate) fn needs_pause(&self) -> bool {
         self.dials_failed as usize >= MAX_FAILED_DIALS || self.arrivals >= MAX_ARRIVALS
     }
 
-    /// Whether the request may be sent once more, as far as it is known here.
+    /// Whether the request may be sent once more, as far as this relay knows.
+    ///
+    ///
+    /// A stream that has begun is retried until its deadline: it may be connected, and turned away,
+    /// as often as the retry budget allows.
     ///
-    /// What was begun goes on until its time is over: it may be connected, and turned away, as often
-    /// as the retry budget allows.
     ///
     /// # Errors
     ///
-    /// What keeps it from that.
+    ///
+    /// The obstacle to another attempt.
     pub(crate) fn check_may_send(
         &self,
         relay: &Relay,
@@ -238,17 +245,18 @@
         Ok(())
     }
 
-    /// Whether the retry budget has something left for one more send, if that needs it.
+    /// Whether the retry budget allows the next attempt; the first one needs no budget.
     pub(crate) fn has_budget(&self, relay: &Relay, request: &RelayRequest) -> bool {
         self.arrivals == 0 || relay.has_retries_left(&request.service)
     }
 
-    /// Spends the retry budget for a send that is about to leave; false if there is nothing left.
+    /// Spends retry budget for an attempt that is about to be sent; false if the budget is
+    /// exhausted.
     pub(crate) fn spend(&self, relay: &Relay, request: &RelayRequest) -> bool {
         self.arrivals == 0 || relay.try_spend(&request.service)
     }
 
-    /// Why the request is given up, by what may have become of it.
+    /// The refusal of a request that is given up; it tells whether the request may have run.
     pub(crate) fn refusal(&self, relay: &Relay, request: &RelayRequest) -> Refusal {
         let is_over = request.left_ms(relay.now()) == 0;
         if !self.may_have_run
--- a/crates/masticsill_relay/src/role.rs
+++ b/crates/masticsill_relay/src/role.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a relay.
+//! Start and stop of a relay.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -22,14 +22,14 @@
 use crate::relay::Relay;
 use crate::server::serve;
 
-/// Addresses that wait to be followed.
+/// Maximum number of control addresses that wait to be watched.
 const SEED_RING_ITEMS: usize = 64;
 
 /// A running relay.
 #[derive(Debug)]
 pub struct RelayRole {
     address: SocketAddr,
-    /// Fetches and reads documents.
+    /// The duty that fetches and parses documents.
     documents: DutyHandle,
     duty: DutyHandle,
     has_document: Arc<AtomicBool>,
@@ -38,11 +38,13 @@
 }
 
 impl RelayRole {
-    /// Binds the callers' address and starts to serve; metrics are counted in `registry`.
+    /// Binds the callers' address and starts to serve; metrics are registered in `registry`.
+    ///
     ///
     /// # Errors
     ///
-    /// The operating system's error when the address can't be bound or no thread can be started.
+    ///
+    /// The operating system's error if the address cannot be bound or a thread cannot be started.
     pub fn start(
         config: RelayConfig,
         clock: MonotonicClock,
@@ -94,39 +96,43 @@
         })
     }
 
-    /// The bound address.
+    /// The address on which callers connect.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Follows control replicas at more addresses; known ones are followed already.
+    /// Adds addresses of control replicas to watch; known addresses are ignored.
     pub fn follow(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
-            // A full ring is emptied within moments, and the caller tells of its seeds again.
+            // A full ring is emptied within moments, and the caller passes its addresses again.
             let _ = self.seeds.push(address);
         }
     }
 
-    /// Tells whether new callers should be sent here.
+    /// Returns a function that tells whether new callers should be routed here: a document is
+    /// active and no shutdown has been requested.
     pub fn readiness(&self) -> impl Fn() -> bool + Clone + Send + Sync + 'static {
         let has_document = Arc::clone(&self.has_document);
         let stopping = self.stopping.clone();
         move || has_document.load(Ordering::Acquire) && !stopping.is_requested()
     }
 
-    /// Ends gracefully: what was read is answered, nothing new is taken once balancers know.
+    /// Shuts down gracefully: requests that were read are answered, and no new ones are accepted
+    /// once load balancers have had time to notice.
+    ///
     ///
     /// # Errors
     ///
-    /// An error when the duty panicked.
+    ///
+    /// An error if the duty panicked.
     pub fn stop(self) -> io::Result<()> {
         self.stopping.request();
         self.duty.join()?;
         if self.documents.is_finished() {
             self.documents.join()?;
         }
-        // A document that is still being read is of no use any more, and is not waited for.
+        // A document that is still being parsed is no longer needed, and is not waited for.
         Ok(())
     }
 }
--- a/crates/masticsill_relay/src/server.rs
+++ b/crates/masticsill_relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers and ends without cutting them off.
+//! Accepts callers, and shuts down without cutting their requests.
 
 use std::net;
 use std::rc::Rc;
@@ -14,20 +14,20 @@
 use crate::lateness::watch_lateness;
 use crate::relay::Relay;
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Pause after a failed accept, which prevents a busy loop while file descriptors are exhausted.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How long new connections are taken after a shutdown began: a balancer that asks once a second
-/// turns elsewhere after two answers.
+/// How long new connections are accepted after a shutdown began: a load balancer that checks
+/// readiness once a second routes elsewhere after two answers.
 const ACCEPT_AFTER_SHUTDOWN: Duration = Duration::from_millis(2_500);
-/// Part of the grace that is left for the end of the process itself, which takes 6 ms after the last
+/// Part of the grace period reserved for the exit of the process, which takes 6 ms after the last
 /// request on a fifth of a core.
 pub(crate) const SHUTDOWN_MARGIN: Duration = Duration::from_millis(450);
-/// How often the end of the last request is looked for.
+/// Interval at which the end of the last request is checked for.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How often idle connections to endpoints are looked through.
+/// Interval at which idle connections are closed, crashes judged and gauges updated.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves callers until a graceful shutdown is over.
+/// Serves callers until a graceful shutdown is complete.
 pub(crate) async fn serve(relay: Rc<Relay>, listener: net::TcpListener) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
--- a/crates/masticsill_relay/src/stream.rs
+++ b/crates/masticsill_relay/src/stream.rs
@@ -1,12 +1,15 @@
-//! Requests whose answer is a stream of numbered events.
+//! Requests answered by a stream of numbered events.
 //!
-//! One answer to the caller may be made of several runs: each goes on after the last event that
-//! the caller has. The head, with its signature, is that of the first run.
 //!
-//! A run that falls silent is doubted, not ended: it is listened to until the connection of its
-//! successor stands, and goes on if it speaks before. Silence may be the relay's own, and where no
-//! successor can be had, a late answer is worth more than half of one. What was begun is ended only
-//! when its time is over, or when its engine broke it and no further send is allowed.
+//! One response to the caller may consist of several runs, each of which resumes after the last
+//! event that the caller has. The head, with its signature, is that of the first run.
+//!
+//!
+//! A silent run is presumed to have failed, but is kept open until the connection of its
+//! replacement is established, and continues if it sends anything before that. The silence may be
+//! caused by the relay itself, and without a replacement a late response is worth more than half a
+//! one. A stream that has begun is ended only when its deadline has passed, or when its engine
+//! broke it and no further attempt is allowed.
 
 mod run;
 
@@ -34,37 +37,38 @@
 /// How a stream ended towards its caller.
 #[derive(Debug)]
 pub(crate) enum StreamEnd {
-    /// Whole: all of it has been written.
+    /// All of the stream has been written.
     Whole {
         endpoint: EndpointId,
         resumes: u32,
         timing: StreamTiming,
     },
-    /// An endpoint's answer that is no stream, to be written as a whole.
+    /// An endpoint's response that is not a stream, to be written as a whole.
     Plain(Response, EndpointId),
-    /// The relay's own answer, to be written; nothing of the stream was.
+    /// A response of the relay itself, to be written; nothing of the stream has been.
     Refused(Refusal),
-    /// Part of it was written and the rest can't be had: the connection must be closed.
+    /// Part of the stream has been written and the rest is not available: the connection must be
+    /// closed.
     BrokenOff(BrokenOff),
-    /// The caller takes nothing any more.
+    /// The caller accepts no more data.
     CallerLeft(io::Error),
 }
 
-/// What is known of a stream that was broken off.
+/// Details of a stream that was aborted.
 #[derive(Debug)]
 pub(crate) struct BrokenOff {
-    /// Events that the caller got.
+    /// Number of events delivered to the caller.
     pub(crate) delivered: u64,
-    /// What kept it from going on.
+    /// Why the stream could not be resumed.
     pub(crate) obstacle: Obstacle,
     pub(crate) refusal: Refusal,
-    /// Sends that may have run.
+    /// Attempts that count against the route's maximum.
     pub(crate) sends: u32,
-    /// How its last run ended.
+    /// How the last run failed.
     pub(crate) last_failure: &'static str,
 }
 
-/// The next run of a stream, about to be sent.
+/// The next run of a stream, connected and not sent yet.
 struct NextAttempt {
     from_copy: Option<RunCopy>,
     attempt: Attempt,
@@ -74,28 +78,28 @@
 enum RunEnd {
     Whole,
     Plain(Response),
-    /// It did not run; whether because the address belongs to another incarnation.
+    /// The request did not run; `is_replaced` if another incarnation has the address.
     NotRun {
         is_replaced: bool,
     },
     Failed(SendFailure),
-    /// It was silent, and its successor's connection stands.
+    /// The run was silent, and the connection of its replacement is established.
     Replaced(Box<NextAttempt>),
     CallerLeft(io::Error),
 }
 
-/// One stream on its way to its caller.
+/// A stream being relayed to its caller.
 pub(crate) struct StreamRelay<'a> {
     copies: CopyManager,
-    /// Events passed on by any run.
+    /// Events delivered by all runs.
     delivered: u64,
     is_closing: bool,
-    /// Whether the copy can be gone on from: its run has read its prompt.
+    /// Whether a run can resume from the copy, because the copied run has finished its prefill.
     is_copy_usable: bool,
     is_head_written: bool,
     last_failure: &'static str,
     order: EventOrder,
-    /// For how long it has been answered by all of its runs.
+    /// Time in milliseconds for which the request has produced events, in all of its runs.
     reached_ms: u64,
     relay: &'a Rc<Relay>,
     request: &'a RelayRequest,
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Relays until the stream is whole or given up.
+    /// Relays until the stream is complete or given up.
     pub(crate) async fn run(mut self) -> StreamEnd {
         let mut next = self.open_next(None).await;
         let obstacle = loop {
@@ -141,8 +145,8 @@
             let id = attempt.endpoint().id.clone();
             let delivered_before = self.delivered;
             let end = self.run_once(attempt, from_copy.as_ref()).await;
-            // Its prompt was not read to the end: of 612 such copies engines refused 594, and each
-            // refusal uses up the retry budget.
+            // The run did not finish its prefill. Engines refused 594 of 612 copies of such runs,
+            // and each refusal spends retry budget.
             let is_unread = self.delivered == delivered_before && from_copy.is_none();
             next = match end {
                 RunEnd::Whole => {
@@ -155,11 +159,11 @@
                 RunEnd::Plain(response) => return StreamEnd::Plain(response, id),
                 RunEnd::CallerLeft(error) => return StreamEnd::CallerLeft(error),
                 RunEnd::NotRun { is_replaced } => {
-                    // Nothing ran here that could have made a copy.
+                    // The endpoint did not run the request, so that it made no copy.
                     self.copies.clear();
                     self.retry_state
                         .note_not_run(!is_replaced && from_copy.is_none());
-                    // An engine without the copy may still run the request from its prompt.
+                    // An engine that lacks the copy may still run the request from its prompt.
                     if from_copy.is_none() {
                         self.retry_state.exclude(id);
                     }
@@ -193,10 +197,11 @@
         }
     }
 
-    /// Chooses where the stream goes on, and connects there. `doubted` is the engine of a run that is
-    /// listened to meanwhile.
+    /// Chooses the endpoint on which the stream resumes, and connects to it. `silent_endpoint` is
+    /// the engine of a silent run that is kept open meanwhile.
+    ///
     ///
-    /// For a stream that was begun, what time alone may remove is waited for.
+    /// A stream that has begun waits for obstacles that may disappear with time.
     async fn open_next(
         &mut self,
         silent_endpoint: Option<&EndpointId>,
@@ -263,7 +268,8 @@
         );
     }
 
-    /// The endpoint that holds a copy of the run, while it can be used, or the best of all.
+    /// Reserves the endpoint that holds a copy of the run if the copy can be used, or the best
+    /// endpoint otherwise.
     async fn choose(
         &mut self,
         silent_endpoint: Option<&EndpointId>,
@@ -272,7 +278,7 @@
         let copy = self.copies.copy().filter(|_| self.is_copy_usable);
         if let Some(copy) = copy {
             let is_tried = self.retry_state.excluded.contains(&copy.at.id);
-            let obstacle = self.relay.obstacle(&copy.at.id);
+            let obstacle = self.relay.unavailability_reason(&copy.at.id);
             let is_colocated = self
                 .relay
                 .would_colocate_with_suspect(self.request, &copy.at.id);
@@ -295,7 +301,7 @@
                 is_tried = is_tried,
                 cause = cause
             );
-            // A run that is only doubted may go on, and needs its copy then.
+            // A run that is only silent may continue, and then needs its copy.
             if silent_endpoint.is_none() {
                 self.copies.clear();
             }
@@ -314,7 +320,8 @@
         }
     }
 
-    /// Where the engine is to keep a copy: in another zone, so that it survives this one.
+    /// The copy that the engine is to stream: in another zone, so that it survives a failure of
+    /// this one.
     fn choose_copy(&self, endpoint: &Announcement) -> Option<RunCopy> {
         let excluded = &self.retry_state.excluded;
         let at = self
@@ -327,7 +334,7 @@
 }
 
 impl Drop for StreamRelay<'_> {
-    /// However the stream ends, its copy must not hold an engine's memory any longer.
+    /// Releases the copy however the stream ends, so that it no longer occupies an engine's memory.
     fn drop(&mut self) {
         self.copies.poll_pending(self.relay.now());
         self.copies.release(self.relay);
--- a/crates/masticsill_relay/src/stream/run.rs
+++ b/crates/masticsill_relay/src/stream/run.rs
@@ -1,4 +1,4 @@
-//! One run of a stream: sent, listened to, and its events passed on.
+//! One run of a stream: the request is sent, and the run's events are forwarded.
 
 use std::io;
 
@@ -21,16 +21,17 @@
 use crate::metrics::CauseLabel;
 use crate::request::SendOptions;
 
-/// Silence between events after which a run is given up: twice the longest usual gap, which is
-/// that of six decoding steps beside another request's prefill (180 ms).
+/// Silence between events after which a run is presumed to have failed: twice the longest usual
+/// gap, that of six decoding steps alongside another request's prefill (180 ms).
 const EVENT_GAP_TIMEOUT_MS: u64 = 350;
-/// Silence before the first event, beside the time that the prompt takes to read.
+/// Timeout of the first event, in addition to the prefill time.
 const FIRST_EVENT_BASE_TIMEOUT_MS: u64 = 3_000;
-/// Prompt tokens that an engine is expected to read in a millisecond, behind other prompts.
+/// Prompt tokens that an engine is expected to prefill per millisecond while other prompts are
+/// ahead.
 const PROMPT_TOKENS_PER_MS: u64 = 3;
 
 impl StreamRelay<'_> {
-    /// Sends the stream's request on an open connection, and passes on what comes until that ends.
+    /// Sends the stream's request on an open connection, and forwards events until the run ends.
     pub(super) async fn run_once(
         &mut self,
         mut attempt: Attempt,
@@ -47,7 +48,7 @@
         if self.delivered > 0 {
             self.note_resume(&endpoint, from_copy.is_some());
         }
-        // The engine begins its copy while it reads the prompt, before any answer.
+        // The engine starts to stream its copy during the prefill, before any response.
         self.copies.reset(copy);
         self.is_copy_usable = from_copy.is_some();
         let silence_timeout_ms = self.first_event_timeout_ms();
@@ -71,7 +72,7 @@
         if head.status != 200 {
             return match read_response(relay, request, attempt, head).await {
                 Ok((Verdict::NotRun { is_replaced }, _)) => RunEnd::NotRun { is_replaced },
-                // The caller has another run's head already.
+                // The caller has already received the head of another run.
                 Ok(_) if self.is_head_written => RunEnd::Failed(SendFailure::MayHaveRun),
                 Ok((_, response)) => RunEnd::Plain(response),
                 Err(failure) => RunEnd::Failed(failure),
@@ -86,7 +87,7 @@
         RunEnd::Failed(fail(self.relay, self.request, attempt, failure, cause))
     }
 
-    /// Counts and logs that the stream goes on at another engine.
+    /// Counts and logs that the stream resumes at another engine.
     fn note_resume(&mut self, endpoint: &Announcement, is_from_copy: bool) {
         self.resumes += 1;
         let cause = if is_from_copy { "copy" } else { "prompt" };
@@ -104,8 +105,8 @@
         );
     }
 
-    /// Waits for something of a run. Once it is doubted, a successor is looked for, and the run listened
-    /// to until that is connected.
+    /// Waits for the next bytes of a run. Once the run is presumed to have failed, a replacement is
+    /// sought and the run kept open until the replacement is connected.
     async fn watch_attempt<T>(
         &mut self,
         watched: &WatchedAttempt<'_>,
@@ -127,7 +128,7 @@
         waited
     }
 
-    /// The run as it is listened to from now on.
+    /// Describes the run for the wait that begins now.
     fn watched<'b>(
         &self,
         endpoint: &'b Announcement,
@@ -157,7 +158,7 @@
         left_ms.min(FIRST_EVENT_BASE_TIMEOUT_MS + reading_ms)
     }
 
-    /// Passes a run's events on until it ends.
+    /// Forwards a run's events until the run ends.
     async fn forward_events(
         &mut self,
         mut attempt: Attempt,
@@ -173,7 +174,7 @@
             let silence_ms = if has_event {
                 EVENT_GAP_TIMEOUT_MS
             } else {
-                // Whose head came in the last moment has that much time for its first event.
+                // A run whose head arrived at the last moment gets this long for its first event.
                 first_event_deadline.since(now).max(EVENT_GAP_TIMEOUT_MS)
             };
             let silence = if has_event {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Writes the events that are whole; returns whether there was one.
+    /// Writes the complete events received; returns whether there was one.
     async fn forward_complete_events(
         &mut self,
         splitter: &mut EventSplitter,
@@ -267,7 +268,7 @@
         self.writer.write_all(&bytes).await
     }
 
-    /// The head of the answer, before its first event.
+    /// The head of the response, written before the first event.
     fn head_bytes(&mut self, head: &ResponseHead) -> BytesMut {
         if self.is_head_written {
             return BytesMut::new();
@@ -284,7 +285,7 @@
         writer.finish()
     }
 
-    /// Sees to it that another engine holds a copy of the run.
+    /// Ensures that another engine holds a copy of the run.
     fn ensure_copy(&mut self, running: &Announcement) {
         let now = self.relay.now();
         self.copies.poll_pending(now);
@@ -295,12 +296,13 @@
         {
             return;
         }
-        // The engine that holds it gets what is new; another one would get all of it.
-        let held = self.copies.copy().map(|copy| copy.at.clone());
-        let held = held.filter(|at| relay.is_ready(&at.id));
-        let renewed = held.and_then(|at| Some((at, self.copies.reservation()?)));
-        let anew = || self.choose_copy(running).map(RunCopy::into_parts);
-        if let Some((at, reservation)) = renewed.or_else(anew) {
+        // The current holder receives only what is new; another one would receive the whole KV
+        // cache.
+        let current_holder = self.copies.copy().map(|copy| copy.at.clone());
+        let current_holder = current_holder.filter(|at| relay.is_ready(&at.id));
+        let renewed = current_holder.and_then(|at| Some((at, self.copies.reservation()?)));
+        let new_copy = || self.choose_copy(running).map(RunCopy::into_parts);
+        if let Some((at, reservation)) = renewed.or_else(new_copy) {
             self.copies
                 .start_copy(relay, &self.request.id, running, at, reservation);
         }
@@ -318,7 +320,7 @@
     }
 }
 
-/// Why events could not be passed on.
+/// Why events could not be forwarded.
 enum ForwardError {
     Caller(io::Error),
     Order,
--- a/crates/masticsill_relay/src/stream_durations.rs
+++ b/crates/masticsill_relay/src/stream_durations.rs
@@ -1,26 +1,27 @@
-//! How long streams take, for the question whether one may still be begun.
+//! Durations of recent streams, which decide whether a stream may still be started during a
+//! shutdown.
 
 use std::time::Duration;
 
-/// Part of a longest time that fades with each shorter one: of what lasted unusually long, half is
+/// Part of the maximum that decays with each shorter stream: half of an unusually long duration is
 /// forgotten after a dozen streams.
 const DECAY_DIVISOR: u64 = 16;
 
-/// The longest time that streams took lately.
+/// Decaying maximum of the duration of streams.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StreamDurations {
     longest_ms: u64,
 }
 
 impl StreamDurations {
-    /// Notes the time of a whole stream.
+    /// Records the duration of a completed stream.
     pub(crate) fn record(&mut self, took_ms: u64) {
         let decayed_ms = self.longest_ms - self.longest_ms / DECAY_DIVISOR;
         self.longest_ms = took_ms.max(decayed_ms);
     }
 
-    /// Whether a stream that begins now ends within a time, as far as can be told: with a third more
-    /// than the longest one took, since it may wait behind one prompt more.
+    /// Whether a stream that starts now is expected to end within a time. A third is added to the
+    /// maximum, because the stream may wait behind one prompt more.
     pub(crate) fn fits_within(self, left: Duration) -> bool {
         Duration::from_millis(self.longest_ms + self.longest_ms / 3) <= left
     }
--- a/crates/masticsill_relay/src/suspects.rs
+++ b/crates/masticsill_relay/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that crash endpoints: what is noted here, told to the control replicas, and told by them.
+//! Requests that crash endpoints: crashes recorded here, reports to the control replicas, and
+//! records received from them.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,24 +18,24 @@
 use crate::reservation::Reservation;
 use crate::retry_state::Obstacle;
 
-/// Pause before a replica that did not answer is told again.
+/// Pause before a report is repeated to a replica that did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Up to where a control replica has been told what was noted here.
+/// Revision of the crash records up to which a control replica has been informed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportedRevision {
     revision: Rc<Cell<u64>>,
 }
 
 impl ReportedRevision {
-    /// Has everything told again, to a replica that may have forgotten it.
+    /// Causes everything to be reported again, to a replica that may have lost it.
     pub(crate) fn reset(&self) {
         self.revision.set(0);
     }
 }
 
 impl Relay {
-    /// Notes that a run of a request ended together with its endpoint.
+    /// Records that a run of a request ended because its endpoint crashed.
     pub(crate) fn note_crash(&self, fingerprint: Fingerprint, crash: &CrashRecord) {
         let now = self.now();
         self.crashes
@@ -44,7 +45,7 @@
         self.notify_crash_reporters();
     }
 
-    /// Notes that it is known of an endpoint whether it crashed under a request.
+    /// Records that a crash check of a request's endpoint is complete.
     pub(crate) fn finish_crash_check(&self, fingerprint: Fingerprint) {
         let mut crash_checks = self.crash_checks.borrow_mut();
         if let Some(place) = crash_checks.iter().position(|it| *it == fingerprint) {
@@ -54,7 +55,7 @@
         self.notify_crash_reporters();
     }
 
-    /// Notes that an endpoint ran a request to an end, well or not: it bore it.
+    /// Records that an endpoint ran a request to its end, successfully or not, without crashing.
     pub(crate) fn note_completion(&self, request: &RelayRequest) {
         let (now, fingerprint) = (self.now(), request.fingerprint);
         let mut ledger = self.crashes.borrow_mut();
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Notes that an endpoint has answered a request for so long, with the runs that it goes on from.
+    /// Records for how long endpoints have produced events for a request, over all of its runs, in
+    /// milliseconds.
     pub(crate) fn note_progress(&self, request: &RelayRequest, reached_ms: u64) {
         let mut ledger = self.crashes.borrow_mut();
         let before = ledger.noted_revision();
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Takes what a control replica tells of requests that crash endpoints.
+    /// Merges records of requests that crash endpoints, received from a control replica.
     pub(crate) fn merge_crash_records(&self, records: &[RequestRecord]) {
         if records.is_empty() {
             return;
@@ -92,13 +94,16 @@
             log_if_quarantined(record, standing(&ledger, record));
         }
         drop(ledger);
-        // One that was run to an end here is to be cleared elsewhere.
+        // A request that ran to its end here has to be cleared at the other processes as well.
         self.notify_crash_reporters();
     }
 
-    /// Judges the crashes that were noted here while no control replica does, and forgets what is old.
+    /// Judges the crashes recorded here while no control replica is reachable to do so, and drops
+    /// old records.
     ///
-    /// A replica knows what else fell at the moment of a crash, this entry only what it ran itself.
+    ///
+    /// A replica knows which other endpoints failed at the moment of a crash, this entry only what
+    /// it ran itself.
     pub(crate) fn judge_crashes(&self) {
         let now = self.now();
         let mut ledger = self.crashes.borrow_mut();
@@ -109,19 +114,20 @@
         }
     }
 
-    /// Has the tasks that tell control replicas of crashes look for what is new.
+    /// Wakes the tasks that report crashes to control replicas.
     pub(crate) fn notify_crash_reporters(&self) {
         self.crash_changes.send_modify(|count| *count += 1);
     }
 
-    /// Endpoints that a request is kept from, so that it doesn't meet another one under which an
-    /// endpoint has crashed as well: together again, nobody could tell which of them it was. Where none
-    /// is left, the next list holds, and then none.
+    /// Lists of endpoints to exclude for a request, so that it does not run beside another request
+    /// under which an endpoint has crashed: after another crash nobody could tell which of the two
+    /// caused it. If a list leaves no endpoint, the next one applies, and finally none.
+    ///
     ///
-    /// Those of this entry are known. From those of other entries it is kept apart by its fingerprint
-    /// once a further crash may have it sent nowhere.
+    /// Suspect requests of this entry are known. The request is kept apart from those of other
+    /// entries by its fingerprint once one further crash may quarantine it.
     pub(crate) fn isolation_exclusions(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
-        let beside = self.endpoints_of_other_suspects(request);
+        let other_suspects = self.endpoints_of_other_suspects(request);
         let mut lists = Vec::new();
         if self.is_one_crash_short(request) {
             let fingerprint = &request.fingerprint;
@@ -130,16 +136,16 @@
             let of_service = announcements.filter(|it| it.service == request.service);
             let others = of_service.filter(|it| !fingerprint.is_kept_at(&it.id));
             let others: Vec<EndpointId> = others.map(|it| it.id.clone()).collect();
-            lists.push([beside.as_slice(), &others].concat());
+            lists.push([other_suspects.as_slice(), &others].concat());
         }
-        if !beside.is_empty() {
-            lists.push(beside);
+        if !other_suspects.is_empty() {
+            lists.push(other_suspects);
         }
         lists
     }
 
-    /// Whether a request which another crash may have sent nowhere would meet one of this entry under
-    /// which an endpoint has crashed as well.
+    /// Whether a request that one further crash may quarantine would run beside another suspect
+    /// request of this entry.
     pub(crate) fn would_colocate_with_suspect(
         &self,
         request: &RelayRequest,
@@ -155,7 +161,7 @@
             .is_one_crash_short(&request.fingerprint)
     }
 
-    /// Endpoints where another request runs under which an endpoint has crashed, if one has under this.
+    /// Endpoints that run another suspect request, if this request is suspect itself.
     fn endpoints_of_other_suspects(&self, request: &RelayRequest) -> Vec<EndpointId> {
         if !self.is_crash_suspect(request) {
             return Vec::new();
@@ -165,7 +171,7 @@
         others.map(|(_, endpoint)| endpoint.clone()).collect()
     }
 
-    /// Marks where a request goes to run, if an endpoint has crashed under it, or may have.
+    /// Marks the run of a request under which an endpoint has crashed, or may have.
     pub(crate) fn mark_suspect(&self, request: &RelayRequest, reservation: &mut Reservation) {
         if self.is_crash_suspect(request) {
             reservation.mark_suspect_run(request.fingerprint);
@@ -178,11 +184,13 @@
         is_checked || self.crashes.borrow().is_suspect(fingerprint)
     }
 
-    /// Whether a request may be sent, as far as the endpoints are concerned that crashed under it.
+    /// Whether a request may be sent, considering the endpoints that crashed under it.
+    ///
     ///
     /// # Errors
     ///
-    /// It is sent nowhere, or is to wait for the judgement of a crash.
+    ///
+    /// The request is quarantined, or has to wait until a crash is judged.
     pub(crate) fn check_crashes(&self, request: &RelayRequest) -> Result<(), Obstacle> {
         let fingerprint = &request.fingerprint;
         let is_checked = self.crash_checks.borrow().contains(fingerprint);
@@ -198,7 +206,7 @@
         }
     }
 
-    /// For how long a request is sent nowhere, since it crashes endpoints; none if it may be sent.
+    /// Time left for which a request is quarantined, in milliseconds; `None` if it is not.
     pub(crate) fn quarantine_left_ms(&self, request: &RelayRequest) -> Option<u64> {
         match self.standing(request) {
             Standing::Free | Standing::Held { .. } => None,
@@ -211,15 +219,15 @@
         ledger.standing(self.now(), &request.fingerprint)
     }
 
-    /// Waits until something is learned of crashes, `bound_ms` at most.
+    /// Waits until the crash records change, `bound_ms` milliseconds at most.
     pub(crate) async fn wait_for_crash_change(&self, bound_ms: u64) {
         let mut noted = self.crash_changes.subscribe();
-        // The bound ends the wait where nobody judges.
+        // The timeout ends the wait if nothing changes.
         let _ = timeout(Duration::from_millis(bound_ms), noted.changed()).await;
     }
 }
 
-/// Tells a control replica what is noted here of requests under which endpoints crashed, for good.
+/// Reports crashes recorded here to a control replica, until the relay ends.
 pub(crate) async fn report_crashes(
     relay: Rc<Relay>,
     address: SocketAddr,
@@ -242,7 +250,7 @@
             }
             sleep(RETRY_PAUSE).await;
             if !relay.control_reached.borrow().contains_key(&address) {
-                // It is told once it is reached again.
+                // The report is repeated once the replica is reached again.
                 break;
             }
         }
