--- a/crates/masticsill_relay/src/attempt.rs
+++ b/crates/masticsill_relay/src/attempt.rs
@@ -87,7 +87,7 @@
     pub(crate) fn upstream(&mut self) -> &mut Upstream {
         self.upstream
             .as_mut()
-            .expect("it is taken only with the whole value")
+            .expect("the connection is taken only when the attempt is consumed or dropped")
     }
 
     /// The endpoint of the attempt.
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -158,7 +158,8 @@
         sleep(DIRECTORY_INTERVAL).await;
     }
     // The address serves as the replica's node id here: an entry has no use for the real one.
-    let node = NodeId::new(address.to_string()).expect("an address holds allowed characters");
+    let node = NodeId::new(address.to_string())
+        .expect("a socket address contains only characters allowed in a node id");
     let watcher = relay.watcher();
     let mut request = WatchRequest {
         document_seen: None,
@@ -205,7 +206,7 @@
             relay.notify_crash_reporters();
         }
         is_reached = true;
-        relay.note_control_reply();
+        relay.record_control_reply();
         relay
             .control_reached
             .borrow_mut()
--- a/crates/masticsill_relay/src/endpoint_choice.rs
+++ b/crates/masticsill_relay/src/endpoint_choice.rs
@@ -95,7 +95,7 @@
                     }
                 }
                 Dispatched::Assigned(choice, mut reservation) => {
-                    reservation.note_cached_tokens(choice.kept_tokens);
+                    reservation.record_cached_tokens(choice.kept_tokens);
                     self.mark_suspect(request, &mut reservation);
                     if !is_first || request.route.kind == RouteKind::Stream {
                         self.note_choice(
--- a/crates/masticsill_relay/src/failover.rs
+++ b/crates/masticsill_relay/src/failover.rs
@@ -90,7 +90,7 @@
         let next = tokio::select! {
             biased;
             done = waiting.as_mut() => {
-                note_recovered(relay, request, self.endpoint, self.last_received_at);
+                record_recovered(relay, request, self.endpoint, self.last_received_at);
                 return WatchResult::Done(done);
             }
             next = next => next,
@@ -102,7 +102,7 @@
         let left = Duration::from_millis(request.left_ms(relay.now()));
         match timeout(left, waiting).await {
             Ok(done) => {
-                note_recovered(relay, request, self.endpoint, self.last_received_at);
+                record_recovered(relay, request, self.endpoint, self.last_received_at);
                 WatchResult::Done(done)
             }
             Err(_) => WatchResult::DeadlineReached,
@@ -130,7 +130,7 @@
 }
 
 /// Records that a silent attempt continues: the failure recorded for its endpoint is retracted.
-fn note_recovered(
+fn record_recovered(
     relay: &Relay,
     request: &RelayRequest,
     endpoint: &Announcement,
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -409,7 +409,7 @@
     }
 
     /// Records that a control replica answered.
-    pub(crate) fn note_control_reply(&self) {
+    pub(crate) fn record_control_reply(&self) {
         self.last_received_at.set(self.now());
     }
 
--- a/crates/masticsill_relay/src/reservation.rs
+++ b/crates/masticsill_relay/src/reservation.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records how many prompt tokens the engine has cached, which are left out of the prefill.
-    pub(crate) fn note_cached_tokens(&mut self, tokens: u64) {
+    pub(crate) fn record_cached_tokens(&mut self, tokens: u64) {
         if let Some(prefill) = &mut self.prefill {
             prefill.tokens = prefill.tokens.saturating_sub(tokens);
         }
