--- a/crates/masticsill_relay/src/attempt.rs
+++ b/crates/masticsill_relay/src/attempt.rs
@@ -6,7 +6,7 @@
 use masticsill_http1::ResponseHead;
 use masticsill_registry::Announcement;
 use masticsill_types::{ClockMs, log_event};
-use masticsill_upstream::{Break, Expected, Upstream, dial};
+use masticsill_upstream::{ExchangeError, ExpectedResponse, UpstreamConnection, dial};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
@@ -61,7 +61,7 @@
     pub(crate) progress: RunProgress,
     relay: Rc<Relay>,
     reservation: Reservation,
-    upstream: Option<Upstream>,
+    upstream: Option<UpstreamConnection>,
 }
 
 /// How an attempt ended without a response.
@@ -84,7 +84,7 @@
 }
 
 impl Attempt {
-    pub(crate) fn upstream(&mut self) -> &mut Upstream {
+    pub(crate) fn upstream(&mut self) -> &mut UpstreamConnection {
         self.upstream
             .as_mut()
             .expect("the connection is taken only when the attempt is consumed or dropped")
@@ -119,7 +119,7 @@
     /// Returns the connection to the pool if the response allows its reuse.
     pub(crate) fn return_to_pool(mut self, head: &ResponseHead) {
         let upstream = self.upstream.take();
-        let stream = upstream.and_then(Upstream::into_reusable);
+        let stream = upstream.and_then(UpstreamConnection::into_reusable);
         let mut pool = self.relay.pool.borrow_mut();
         match stream.filter(|_| head.is_keep_alive) {
             Some(stream) => {
@@ -184,7 +184,7 @@
         },
         relay: Rc::clone(relay),
         reservation,
-        upstream: Some(Upstream::new(stream)),
+        upstream: Some(UpstreamConnection::new(stream)),
     };
     // Other endpoints may have crashed under this request while it waited for a reservation or for
     // the connection.
@@ -208,7 +208,7 @@
     request: &RelayRequest,
     attempt: &mut Attempt,
     options: &SendOptions,
-) -> Result<ResponseHead, Break> {
+) -> Result<ResponseHead, ExchangeError> {
     let names = &relay.config.headers;
     let bytes = request.bytes_for(
         names,
@@ -216,7 +216,7 @@
         attempt.progress.began_at,
         options,
     );
-    let expected = Expected {
+    let expected = ExpectedResponse {
         method: &request.head.method,
         id_field: &names.request_id,
         request_id: &request.id,
@@ -274,10 +274,10 @@
     );
 }
 
-pub(crate) fn failure_of(error: &Break) -> Failure {
+pub(crate) fn failure_of(error: &ExchangeError) -> Failure {
     match error {
-        Break::Connection(_) => Failure::Broken,
-        Break::Parse(_) => Failure::Malformed,
+        ExchangeError::Connection(_) => Failure::Broken,
+        ExchangeError::Parse(_) => Failure::Malformed,
     }
 }
 
--- a/crates/masticsill_relay/src/config.rs
+++ b/crates/masticsill_relay/src/config.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
     /// Retry budget: how many extra attempts may be made per service.
-    pub budget: BudgetSettings,
+    pub retry_budget: BudgetSettings,
     /// Addresses of the control replicas contacted first.
     pub control_seeds: Vec<SocketAddr>,
     /// Paths and JSON fields of the calls that ask engines for copies of a run's KV cache.
--- a/crates/masticsill_relay/src/connection.rs
+++ b/crates/masticsill_relay/src/connection.rs
@@ -6,7 +6,7 @@
 use masticsill_catalogue::RouteKind;
 use masticsill_http1::RequestHead;
 use masticsill_types::{ClockMs, log_event};
-use masticsill_upstream::watch_peer;
+use masticsill_upstream::configure_socket;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -26,7 +26,7 @@
 
 /// Serves a connection until either side closes it.
 pub(crate) async fn serve_connection(relay: Rc<Relay>, stream: TcpStream) {
-    if watch_peer(&stream).is_err() {
+    if configure_socket(&stream).is_err() {
         return;
     }
     let (reader, mut writer) = stream.into_split();
--- a/crates/masticsill_relay/src/endpoint_response.rs
+++ b/crates/masticsill_relay/src/endpoint_response.rs
@@ -61,7 +61,7 @@
     let left_ms = request.left_ms(now);
     let reading = attempt
         .upstream()
-        .read_whole(head.framing, MAX_RESPONSE_BYTES);
+        .read_body(head.framing, MAX_RESPONSE_BYTES);
     let body = match with_silence_timeout(relay, &endpoint, now, left_ms, reading).await {
         Some(Ok(body)) => body,
         Some(Err(error)) => {
--- a/crates/masticsill_relay/src/event_order.rs
+++ b/crates/masticsill_relay/src/event_order.rs
@@ -2,13 +2,13 @@
 
 /// Position of an event relative to the last delivered one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Placed {
+pub enum EventPosition {
     /// The event was delivered before.
-    Known,
+    Duplicate,
     /// The event is the next one.
     Next,
     /// Events before this one are missing.
-    Missing,
+    Gap,
 }
 
 /// Tracks the numbers of a stream's events.
@@ -35,21 +35,21 @@
     ///
     /// The first event of a stream may have any number: the endpoint chooses where to begin.
     #[must_use]
-    pub fn place(&self, id: Option<u64>) -> Placed {
+    pub fn classify(&self, id: Option<u64>) -> EventPosition {
         let (Some(id), Some(last)) = (id, self.last) else {
-            return Placed::Next;
+            return EventPosition::Next;
         };
         if id <= last {
-            Placed::Known
+            EventPosition::Duplicate
         } else if id == last + 1 {
-            Placed::Next
+            EventPosition::Next
         } else {
-            Placed::Missing
+            EventPosition::Gap
         }
     }
 
     /// Records that an event is delivered to the caller.
-    pub fn deliver(&mut self, id: Option<u64>) {
+    pub fn record_delivered(&mut self, id: Option<u64>) {
         if id.is_some() {
             self.last = id;
         }
--- a/crates/masticsill_relay/src/lib.rs
+++ b/crates/masticsill_relay/src/lib.rs
@@ -42,6 +42,6 @@
 mod suspects;
 
 pub use config::{DocumentReader, EngineCalls, HeaderNames, RelayConfig};
-pub use event_order::{EventOrder, Placed};
+pub use event_order::{EventOrder, EventPosition};
 pub use masticsill_dispatch::BudgetSettings;
 pub use role::RelayRole;
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -348,7 +348,7 @@
 
     fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
-        let settings = self.config.budget;
+        let settings = self.config.retry_budget;
         let budget = budgets.entry(service.to_owned());
         act(budget.or_insert_with(|| RetryBudget::new(settings)))
     }
--- a/crates/masticsill_relay/src/role.rs
+++ b/crates/masticsill_relay/src/role.rs
@@ -103,7 +103,7 @@
     }
 
     /// Adds addresses of control replicas to watch; known addresses are ignored.
-    pub fn follow(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_control_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             // A full ring is emptied within moments, and the caller passes its addresses again.
             let _ = self.seeds.push(address);
--- a/crates/masticsill_relay/src/stream/run.rs
+++ b/crates/masticsill_relay/src/stream/run.rs
@@ -15,7 +15,7 @@
 use crate::attempt::{Attempt, RunProgress, SendFailure, exchange, fail, failure_of};
 use crate::copies::RunCopy;
 use crate::endpoint_response::{Verdict, forwarded_headers, read_response};
-use crate::event_order::Placed;
+use crate::event_order::EventPosition;
 use crate::events;
 use crate::failover::{INCARNATION_REPLACED, WatchResult, WatchedAttempt};
 use crate::metrics::CauseLabel;
@@ -183,7 +183,7 @@
                 Failure::Silent
             };
             let watched = self.watched(&endpoint, attempt.progress, silence_ms, silence);
-            let reading = attempt.upstream().next_piece(&mut decoder);
+            let reading = attempt.upstream().next_chunk(&mut decoder);
             let (failure, cause) = match self.watch_attempt(&watched, reading).await {
                 WatchResult::Replaced(next) => return RunEnd::Replaced(Box::new(next)),
                 WatchResult::Superseded => (Failure::Replaced, INCARNATION_REPLACED.to_owned()),
@@ -235,14 +235,14 @@
         let mut has_event = false;
         while let Some(event) = splitter.next_event() {
             has_event = true;
-            match self.order.place(event.id) {
-                Placed::Known => {}
-                Placed::Next => {
-                    self.order.deliver(event.id);
+            match self.order.classify(event.id) {
+                EventPosition::Duplicate => {}
+                EventPosition::Next => {
+                    self.order.record_delivered(event.id);
                     self.delivered += 1;
                     passed.extend_from_slice(&event.bytes);
                 }
-                Placed::Missing => {
+                EventPosition::Gap => {
                     is_missing = true;
                     break;
                 }
--- a/crates/masticsill_relay/tests/document_fetch.rs
+++ b/crates/masticsill_relay/tests/document_fetch.rs
@@ -32,7 +32,7 @@
         let mut registry = Registry::default();
         let seeds = replicas.iter().map(|it| it.proxy.address());
         let config = RelayConfig {
-            budget: BudgetSettings {
+            retry_budget: BudgetSettings {
                 extra: 10,
                 ratio: 0.5,
                 window_ms: 10_000,
@@ -149,7 +149,11 @@
         assert!(Instant::now() < bound, "the fetch did not begin");
         sleep(Duration::from_millis(1));
     }
-    relay.role.as_ref().unwrap().follow([far.proxy.address()]);
+    relay
+        .role
+        .as_ref()
+        .unwrap()
+        .add_control_addresses([far.proxy.address()]);
     near.proxy
         .set_mode(ProxyMode::BlackHole(Some(Direction::ToClient)));
     relay.await_version(1);
--- a/crates/masticsill_relay/tests/known_behind.rs
+++ b/crates/masticsill_relay/tests/known_behind.rs
@@ -22,7 +22,7 @@
 
 fn start(replica: &Replica) -> RelayRole {
     let config = RelayConfig {
-        budget: BudgetSettings {
+        retry_budget: BudgetSettings {
             extra: 10,
             ratio: 0.5,
             window_ms: 10_000,
--- a/crates/masticsill_upstream/src/call.rs
+++ b/crates/masticsill_upstream/src/call.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use crate::dial::dial;
-use crate::exchange::{Break, Expected, Upstream};
+use crate::exchange::{ExchangeError, ExpectedResponse, UpstreamConnection};
 
 /// Longest wait for a connection: a healthy endpoint accepts within a few milliseconds.
 const DIAL_TIMEOUT_MS: u64 = 120;
@@ -70,15 +70,15 @@
         timeout(Duration::from_millis(timeout_ms), exchange)
             .await
             .map_err(|_| format!("no answer within {timeout_ms} ms"))?
-            .map_err(|error: Break| error.to_string())
+            .map_err(|error: ExchangeError| error.to_string())
     }
 
     async fn exchange(
         &mut self,
         stream: TcpStream,
         call: &EndpointCall<'_>,
-    ) -> Result<(u16, BytesMut), Break> {
-        let mut upstream = Upstream::new(stream);
+    ) -> Result<(u16, BytesMut), ExchangeError> {
+        let mut upstream = UpstreamConnection::new(stream);
         let mut head = HeadWriter::request(call.method, call.target);
         head.field("Host", self.address);
         for (name, value) in call.fields {
@@ -90,13 +90,13 @@
         }
         let mut bytes = head.finish();
         bytes.extend_from_slice(call.body.as_bytes());
-        let expected = Expected {
+        let expected = ExpectedResponse {
             method: call.method,
             id_field: "",
             request_id: "",
         };
         let head = upstream.exchange(&bytes, expected).await?;
-        let body = upstream.read_whole(head.framing, MAX_ANSWER_BYTES).await?;
+        let body = upstream.read_body(head.framing, MAX_ANSWER_BYTES).await?;
         if head.is_keep_alive {
             self.kept = upstream.into_reusable();
         }
--- a/crates/masticsill_upstream/src/dial.rs
+++ b/crates/masticsill_upstream/src/dial.rs
@@ -30,7 +30,7 @@
     let stream = connecting
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch_peer(&stream)?;
+    configure_socket(&stream)?;
     Ok(stream)
 }
 
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// The operating system's error when an option can't be set.
-pub fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
--- a/crates/masticsill_upstream/src/exchange.rs
+++ b/crates/masticsill_upstream/src/exchange.rs
@@ -18,26 +18,26 @@
 
 /// Why an exchange ended without a whole answer.
 #[derive(Debug)]
-pub enum Break {
+pub enum ExchangeError {
     /// The connection ended or failed.
     Connection(io::Error),
     /// The bytes are no answer.
     Parse(ParseError),
 }
 
-impl From<io::Error> for Break {
+impl From<io::Error> for ExchangeError {
     fn from(error: io::Error) -> Self {
         Self::Connection(error)
     }
 }
 
-impl From<ParseError> for Break {
+impl From<ParseError> for ExchangeError {
     fn from(error: ParseError) -> Self {
         Self::Parse(error)
     }
 }
 
-impl std::fmt::Display for Break {
+impl std::fmt::Display for ExchangeError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Connection(error) => write!(formatter, "connection: {error}"),
@@ -48,7 +48,7 @@
 
 /// The connection of one exchange.
 #[derive(Debug)]
-pub struct Upstream {
+pub struct UpstreamConnection {
     buffer: BytesMut,
     /// Whether all of the request has left.
     is_sent: bool,
@@ -57,7 +57,7 @@
 
 /// How answers are told apart.
 #[derive(Clone, Copy, Debug)]
-pub struct Expected<'a> {
+pub struct ExpectedResponse<'a> {
     /// The request's method, on which the answer's framing depends.
     pub method: &'a str,
     /// The header field in which endpoints repeat the request's id.
@@ -66,7 +66,7 @@
     pub request_id: &'a str,
 }
 
-impl Upstream {
+impl UpstreamConnection {
     /// An exchange on a connection that no other one uses.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
@@ -86,8 +86,8 @@
     pub async fn exchange(
         &mut self,
         request: &[u8],
-        expected: Expected<'_>,
-    ) -> Result<ResponseHead, Break> {
+        expected: ExpectedResponse<'_>,
+    ) -> Result<ResponseHead, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let writing = writer.write_all(request);
         tokio::pin!(writing);
@@ -109,10 +109,10 @@
             }
             skipped += 1;
             if skipped > MAX_FOREIGN_ANSWERS {
-                return Err(Break::Parse(ParseError::Head));
+                return Err(ExchangeError::Parse(ParseError::Head));
             }
             let mut decoder = BodyDecoder::new(head.framing);
-            while next_piece(&mut reader, &mut self.buffer, &mut decoder)
+            while next_chunk(&mut reader, &mut self.buffer, &mut decoder)
                 .await?
                 .is_some()
             {}
@@ -124,8 +124,11 @@
     /// # Errors
     ///
     /// As [`Self::exchange`].
-    pub async fn next_piece(&mut self, decoder: &mut BodyDecoder) -> Result<Option<Bytes>, Break> {
-        next_piece(&mut self.stream, &mut self.buffer, decoder).await
+    pub async fn next_chunk(
+        &mut self,
+        decoder: &mut BodyDecoder,
+    ) -> Result<Option<Bytes>, ExchangeError> {
+        next_chunk(&mut self.stream, &mut self.buffer, decoder).await
     }
 
     /// Reads the whole body of an answer, of `max_bytes` at most.
@@ -133,14 +136,14 @@
     /// # Errors
     ///
     /// As [`Self::exchange`]; a longer body counts as no answer.
-    pub async fn read_whole(
+    pub async fn read_body(
         &mut self,
         framing: Framing,
         max_bytes: usize,
-    ) -> Result<BytesMut, Break> {
+    ) -> Result<BytesMut, ExchangeError> {
         let mut decoder = BodyDecoder::new(framing);
         let mut body = BytesMut::new();
-        while let Some(piece) = self.next_piece(&mut decoder).await? {
+        while let Some(piece) = self.next_chunk(&mut decoder).await? {
             body.extend_from_slice(&piece);
             if body.len() > max_bytes {
                 return Err(ParseError::Framing.into());
@@ -160,7 +163,7 @@
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
     method: &str,
-) -> Result<ResponseHead, Break> {
+) -> Result<ResponseHead, ExchangeError> {
     loop {
         if let Some(head) = parse_response(buffer, method, MAX_HEAD_BYTES)? {
             return Ok(head);
@@ -171,11 +174,11 @@
     }
 }
 
-async fn next_piece(
+async fn next_chunk(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
     decoder: &mut BodyDecoder,
-) -> Result<Option<Bytes>, Break> {
+) -> Result<Option<Bytes>, ExchangeError> {
     loop {
         match decoder.step(buffer)? {
             BodyStep::Data(data) => return Ok(Some(data)),
--- a/crates/masticsill_upstream/src/lib.rs
+++ b/crates/masticsill_upstream/src/lib.rs
@@ -9,6 +9,6 @@
 mod read;
 
 pub use call::{EndpointCall, EndpointClient};
-pub use dial::{dial, watch_peer};
-pub use exchange::{Break, Expected, Upstream};
+pub use dial::{configure_socket, dial};
+pub use exchange::{ExchangeError, ExpectedResponse, UpstreamConnection};
 pub use read::read_more;
