--- a/crates/masticsill_relay/tests/common/mod.rs
+++ b/crates/masticsill_relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A control replica that has documents and nothing else, behind a proxy.
+//! A control replica that serves documents and nothing else, behind a fault proxy.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -44,7 +44,7 @@
     shared: Arc<Shared>,
 }
 
-/// A replica that answers what a relay asks about documents.
+/// A replica that answers a relay's calls about documents.
 pub(crate) struct Replica {
     duty: Option<DutyHandle>,
     ended: ShutdownSignal,
@@ -92,17 +92,17 @@
         self.shared.versions.send_replace(Some(version));
     }
 
-    /// Tells of a version whose pieces can't be had yet.
+    /// Reports a version whose pieces are not available yet.
     pub(crate) fn announce(&self, version: u64) {
         self.shared.versions.send_replace(Some(version));
     }
 
-    /// Calls for pieces so far.
+    /// Number of calls for pieces so far.
     pub(crate) fn calls(&self) -> u64 {
         self.shared.calls.load(Ordering::Relaxed)
     }
 
-    /// Packed bytes of the pieces that were given.
+    /// Packed bytes of the pieces sent so far.
     pub(crate) fn sent_bytes(&self) -> u64 {
         self.shared.sent_bytes.load(Ordering::Relaxed)
     }
@@ -229,7 +229,7 @@
     }
 
     async fn renew(self, _: Context, _: RenewRequest) -> RenewReply {
-        unreachable!("a relay has no catalogue to renew")
+        unreachable!("a relay does not renew a catalogue")
     }
 
     async fn put_document(self, _: Context, _: DocumentChange) -> ControlReply<DocumentAnswer> {
@@ -237,7 +237,7 @@
     }
 }
 
-/// This node's name.
+/// Node id of the relay under test.
 pub(crate) fn node() -> NodeId {
     "relay".parse().unwrap()
 }
--- a/crates/masticsill_relay/tests/document_fetch.rs
+++ b/crates/masticsill_relay/tests/document_fetch.rs
@@ -1,4 +1,4 @@
-//! A relay fetches documents over slow and failing links: what changed, one version at a time.
+//! A relay fetches documents over slow and failing links: only what changed, one version at a time.
 
 mod common;
 
@@ -15,13 +15,13 @@
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// From a change until it is in force at the relay.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// What a slow link holds 64 KB for, each way: 10 Mbit/s.
-const HELD_MS: u64 = 50;
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum time from a change until it is active at the relay.
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay of 64 KB in each direction of a slow link, which corresponds to 10 Mbit/s.
+const LINK_DELAY_MS: u64 = 50;
 
-/// A relay, and what it shows of itself.
+/// A relay and its metrics registry.
 struct Relay {
     registry: Registry,
     role: Option<RelayRole>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The version in force.
+    /// Version of the active document.
     fn version(&self) -> u64 {
         let mut text = String::new();
         encode(&mut text, &self.registry).unwrap();
@@ -62,10 +62,13 @@
         shown.unwrap().parse().unwrap()
     }
 
-    fn await_version(&self, version: u64) {
-        let bound = Instant::now() + PATIENCE;
+    fn wait_for_version(&self, version: u64) {
+        let bound = Instant::now() + TEST_TIMEOUT;
         while self.version() < version {
-            assert!(Instant::now() < bound, "version {version} did not come");
+            assert!(
+                Instant::now() < bound,
+                "version {version} did not become active within {TEST_TIMEOUT:?}"
+            );
             sleep(Duration::from_millis(5));
         }
     }
@@ -79,7 +82,7 @@
     }
 }
 
-/// The version stands at the beginning of a text.
+/// Parses a document whose version is the first word of its text.
 fn read_document(bytes: &[u8]) -> Result<RouteDocument, String> {
     let version = bytes.split(|byte| *byte == b' ').next().unwrap_or_default();
     let version = str::from_utf8(version).map_err(|error| error.to_string())?;
@@ -97,7 +100,7 @@
     })
 }
 
-/// Thousands of entries that pack badly, of which one changes with each version.
+/// A document of 8,000 entries that compress poorly, of which one changes with each version.
 fn text(version: u64) -> String {
     let entry = |number: u64| {
         let salt = if number == 2_000 { version } else { 0 };
@@ -110,15 +113,15 @@
 }
 
 #[test]
-fn changes_come_in_time_over_slow_links() {
+fn document_changes_become_active_in_time_over_slow_links() {
     let (near, far) = (Replica::start("near"), Replica::start("far"));
     let replicas = [&near, &far];
     for replica in replicas {
-        replica.proxy.set_mode(ProxyMode::Delay(HELD_MS));
+        replica.proxy.set_mode(ProxyMode::Delay(LINK_DELAY_MS));
         replica.apply(1, &text(1));
     }
     let relay = Relay::start(&replicas);
-    relay.await_version(1);
+    relay.wait_for_version(1);
     let whole_bytes = near.sent_bytes() + far.sent_bytes();
     let mut times = Vec::new();
     for version in 2..10 {
@@ -127,26 +130,32 @@
             replica.apply(version, &changed);
         }
         let began = Instant::now();
-        relay.await_version(version);
+        relay.wait_for_version(version);
         times.push(began.elapsed());
     }
-    assert!(times.iter().all(|it| *it < IN_FORCE), "{times:?}");
+    assert!(times.iter().all(|it| *it < ACTIVATION_TIMEOUT), "{times:?}");
     let bytes = near.sent_bytes() + far.sent_bytes() - whole_bytes;
-    assert!(bytes < whole_bytes, "{bytes} for 8 changes, {whole_bytes}");
+    assert!(
+        bytes < whole_bytes,
+        "{bytes} bytes for 8 changes, {whole_bytes} for a whole document"
+    );
 }
 
 #[test]
-fn a_fetch_goes_on_where_a_silent_replica_left_it() {
+fn fetch_resumes_at_another_replica_when_one_falls_silent() {
     let (near, far) = (Replica::start("near"), Replica::start("far"));
     let replicas = [&near, &far];
-    near.proxy.set_mode(ProxyMode::Delay(HELD_MS));
+    near.proxy.set_mode(ProxyMode::Delay(LINK_DELAY_MS));
     for replica in replicas {
         replica.apply(1, &text(1));
     }
     let relay = Relay::start(&[&near]);
-    let bound = Instant::now() + PATIENCE;
+    let bound = Instant::now() + TEST_TIMEOUT;
     while near.calls() < 4 {
-        assert!(Instant::now() < bound, "the fetch did not begin");
+        assert!(
+            Instant::now() < bound,
+            "fetch did not begin within {TEST_TIMEOUT:?}"
+        );
         sleep(Duration::from_millis(1));
     }
     relay
@@ -156,50 +165,58 @@
         .add_control_addresses([far.proxy.address()]);
     near.proxy
         .set_mode(ProxyMode::BlackHole(Some(Direction::ToClient)));
-    relay.await_version(1);
-    assert!(far.calls() > 0, "the other one has not been asked");
+    relay.wait_for_version(1);
+    assert!(far.calls() > 0, "the far replica got no call for pieces");
     let whole: usize = {
         let alone = Replica::start("near");
         alone.apply(1, &text(1));
         let other = Relay::start(&[&alone]);
-        other.await_version(1);
+        other.wait_for_version(1);
         usize::try_from(alone.sent_bytes()).unwrap()
     };
     let far_bytes = usize::try_from(far.sent_bytes()).unwrap();
-    assert!(far_bytes < whole, "{far_bytes} of {whole} bytes again");
+    assert!(
+        far_bytes < whole,
+        "the far replica sent {far_bytes} of {whole} bytes"
+    );
 }
 
 #[test]
-fn a_silent_replica_holds_no_version_up() {
+fn silent_replica_does_not_delay_a_version() {
     let (near, far) = (Replica::start("near"), Replica::start("far"));
     for replica in [&near, &far] {
         replica.apply(1, &text(1));
     }
     let relay = Relay::start(&[&near, &far]);
-    relay.await_version(1);
+    relay.wait_for_version(1);
     for replica in [&near, &far] {
         replica.apply(2, &text(2));
     }
-    // Whether or not the near one has told of the version, nothing more is heard from it.
+    // Nothing more is received from the near replica, whether or not it has already reported the
+    // version.
     near.proxy
         .set_mode(ProxyMode::BlackHole(Some(Direction::ToClient)));
     let began = Instant::now();
-    relay.await_version(2);
-    assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+    relay.wait_for_version(2);
+    assert!(
+        began.elapsed() < ACTIVATION_TIMEOUT,
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
-fn versions_that_were_not_begun_are_skipped() {
+fn superseded_versions_are_skipped_before_their_fetch() {
     let near = Replica::start("near");
-    near.proxy.set_mode(ProxyMode::Delay(HELD_MS));
+    near.proxy.set_mode(ProxyMode::Delay(LINK_DELAY_MS));
     near.apply(1, &text(1));
     let relay = Relay::start(&[&near]);
-    relay.await_version(1);
+    relay.wait_for_version(1);
     let (before, calls) = (near.sent_bytes(), near.calls());
     for version in 2..=40 {
         near.apply(version, &text(version));
     }
-    relay.await_version(40);
+    relay.wait_for_version(40);
     assert!(near.calls() - calls < 20);
     assert!(near.sent_bytes() < before * 2);
 }
--- a/crates/masticsill_relay/tests/event_order.rs
+++ b/crates/masticsill_relay/tests/event_order.rs
@@ -1,4 +1,4 @@
-//! The order of events: each once and in sequence.
+//! Events are delivered once each and in sequence.
 
 use masticsill_relay::{EventOrder, EventPosition};
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_endpoint_chooses_the_first_number_and_no_other() {
+fn only_the_first_event_may_have_any_number() {
     let mut order = EventOrder::default();
     assert_eq!(
         place_all(&mut order, &[7, 8, 10]),
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_the_caller_has_is_not_sent_again() {
+fn delivered_events_are_duplicates() {
     let mut order = EventOrder::after(Some(4));
     assert_eq!(
         place_all(&mut order, &[3, 4, 5, 5]),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_resumed_run_may_not_leave_events_out() {
+fn resumed_run_may_not_skip_events() {
     let order = EventOrder::after(Some(4));
     assert_eq!(order.classify(Some(6)), EventPosition::Gap);
     assert_eq!(order.classify(None), EventPosition::Next);
--- a/crates/masticsill_relay/tests/known_behind.rs
+++ b/crates/masticsill_relay/tests/known_behind.rs
@@ -1,8 +1,9 @@
-//! A relay that knows of a newer document than it holds refuses nothing for good.
+//! A relay that knows of a newer document than its active one refuses no request for good.
 //!
-//! Users saw proper requests answered 404 while documents were large: the route stood in a version that
-//! had been acknowledged, and that the relay had heard of but not fetched. Callers don't ask again
-//! after a 404 or 401.
+//!
+//! Guards against valid requests being answered 404 while a large document is being fetched: their
+//! route was part of a version that had been acknowledged, and that the relay had heard of but not
+//! fetched yet. Callers do not retry after a 404 or 401.
 
 mod common;
 
@@ -18,7 +19,7 @@
 use masticsill_types::MonotonicClock;
 use prometheus_client::registry::Registry;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(replica: &Replica) -> RelayRole {
     let config = RelayConfig {
@@ -56,7 +57,7 @@
     })
 }
 
-/// The head of the answer to a request for a route that no document has.
+/// Requests a route that no document has, and returns the response.
 fn ask(relay: &RelayRole, time_ms: u64) -> String {
     let mut stream = TcpStream::connect(relay.address()).unwrap();
     let request = format!(
@@ -69,40 +70,43 @@
     answer
 }
 
-fn await_status(relay: &RelayRole, status: &str) -> String {
-    let bound = Instant::now() + PATIENCE;
+fn wait_for_status(relay: &RelayRole, status: &str) -> String {
+    let bound = Instant::now() + TEST_TIMEOUT;
     loop {
         let answer = ask(relay, 200);
         if answer.starts_with(status) {
             return answer;
         }
-        assert!(Instant::now() < bound, "waited in vain for {status}");
+        assert!(
+            Instant::now() < bound,
+            "no answer {status} within {TEST_TIMEOUT:?}: {answer}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn an_unknown_route_is_refused_as_not_run_while_a_newer_document_is_known() {
+fn unknown_route_is_answered_503_while_a_newer_document_is_known() {
     let replica = Replica::start("near");
     replica.apply(1, "1");
     let relay = start(&replica);
-    await_status(&relay, "HTTP/1.1 404");
+    wait_for_status(&relay, "HTTP/1.1 404");
     replica.announce(2);
-    let answer = await_status(&relay, "HTTP/1.1 503");
+    let answer = wait_for_status(&relay, "HTTP/1.1 503");
     assert!(answer.to_lowercase().contains("retry-after"), "{answer}");
     replica.apply(2, "2");
-    await_status(&relay, "HTTP/1.1 404");
+    wait_for_status(&relay, "HTTP/1.1 404");
     let _ = relay.stop();
 }
 
 #[test]
-fn an_unknown_route_waits_for_the_newer_document() {
+fn unknown_route_waits_for_the_newer_document() {
     let replica = Replica::start("near");
     replica.apply(1, "1");
     let relay = start(&replica);
-    await_status(&relay, "HTTP/1.1 404");
+    wait_for_status(&relay, "HTTP/1.1 404");
     replica.announce(2);
-    await_status(&relay, "HTTP/1.1 503");
+    wait_for_status(&relay, "HTTP/1.1 503");
     thread::scope(|scope| {
         let asked = scope.spawn(|| ask(&relay, 20_000));
         thread::sleep(Duration::from_millis(300));
--- a/crates/masticsill_upstream/src/call.rs
+++ b/crates/masticsill_upstream/src/call.rs
@@ -1,4 +1,4 @@
-//! Short calls to an endpoint's own interface, outside any caller's request.
+//! Short calls to an endpoint's own HTTP interface, outside any caller's request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,58 +11,65 @@
 use crate::dial::dial;
 use crate::exchange::{ExchangeError, ExpectedResponse, UpstreamConnection};
 
-/// Longest wait for a connection: a healthy endpoint accepts within a few milliseconds.
+/// Timeout of a connection: a healthy endpoint accepts within a few milliseconds.
 const DIAL_TIMEOUT_MS: u64 = 120;
-/// Bytes of an answer at most.
-const MAX_ANSWER_BYTES: usize = 256 * 1024;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// One call.
+/// One call to an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointCall<'a> {
-    /// The JSON of its body; empty for none.
+    /// JSON body; empty for none.
     pub body: &'a str,
-    /// Header fields beside those of HTTP itself.
+    /// Header fields in addition to those of HTTP itself.
     pub fields: &'a [(&'a str, u64)],
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
 }
 
-/// Calls one endpoint and keeps the connection from one call to the next.
+/// Client of one endpoint that keeps its connection open between calls.
 #[derive(Debug)]
 pub struct EndpointClient {
     address: SocketAddr,
-    kept: Option<TcpStream>,
+    idle_connection: Option<TcpStream>,
 }
 
 impl EndpointClient {
-    /// A client without a connection yet.
+    /// A client that has no connection yet.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            kept: None,
+            idle_connection: None,
         }
     }
 
-    /// Sends a call and reads its answer's status and body.
+    /// Sends a call and reads the status and body of the response, within `timeout_ms` milliseconds
+    /// in all.
+    ///
+    ///
+    /// The call may have been carried out even if it fails; only calls that may be repeated are
+    /// made in this way.
+    ///
     ///
     /// # Errors
     ///
-    /// A text that says what went wrong: no connection, a break, or no answer in time. The
-    /// call may have been carried out; these calls may be repeated.
+    ///
+    /// A text that says what went wrong: no connection, a broken connection, an invalid response,
+    /// or no response in time.
     pub async fn call(
         &mut self,
         call: &EndpointCall<'_>,
         timeout_ms: u64,
     ) -> Result<(u16, BytesMut), String> {
         let exchange = async {
-            // A connection that was kept may have been closed meanwhile.
-            if let Some(stream) = self.kept.take()
-                && let Ok(answer) = self.exchange(stream, call).await
+            // The endpoint may have closed the idle connection meanwhile.
+            if let Some(stream) = self.idle_connection.take()
+                && let Ok(response) = self.exchange(stream, call).await
             {
-                return Ok(answer);
+                return Ok(response);
             }
             let stream = dial(self.address, DIAL_TIMEOUT_MS).await?;
             self.exchange(stream, call).await
@@ -96,9 +103,9 @@
             request_id: "",
         };
         let head = upstream.exchange(&bytes, expected).await?;
-        let body = upstream.read_body(head.framing, MAX_ANSWER_BYTES).await?;
+        let body = upstream.read_body(head.framing, MAX_RESPONSE_BYTES).await?;
         if head.is_keep_alive {
-            self.kept = upstream.into_reusable();
+            self.idle_connection = upstream.into_reusable();
         }
         Ok((head.status, body))
     }
--- a/crates/masticsill_upstream/src/dial.rs
+++ b/crates/masticsill_upstream/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, set up so that a dead peer shows.
+//! Connections to endpoints, with socket options that detect a dead peer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,19 +9,21 @@
 use tokio::time::timeout;
 
 /// Idle time before the first keep-alive probe.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
-/// Pause between probes.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is dead.
-const PROBES: u32 = 3;
-/// Longest that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(4);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// Interval between keep-alive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keep-alive probes after which a connection is dead.
+const KEEPALIVE_PROBES: u32 = 3;
+/// Maximum time for which sent data may stay unacknowledged.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Connects within a time.
+/// Connects to an address within `timeout_ms` milliseconds, and configures the socket.
+///
 ///
 /// # Errors
 ///
-/// The connection's error, or `TimedOut`.
+///
+/// The operating system's error, or `TimedOut`.
 pub async fn dial(address: SocketAddr, timeout_ms: u64) -> io::Result<TcpStream> {
     let connecting = timeout(
         Duration::from_millis(timeout_ms),
@@ -34,18 +36,21 @@
     Ok(stream)
 }
 
-/// Sends at once, and lets the system notice a peer that has gone without a word.
+/// Disables Nagle's algorithm, and enables keep-alive probes and a timeout for unacknowledged data,
+/// which detect a peer that is gone without closing the connection.
+///
 ///
 /// # Errors
 ///
-/// The operating system's error when an option can't be set.
+///
+/// The operating system's error if an option cannot be set.
 pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT))
 }
--- a/crates/masticsill_upstream/src/exchange.rs
+++ b/crates/masticsill_upstream/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on a connection to an endpoint.
+//! One HTTP exchange on a connection to an endpoint.
 
 use std::io;
 
@@ -9,19 +9,19 @@
 
 use crate::read::read_more;
 
-/// Bytes of an answer's head at most.
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Room made for each read.
-const READ_BYTES: usize = 16 * 1024;
-/// Answers of earlier requests that are skipped before a connection is given up.
-const MAX_FOREIGN_ANSWERS: u32 = 4;
+/// Buffer space reserved for each read.
+const READ_RESERVE_BYTES: usize = 16 * 1024;
+/// Maximum number of responses to earlier requests that are skipped before the exchange fails.
+const MAX_SKIPPED_RESPONSES: u32 = 4;
 
-/// Why an exchange ended without a whole answer.
+/// Why an exchange ended without a complete response.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The connection ended or failed.
+    /// The connection was closed or failed.
     Connection(io::Error),
-    /// The bytes are no answer.
+    /// The bytes received are not a valid response.
     Parse(ParseError),
 }
 
@@ -50,15 +50,15 @@
 #[derive(Debug)]
 pub struct UpstreamConnection {
     buffer: BytesMut,
-    /// Whether all of the request has left.
+    /// Whether the request has been sent completely.
     is_sent: bool,
     stream: TcpStream,
 }
 
-/// How answers are told apart.
+/// How the response to a request is recognised.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedResponse<'a> {
-    /// The request's method, on which the answer's framing depends.
+    /// The request's method, on which the framing of the response depends.
     pub method: &'a str,
     /// The header field in which endpoints repeat the request's id.
     pub id_field: &'a str,
@@ -67,22 +67,25 @@
 }
 
 impl UpstreamConnection {
-    /// An exchange on a connection that no other one uses.
+    /// Starts an exchange on a connection that is not used by any other.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self {
-            buffer: BytesMut::with_capacity(READ_BYTES),
+            buffer: BytesMut::with_capacity(READ_RESERVE_BYTES),
             is_sent: false,
             stream,
         }
     }
 
-    /// Sends a request and reads the head of its answer, both at once: an endpoint may answer
-    /// before it has read a long body. Answers to other requests are skipped.
+    /// Sends a request and reads the head of its response, both at once: an endpoint may respond
+    /// before it has read a long body. Responses to other requests are skipped.
+    ///
     ///
     /// # Errors
     ///
-    /// The connection's break, or that its bytes are no answer.
+    ///
+    /// The connection failed, the bytes received are not a valid response, or too many responses
+    /// belong to other requests.
     pub async fn exchange(
         &mut self,
         request: &[u8],
@@ -108,7 +111,7 @@
                 return Ok(head);
             }
             skipped += 1;
-            if skipped > MAX_FOREIGN_ANSWERS {
+            if skipped > MAX_SKIPPED_RESPONSES {
                 return Err(ExchangeError::Parse(ParseError::Head));
             }
             let mut decoder = BodyDecoder::new(head.framing);
@@ -119,11 +122,13 @@
         }
     }
 
-    /// Reads the next piece of the answer's body; `None` at its proper end.
+    /// Reads the next chunk of the response body; `None` at its regular end.
+    ///
     ///
     /// # Errors
     ///
-    /// As [`Self::exchange`].
+    ///
+    /// The connection failed or ended early, or the bytes received are not a valid body.
     pub async fn next_chunk(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -131,11 +136,13 @@
         next_chunk(&mut self.stream, &mut self.buffer, decoder).await
     }
 
-    /// Reads the whole body of an answer, of `max_bytes` at most.
+    /// Reads the whole response body, of at most `max_bytes` bytes.
+    ///
     ///
     /// # Errors
     ///
-    /// As [`Self::exchange`]; a longer body counts as no answer.
+    ///
+    /// As [`Self::next_chunk`]; a longer body counts as invalid.
     pub async fn read_body(
         &mut self,
         framing: Framing,
@@ -152,8 +159,8 @@
         Ok(body)
     }
 
-    /// The connection, if the next request may use it: the request has left whole and nothing
-    /// follows the answer.
+    /// The connection, if the next request may use it: the request has been sent completely and
+    /// nothing follows the response.
     pub fn into_reusable(self) -> Option<TcpStream> {
         (self.is_sent && self.buffer.is_empty()).then_some(self.stream)
     }
@@ -168,7 +175,7 @@
         if let Some(head) = parse_response(buffer, method, MAX_HEAD_BYTES)? {
             return Ok(head);
         }
-        if !read_more(reader, buffer, READ_BYTES).await? {
+        if !read_more(reader, buffer, READ_RESERVE_BYTES).await? {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
     }
@@ -185,7 +192,7 @@
             BodyStep::End => return Ok(None),
             BodyStep::NeedMore => {}
         }
-        if read_more(reader, buffer, READ_BYTES).await? {
+        if read_more(reader, buffer, READ_RESERVE_BYTES).await? {
             continue;
         }
         if decoder.ends_with_connection() {
--- a/crates/masticsill_upstream/src/lib.rs
+++ b/crates/masticsill_upstream/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 exchanges with endpoints: connections on which a dead peer shows, and answers that are
-//! told apart by the id of their request.
+//! HTTP/1.1 exchanges with endpoints: connections that detect a dead peer, and responses that are
+//! matched to requests by id.
 //!
-//! Relays pass requests on through it, and control replicas ask engines what they keep.
+//!
+//! Relays forward requests with this crate, and control replicas ask engines what they have cached.
 
 mod call;
 mod dial;
