--- a/crates/masticsill_relay/src/admission.rs
+++ b/crates/masticsill_relay/src/admission.rs
@@ -23,10 +23,8 @@
 
 /// Looks up the route and the workspace of a request in one document.
 ///
-///
 /// # Errors
 ///
-///
 /// The refusal to answer with: malformed request, unknown route or unknown API key.
 pub(crate) fn authorize(
     index: &RouteIndex,
--- a/crates/masticsill_relay/src/attempt.rs
+++ b/crates/masticsill_relay/src/attempt.rs
@@ -147,14 +147,11 @@
 
 /// Connects to an endpoint, and spends retry budget if the request has reached an endpoint before.
 ///
-///
 /// The budget is spent only after the connection succeeds, because a failed connection puts no load
 /// on any endpoint.
 ///
-///
 /// # Errors
 ///
-///
 /// Why there is no attempt: the connection failed, which excludes the endpoint in `retry_state`; a
 /// crash check holds or quarantines the request; or the retry budget is exhausted.
 pub(crate) async fn open(
@@ -198,10 +195,8 @@
 
 /// Sends a request on the attempt's connection and waits for the head of the response.
 ///
-///
 /// # Errors
 ///
-///
 /// The connection failed, or the endpoint's bytes are not a valid response.
 pub(crate) async fn exchange(
     relay: &Relay,
@@ -222,7 +217,7 @@
         request_id: &request.id,
     };
     let head = attempt.upstream().exchange(&bytes, expected).await?;
-    relay.note_heard(&attempt.endpoint().id);
+    relay.record_received(&attempt.endpoint().id);
     relay.note_answer(&attempt.endpoint().id, head.status);
     Ok(head)
 }
@@ -292,11 +287,11 @@
     } else {
         MAX_IDLE_NON_REPEATABLE_MS
     };
-    let kept = relay
+    let pooled = relay
         .pool
         .borrow_mut()
         .take(relay.now(), &endpoint.id, idle_ms);
-    if let Some(stream) = kept {
+    if let Some(stream) = pooled {
         return Ok(stream);
     }
     let timeout_ms = dial_timeout_ms.min(request.left_ms(relay.now()));
@@ -309,7 +304,6 @@
 /// `None` once the endpoint has been silent for `silence_timeout_ms`, or for a shorter time while
 /// the endpoint or its zone is reported as stalled.
 ///
-///
 /// Time in which the relay itself was stalled says nothing about the endpoint, whose bytes may
 /// still be in the relay's socket buffer. The timeout is therefore extended, by no more than its
 /// own length in total.
--- a/crates/masticsill_relay/src/caller.rs
+++ b/crates/masticsill_relay/src/caller.rs
@@ -87,7 +87,6 @@
 
     /// Waits while the connection is idle; false when the connection should be closed.
     ///
-    ///
     /// The limit is read again when it seems to have expired: a caller goes by the newest document,
     /// and may send its next request later than allowed by the document that was active when the
     /// connection became idle.
--- a/crates/masticsill_relay/src/connection.rs
+++ b/crates/masticsill_relay/src/connection.rs
@@ -32,7 +32,7 @@
     let (reader, mut writer) = stream.into_split();
     let mut caller = Caller::new(reader);
     loop {
-        let after = match caller.next_request(&relay).await {
+        let action = match caller.next_request(&relay).await {
             NextRequest::Ended => break,
             NextRequest::Refused(refusal) => {
                 log_event!(info, events::REQUEST_MALFORMED, reason = refusal.name());
@@ -42,7 +42,7 @@
                 answer_request(&relay, &mut caller, &mut writer, head, received_at).await
             }
         };
-        match after {
+        match action {
             ConnectionAction::Keep => {}
             ConnectionAction::Close => {
                 caller.linger(&mut writer).await;
@@ -68,7 +68,7 @@
 ) -> ConnectionAction {
     let _active = ActiveRequest::begin(relay);
     let id = relay.config.headers.request_id_of(&head).to_owned();
-    let is_kept = head.is_keep_alive;
+    let is_keep_alive = head.is_keep_alive;
     let body = match caller.read_body(relay, writer, &head).await {
         Ok(body) => body,
         Err(BodyError::Refused(refusal)) => return write_final_refusal(writer, refusal).await,
@@ -77,7 +77,7 @@
     let answering = answer_complete_request(relay, writer, &id, head, body, received_at);
     tokio::select! {
         biased;
-        after = answering => if is_kept { after } else { after.at_least_close() },
+        action = answering => if is_keep_alive { action } else { action.at_least_close() },
         () = caller.wait_for_close() => {
             log_caller_left(relay, &id, received_at, "closed its connection");
             ConnectionAction::Abort
@@ -95,16 +95,18 @@
     received_at: ClockMs,
 ) -> ConnectionAction {
     let names = &relay.config.headers;
-    let is_kept = head.is_keep_alive;
+    let is_keep_alive = head.is_keep_alive;
     let asked_ms = head.headers.number(&names.deadline_ms).unwrap_or_default();
     let bound_ms = (asked_ms / DISCOVERY_WAIT_DIVISOR).min(MAX_DISCOVERY_WAIT_MS);
     let authorized = relay.wait_for_discovery(bound_ms, || authorize_now(relay, &head));
     let authorized = match authorized.await {
         Some(Ok(authorized)) => authorized,
         Some(Err(refusal)) => {
-            return refuse_unadmitted(relay, writer, id, refusal, is_kept).await;
+            return refuse_unadmitted(relay, writer, id, refusal, is_keep_alive).await;
+        }
+        None => {
+            return refuse_unadmitted(relay, writer, id, Refusal::NoDocument, is_keep_alive).await;
         }
-        None => return refuse_unadmitted(relay, writer, id, Refusal::NoDocument, is_kept).await,
     };
     let request = {
         let mut prior_wait_estimator = relay.prior_wait_estimator.borrow_mut();
@@ -130,7 +132,6 @@
 /// The authorization of a request by the active document; `None` while the answer is not known for
 /// certain.
 ///
-///
 /// Callers do not retry after an unknown route or API key. A document known to be outdated
 /// therefore refuses neither, because the newer document may contain the route or key.
 fn authorize_now(relay: &Relay, head: &RequestHead) -> Option<Result<Authorized, Refusal>> {
--- a/crates/masticsill_relay/src/copies.rs
+++ b/crates/masticsill_relay/src/copies.rs
@@ -1,6 +1,5 @@
 //! Copies of a run's KV cache, from which another engine resumes when the run breaks.
 //!
-//!
 //! If the request asks for it, an engine streams its KV cache to a second engine as the cache
 //! grows. That copy is lost with the engine that holds it, while the run may have seconds to go. In
 //! that case a new copy is requested from the running engine, and renewed before it expires.
@@ -236,10 +235,8 @@
 
 /// Calls an engine and returns the body of a response with status 200.
 ///
-///
 /// # Errors
 ///
-///
 /// A text that says what went wrong: another status, a failed connection, or no response in time.
 async fn call(
     relay: &Rc<Relay>,
--- a/crates/masticsill_relay/src/crash_check.rs
+++ b/crates/masticsill_relay/src/crash_check.rs
@@ -1,6 +1,5 @@
 //! Determines whether a run ended because its endpoint's process ended.
 //!
-//!
 //! A connection breaks for many reasons: a reset, a truncated response, or the end of the
 //! endpoint's process. Only the last one may have been caused by the request.
 
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -1,6 +1,5 @@
 //! Watches the control replicas for the active document and the registered endpoints.
 //!
-//!
 //! All replicas are watched at once, so that an entry learns of a change directly from the replica
 //! that acknowledged it. The document versions that the replicas report go to the duty that fetches
 //! documents; the documents it has read become active here.
@@ -20,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::documents::ReadDocument;
+use crate::documents::ParsedDocument;
 use crate::events;
 use crate::relay::Relay;
 use crate::suspects::{ReportedRevision, report_crashes};
@@ -52,14 +51,14 @@
     relay: &Rc<Relay>,
     new_seeds: Ring<SocketAddr>,
     sources: watch::Sender<DocumentSources>,
-    read: Ring<ReadDocument>,
+    parsed: Ring<ParsedDocument>,
 ) {
     let discovery = Rc::new(Discovery {
         watched_addresses: RefCell::default(),
         relay: Rc::clone(relay),
         sources,
     });
-    spawn_local(install_documents(Rc::clone(relay), read));
+    spawn_local(install_documents(Rc::clone(relay), parsed));
     for seed in &relay.config.control_seeds {
         discovery.start_watching(*seed);
     }
@@ -133,8 +132,8 @@
 }
 
 /// Activates the documents that were read, one after the other.
-async fn install_documents(relay: Rc<Relay>, read: Ring<ReadDocument>) {
-    while let Some(document) = read.pop().await {
+async fn install_documents(relay: Rc<Relay>, parsed: Ring<ParsedDocument>) {
+    while let Some(document) = parsed.pop().await {
         let version = document.index.document().version;
         relay.install_index(document.index);
         log_event!(
@@ -216,13 +215,13 @@
             .borrow_mut()
             .take_loads(relay.now(), &reply.zone, &reply.loads);
         if zone.is_none() {
-            let telling = report_loads(
+            let reporting = report_loads(
                 Rc::clone(&discovery),
                 address,
                 reply.zone.clone(),
                 watcher.clone(),
             );
-            spawn_local(telling);
+            spawn_local(reporting);
         }
         zone = Some(reply.zone.clone());
         is_own_zone = reply.zone == relay.config.zone;
@@ -244,7 +243,7 @@
         if !reply.endpoints.is_empty() {
             relay.notify_discovery();
         }
-        relay.room_changed.notify_one();
+        relay.capacity_changed.notify_one();
         for (_, member) in &reply.members {
             discovery.start_watching(*member);
         }
@@ -254,7 +253,6 @@
 /// Reports this entry's streams in a replica's zone to that replica whenever they change, until the
 /// relay ends.
 ///
-///
 /// Watch requests carry the loads as well, but the next one may be a second away, and entries that
 /// select endpoints by outdated loads send their prompts to the same engine.
 async fn report_loads(
--- a/crates/masticsill_relay/src/dispatch_queue.rs
+++ b/crates/masticsill_relay/src/dispatch_queue.rs
@@ -123,7 +123,7 @@
 pub(crate) async fn run_dispatch(relay: Rc<Relay>) {
     loop {
         // After the timeout the queue is checked without a change.
-        let _ = timeout(QUEUE_CHECK_INTERVAL, relay.room_changed.notified()).await;
+        let _ = timeout(QUEUE_CHECK_INTERVAL, relay.capacity_changed.notified()).await;
         while let Some(ended) = next_end(&relay) {
             end_wait(&relay, ended);
         }
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -1,6 +1,5 @@
 //! Fetches and parses documents on a separate thread, so that neither delays streams.
 //!
-//!
 //! One version at a time is fetched piece by piece and parsed. Versions superseded before their
 //! fetch begins are skipped. Parsed documents go to the relay's thread through a ring.
 
@@ -27,7 +26,7 @@
 
 /// Maximum number of parsed documents that wait for the relay's thread; a new one displaces the
 /// oldest.
-pub(crate) const READ_RING_ITEMS: usize = 2;
+pub(crate) const PARSED_RING_ITEMS: usize = 2;
 /// Timeout of a call, in milliseconds: a reply of 32 KB arrives within it over a link of 0.3
 /// Mbit/s. After a timeout less is requested.
 const CALL_TIMEOUT_MS: u64 = 1_000;
@@ -36,7 +35,7 @@
 
 /// A parsed document that is ready to become active.
 #[derive(Debug)]
-pub(crate) struct ReadDocument {
+pub(crate) struct ParsedDocument {
     pub(crate) fetch_ms: u64,
     pub(crate) fetched_bytes: u64,
     pub(crate) fetched_pieces: usize,
@@ -55,7 +54,7 @@
     pub(crate) ended: ShutdownSignal,
     /// Whether requests are being answered, for which part of the link's bandwidth is left free.
     pub(crate) is_relaying: Arc<AtomicBool>,
-    pub(crate) read: Ring<ReadDocument>,
+    pub(crate) parsed: Ring<ParsedDocument>,
     pub(crate) reader: DocumentReader,
     pub(crate) sources: watch::Receiver<DocumentSources>,
 }
@@ -68,7 +67,7 @@
         fetch: PieceFetch::default(),
         pace: FetchPace::default(),
         parts,
-        read: None,
+        parsed_version: None,
         slow_replicas: IndexSet::new(),
         rotation: rand::random::<u16>().into(),
     };
@@ -102,7 +101,7 @@
     pace: FetchPace,
     parts: DocumentParts,
     /// The last version that was parsed.
-    read: Option<u64>,
+    parsed_version: Option<u64>,
     /// Replicas that were late with pieces of the version being fetched.
     slow_replicas: IndexSet<SocketAddr>,
     /// Random offset that spreads the load of equally suitable replicas among relays.
@@ -112,13 +111,13 @@
 impl DocumentDuty {
     async fn run(&mut self) {
         loop {
-            let read = self.read;
-            let is_newer = |sources: &DocumentSources| sources.newest() > read;
+            let parsed_version = self.parsed_version;
+            let is_newer = |sources: &DocumentSources| sources.newest() > parsed_version;
             if self.parts.sources.wait_for(is_newer).await.is_err() {
                 return;
             }
             match self.fetch().await {
-                Some(fetched) => self.read(fetched),
+                Some(fetched) => self.parse(fetched),
                 None => sleep(RETRY_PAUSE).await,
             }
         }
@@ -128,7 +127,7 @@
     async fn fetch(&mut self) -> Option<Fetched> {
         let began = self.parts.clock.now();
         let (list, from) = self.list().await?;
-        if Some(list.version) <= self.read {
+        if Some(list.version) <= self.parsed_version {
             return None;
         }
         self.fetch.begin(list);
@@ -283,16 +282,16 @@
     }
 
     /// Parses a document and hands it to the relay's thread.
-    fn read(&mut self, fetched: Fetched) {
+    fn parse(&mut self, fetched: Fetched) {
         let Fetched {
             began,
             document,
             from,
         } = fetched;
-        self.read = Some(document.version);
+        self.parsed_version = Some(document.version);
         let fetched_at = self.parts.clock.now();
         let index = match (self.parts.reader)(&document.bytes) {
-            Ok(read) => RouteIndex::new(read),
+            Ok(document) => RouteIndex::new(document),
             Err(cause) => {
                 log_event!(
                     error,
@@ -304,7 +303,7 @@
                 return;
             }
         };
-        self.publish(ReadDocument {
+        self.publish(ParsedDocument {
             fetch_ms: fetched_at.since(began),
             fetched_bytes: document.fetched_bytes,
             fetched_pieces: document.fetched_pieces,
@@ -315,14 +314,14 @@
         });
     }
 
-    fn publish(&self, document: ReadDocument) {
+    fn publish(&self, document: ParsedDocument) {
         let mut next = document;
-        while let Err(RingFull(document)) = self.parts.read.push(next) {
-            if self.parts.read.is_closed() {
+        while let Err(RingFull(document)) = self.parts.parsed.push(next) {
+            if self.parts.parsed.is_closed() {
                 return;
             }
             // The relay's thread has not taken the older document yet, which is now superseded.
-            drop(self.parts.read.try_pop());
+            drop(self.parts.parsed.try_pop());
             next = document;
         }
     }
--- a/crates/masticsill_relay/src/endpoint_choice.rs
+++ b/crates/masticsill_relay/src/endpoint_choice.rs
@@ -59,7 +59,6 @@
 
     /// Reserves an endpoint for a request, waiting while none has capacity.
     ///
-    ///
     /// The relay may not have been informed yet of an endpoint that has just started. A request
     /// that has not been tried anywhere therefore waits briefly for discovery.
     pub(crate) async fn choose_or_wait(
--- a/crates/masticsill_relay/src/endpoint_response.rs
+++ b/crates/masticsill_relay/src/endpoint_response.rs
@@ -44,10 +44,8 @@
 
 /// Reads the rest of a response whose head has arrived.
 ///
-///
 /// # Errors
 ///
-///
 /// The request may have run: the response is incomplete, malformed, or a success without a
 /// signature.
 pub(crate) async fn read_response(
--- a/crates/masticsill_relay/src/engine_reservation.rs
+++ b/crates/masticsill_relay/src/engine_reservation.rs
@@ -17,7 +17,6 @@
 /// Requests an engine reservation for a stream: in this zone first, then in the other zones, one
 /// after the other.
 ///
-///
 /// Returns `None` if no zone grants one in time; the engine is then chosen by the loads known to
 /// this relay.
 pub(crate) async fn reserve_engine(
@@ -35,10 +34,10 @@
             watcher: relay.watcher(),
         };
         let asking = relay.control.take_place(replica, &asked);
-        let Ok(place) = timeout_at(bound, asking).await else {
+        let Ok(reserved) = timeout_at(bound, asking).await else {
             return None;
         };
-        if let Some(load) = place {
+        if let Some(load) = reserved {
             let now = relay.now();
             relay.endpoints.borrow_mut().take_place(now, &load);
             return Some(load.id);
--- a/crates/masticsill_relay/src/event_order.rs
+++ b/crates/masticsill_relay/src/event_order.rs
@@ -32,7 +32,6 @@
 
     /// Classifies an event by its number. An event without a number counts as the next one.
     ///
-    ///
     /// The first event of a stream may have any number: the endpoint chooses where to begin.
     #[must_use]
     pub fn classify(&self, id: Option<u64>) -> EventPosition {
--- a/crates/masticsill_relay/src/failover.rs
+++ b/crates/masticsill_relay/src/failover.rs
@@ -1,6 +1,5 @@
 //! Handling of an attempt whose endpoint has been silent for too long.
 //!
-//!
 //! Silence proves nothing: the cause may be the relay itself, and a late response is worth more
 //! than none. The attempt is therefore kept open until the connection of its replacement is
 //! established, and to the request's deadline if there is no replacement. Ending the attempt first
@@ -58,14 +57,14 @@
         waiting: impl Future<Output = T>,
     ) -> Option<WatchResult<T, N>> {
         let (relay, endpoint) = (self.relay, self.endpoint);
-        let heard = with_silence_timeout(
+        let received = with_silence_timeout(
             relay,
             endpoint,
             self.last_received_at,
             self.silence_timeout_ms,
             waiting,
         );
-        if let Some(done) = heard.await {
+        if let Some(done) = received.await {
             return Some(WatchResult::Done(done));
         }
         if self.request.left_ms(relay.now()) == 0 {
--- a/crates/masticsill_relay/src/lateness.rs
+++ b/crates/masticsill_relay/src/lateness.rs
@@ -1,6 +1,5 @@
 //! Detects lateness of the relay itself: of its thread, or of everything it receives.
 //!
-//!
 //! Silence shared by all peers is more likely caused by the relay: its link is saturated, or its
 //! thread did not run. Without this log event each silent endpoint would look like a failed one.
 
--- a/crates/masticsill_relay/src/lib.rs
+++ b/crates/masticsill_relay/src/lib.rs
@@ -1,11 +1,10 @@
 //! Relays requests and event streams from callers to registered endpoints.
 //!
-//!
 //! Callers and endpoints speak HTTP/1.1; response bodies are forwarded unchanged. Whether a request
 //! may be repeated follows from its route's kind: an idempotent request may run again, a stream
 //! resumes after its last event, and any other request is sent at most once unless the endpoint
 //! reports that it did not run it. One thread serves all connections of an entry. The decisions
-//! which request is sent where, waits or is refused are pure functions of `masticsill_dispatch`.
+//! (which request is sent where, waits or is refused) are pure functions of `masticsill_dispatch`.
 
 mod admission;
 mod attempt;
--- a/crates/masticsill_relay/src/prompts.rs
+++ b/crates/masticsill_relay/src/prompts.rs
@@ -21,7 +21,6 @@
 
 /// Asks the control replicas which engines have the beginning of a stream's prompt cached.
 ///
-///
 /// Each replica knows its own zone. A replica that does not answer in time leaves its zone out,
 /// which at most costs a prefill.
 pub(crate) async fn find_cached(relay: &Rc<Relay>, request: &RelayRequest) -> Vec<KeptTokens> {
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -33,7 +33,8 @@
 /// Divisor of a request's remaining time that gives how long it may wait for the first document or
 /// endpoint. The rest has to suffice to serve the request, or for its caller to retry elsewhere.
 pub(crate) const DISCOVERY_WAIT_DIVISOR: u64 = 10;
-/// Upper bound of that wait: an instance that starts learns both within one or two seconds.
+/// Maximum wait for the first document or endpoint: an instance that starts learns both within one
+/// or two seconds.
 pub(crate) const MAX_DISCOVERY_WAIT_MS: u64 = 2_500;
 
 /// Time after the beginning of a shutdown in which new streams are still accepted: the load
@@ -103,11 +104,11 @@
     pub(crate) prior_wait_estimator: RefCell<CallerPatience>,
     pub(crate) pool: RefCell<ConnectionPool>,
     /// Notified whenever an endpoint may have capacity for a queued request.
-    pub(crate) room_changed: Notify,
+    pub(crate) capacity_changed: Notify,
     /// This entry's rank among the entries of its zone.
     pub(crate) zone_share: Cell<ZoneShare>,
     pub(crate) stopping: ShutdownSignal,
-    /// Endpoints that run requests under which an endpoint has crashed.
+    /// Running requests under which an endpoint has crashed, and the endpoints that run them.
     pub(crate) suspect_runs: RefCell<Vec<(Fingerprint, EndpointId)>>,
     pub(crate) stream_durations: Cell<StreamDurations>,
     /// Receivers of the results of queued requests.
@@ -158,7 +159,7 @@
             index: RefCell::new(None),
             prior_wait_estimator: RefCell::default(),
             pool: RefCell::default(),
-            room_changed: Notify::new(),
+            capacity_changed: Notify::new(),
             zone_share: Cell::new(ZoneShare::default()),
             stopping,
             suspect_runs: RefCell::default(),
@@ -204,7 +205,6 @@
 
     /// Waits until `find` returns a value, `bound_ms` milliseconds at most.
     ///
-    ///
     /// An instance that has just started will know its document and endpoints in a moment. A
     /// request is better served here after a short wait than sent away.
     pub(crate) async fn wait_for_discovery<T>(
@@ -389,7 +389,6 @@
     /// Retires an incarnation of an endpoint that has restarted under the same id: nothing more
     /// will arrive from it.
     ///
-    ///
     /// Its connections lead nowhere, or to the new incarnation. Requests sent on them may have run.
     pub(crate) fn retire_incarnation(&self, id: &EndpointId) {
         self.pool.borrow_mut().drop_endpoint(id);
@@ -431,7 +430,7 @@
     }
 
     /// Records that bytes of a response were received from an endpoint.
-    pub(crate) fn note_heard(&self, id: &EndpointId) {
+    pub(crate) fn record_received(&self, id: &EndpointId) {
         let now = self.now();
         self.last_received_at.set(now);
         self.with_endpoint(id, |it| it.health.note_heard(now));
--- a/crates/masticsill_relay/src/request.rs
+++ b/crates/masticsill_relay/src/request.rs
@@ -79,8 +79,8 @@
         options: &SendOptions,
     ) -> BytesMut {
         let mut writer = HeadWriter::request(&self.head.method, &self.head.target);
-        let is_kept = |field: &&Header| !is_managed_field(names, options, &field.name);
-        for field in self.head.headers.end_to_end().filter(is_kept) {
+        let is_forwarded = |field: &&Header| !is_managed_field(names, options, &field.name);
+        for field in self.head.headers.end_to_end().filter(is_forwarded) {
             writer.copy(field);
         }
         writer.field(&names.deadline_ms, self.left_ms(now));
--- a/crates/masticsill_relay/src/request_end.rs
+++ b/crates/masticsill_relay/src/request_end.rs
@@ -58,7 +58,7 @@
             sends,
         } => {
             log_answered(relay, request, response.status, &endpoint, sends);
-            write_answer(relay, writer, &response, request.head.is_keep_alive).await
+            write_response(relay, writer, &response, request.head.is_keep_alive).await
         }
         PlainEnd::Refused(refusal) => refuse(relay, writer, request, refusal).await,
     }
@@ -89,7 +89,7 @@
         }
         StreamEnd::Plain(response, endpoint) => {
             log_answered(relay, request, response.status, &endpoint, 1);
-            write_answer(relay, writer, &response, request.head.is_keep_alive).await
+            write_response(relay, writer, &response, request.head.is_keep_alive).await
         }
         StreamEnd::Refused(refusal) => refuse(relay, writer, request, refusal).await,
         StreamEnd::BrokenOff(broken) => {
@@ -151,10 +151,10 @@
     writer: &mut OwnedWriteHalf,
     request_id: &str,
     refusal: Refusal,
-    is_kept: bool,
+    is_keep_alive: bool,
 ) -> ConnectionAction {
     relay.metrics.note_end(UNADMITTED, refusal.name());
-    write_refusal(relay, writer, request_id, refusal, is_kept).await
+    write_refusal(relay, writer, request_id, refusal, is_keep_alive).await
 }
 
 /// Answers input that is not a valid request; the connection has to be closed afterwards.
@@ -174,7 +174,7 @@
     writer: &mut OwnedWriteHalf,
     request_id: &str,
     refusal: Refusal,
-    is_kept: bool,
+    is_keep_alive: bool,
 ) -> ConnectionAction {
     log_event!(
         warn,
@@ -184,16 +184,22 @@
         status = refusal.status(),
         active = relay.active.get()
     );
-    write_answer(relay, writer, &Response::from_refusal(refusal), is_kept).await
+    write_response(
+        relay,
+        writer,
+        &Response::from_refusal(refusal),
+        is_keep_alive,
+    )
+    .await
 }
 
-async fn write_answer(
+async fn write_response(
     relay: &Rc<Relay>,
     writer: &mut OwnedWriteHalf,
     response: &Response,
-    is_kept: bool,
+    is_keep_alive: bool,
 ) -> ConnectionAction {
-    let is_closing = !is_kept || relay.stopping.is_requested();
+    let is_closing = !is_keep_alive || relay.stopping.is_requested();
     let bytes = response.to_bytes(is_closing);
     match writer.write_all(&bytes).await {
         Ok(()) if is_closing => ConnectionAction::Close,
--- a/crates/masticsill_relay/src/reservation.rs
+++ b/crates/masticsill_relay/src/reservation.rs
@@ -1,6 +1,5 @@
 //! The reservation that a request holds at an endpoint from the moment the endpoint is chosen.
 //!
-//!
 //! If a request were counted only once its connection is established, requests placed at the same
 //! moment, for example after a zone failure, would all choose the engine that was the least loaded
 //! before.
@@ -141,7 +140,7 @@
             }
         });
         self.report_change();
-        self.relay.room_changed.notify_one();
+        self.relay.capacity_changed.notify_one();
     }
 
     /// Triggers a load report to the other entries, except for plain requests, which end sooner
@@ -161,8 +160,8 @@
         if let Some(suspect) = self.suspect {
             let run = (suspect, self.endpoint.id.clone());
             let mut runs = self.relay.suspect_runs.borrow_mut();
-            if let Some(place) = runs.iter().position(|it| *it == run) {
-                runs.swap_remove(place);
+            if let Some(position) = runs.iter().position(|it| *it == run) {
+                runs.swap_remove(position);
             }
         }
         let is_prefilling = self.prefill.is_some();
@@ -176,7 +175,7 @@
             it.note_left(now);
         });
         self.report_change();
-        self.relay.room_changed.notify_one();
+        self.relay.capacity_changed.notify_one();
     }
 }
 
@@ -211,7 +210,7 @@
         });
         if let Some(zone) = zone {
             self.relay.note_load_change(&zone);
-            self.relay.room_changed.notify_one();
+            self.relay.capacity_changed.notify_one();
         }
     }
 }
--- a/crates/masticsill_relay/src/retry_state.rs
+++ b/crates/masticsill_relay/src/retry_state.rs
@@ -17,7 +17,7 @@
 /// First pause before a stream that has begun is retried: a tenth of the gap between events from
 /// which a stream is late (700 ms).
 const MIN_RETRY_PAUSE_MS: u64 = 70;
-/// Maximum of these pauses: no longer than the backoff of an endpoint after failures.
+/// Maximum pause before a retry: no longer than the backoff of an endpoint after failures.
 const MAX_RETRY_PAUSE_MS: u64 = 1_120;
 /// Maximum timeout of a connection: a lost first packet is retransmitted after one second.
 const MAX_DIAL_TIMEOUT_MS: u64 = 1_200;
@@ -124,7 +124,6 @@
 impl RetryState {
     /// Records a response that says that the request did not run.
     ///
-    ///
     /// This is not counted as an attempt if the endpoint was chosen only because it holds a copy,
     /// or if its address belongs to another incarnation.
     pub(crate) fn note_not_run(&mut self, is_attempt: bool) {
@@ -212,16 +211,13 @@
         self.dials_failed as usize >= MAX_FAILED_DIALS || self.arrivals >= MAX_ARRIVALS
     }
 
-    /// Whether the request may be sent once more, as far as this relay knows.
-    ///
+    /// Checks whether the request may be sent once more, as far as this relay knows.
     ///
     /// A stream that has begun is retried until its deadline: it may be connected, and turned away,
     /// as often as the retry budget allows.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// The obstacle to another attempt.
     pub(crate) fn check_may_send(
         &self,
--- a/crates/masticsill_relay/src/role.rs
+++ b/crates/masticsill_relay/src/role.rs
@@ -16,7 +16,7 @@
 use crate::config::RelayConfig;
 use crate::discovery::start_discovery;
 use crate::dispatch_queue::run_dispatch;
-use crate::documents::{DocumentParts, READ_RING_ITEMS, run_documents};
+use crate::documents::{DocumentParts, PARSED_RING_ITEMS, run_documents};
 use crate::events;
 use crate::metrics::RelayMetrics;
 use crate::relay::Relay;
@@ -40,10 +40,8 @@
 impl RelayRole {
     /// Binds the callers' address and starts to serve; metrics are registered in `registry`.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// The operating system's error if the address cannot be bound or a thread cannot be started.
     pub fn start(
         config: RelayConfig,
@@ -67,13 +65,13 @@
         let (document_flag, signal) = (Arc::clone(&has_document), stopping.clone());
         let ended = ShutdownSignal::default();
         let is_relaying = Arc::new(AtomicBool::new(false));
-        let read = Ring::with_capacity(READ_RING_ITEMS);
+        let parsed = Ring::with_capacity(PARSED_RING_ITEMS);
         let (sources, known_sources) = watch::channel(DocumentSources::default());
         let parts = DocumentParts {
             clock,
             ended: ended.clone(),
             is_relaying: Arc::clone(&is_relaying),
-            read: read.clone(),
+            parsed: parsed.clone(),
             reader: config.read_document,
             sources: known_sources,
         };
@@ -81,7 +79,7 @@
         let duty = spawn_async_duty("relay", move || async move {
             let relay = Relay::new(config, clock, signal, document_flag, is_relaying, metrics);
             let relay = Rc::new(relay);
-            start_discovery(&relay, new_seeds, sources, read);
+            start_discovery(&relay, new_seeds, sources, parsed);
             spawn_local(run_dispatch(Rc::clone(&relay)));
             serve(relay, listener).await;
             ended.request();
@@ -121,10 +119,8 @@
     /// Shuts down gracefully: requests that were read are answered, and no new ones are accepted
     /// once load balancers have had time to notice.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// An error if the duty panicked.
     pub fn stop(self) -> io::Result<()> {
         self.stopping.request();
--- a/crates/masticsill_relay/src/stream.rs
+++ b/crates/masticsill_relay/src/stream.rs
@@ -1,10 +1,8 @@
 //! Requests answered by a stream of numbered events.
 //!
-//!
 //! One response to the caller may consist of several runs, each of which resumes after the last
 //! event that the caller has. The head, with its signature, is that of the first run.
 //!
-//!
 //! A silent run is presumed to have failed, but is kept open until the connection of its
 //! replacement is established, and continues if it sends anything before that. The silence may be
 //! caused by the relay itself, and without a replacement a late response is worth more than half a
@@ -147,7 +145,7 @@
             let end = self.run_once(attempt, from_copy.as_ref()).await;
             // The run did not finish its prefill. Engines refused 594 of 612 copies of such runs,
             // and each refusal spends retry budget.
-            let is_unread = self.delivered == delivered_before && from_copy.is_none();
+            let is_prefill_incomplete = self.delivered == delivered_before && from_copy.is_none();
             next = match end {
                 RunEnd::Whole => {
                     return StreamEnd::Whole {
@@ -174,7 +172,7 @@
                     self.open_next(None).await
                 }
                 RunEnd::Failed(failure) => {
-                    if is_unread {
+                    if is_prefill_incomplete {
                         self.copies.clear();
                     }
                     self.retry_state.note(id, &failure);
@@ -200,7 +198,6 @@
     /// Chooses the endpoint on which the stream resumes, and connects to it. `silent_endpoint` is
     /// the engine of a silent run that is kept open meanwhile.
     ///
-    ///
     /// A stream that has begun waits for obstacles that may disappear with time.
     async fn open_next(
         &mut self,
@@ -328,8 +325,8 @@
             .relay
             .choose_copy_holder(self.request, excluded, endpoint)?;
         let tokens = self.request.held_tokens(&self.relay.config.headers);
-        let place = CopyReservation::take(self.relay, &at, tokens);
-        Some(RunCopy::backup(at, place))
+        let reservation = CopyReservation::take(self.relay, &at, tokens);
+        Some(RunCopy::backup(at, reservation))
     }
 }
 
--- a/crates/masticsill_relay/src/stream/run.rs
+++ b/crates/masticsill_relay/src/stream/run.rs
@@ -153,9 +153,9 @@
 
     fn first_event_timeout_ms(&self) -> u64 {
         let tokens = self.request.prompt_tokens(&self.relay.config.headers);
-        let reading_ms = tokens.unwrap_or_default() / PROMPT_TOKENS_PER_MS;
+        let prefill_ms = tokens.unwrap_or_default() / PROMPT_TOKENS_PER_MS;
         let left_ms = self.request.left_ms(self.relay.now());
-        left_ms.min(FIRST_EVENT_BASE_TIMEOUT_MS + reading_ms)
+        left_ms.min(FIRST_EVENT_BASE_TIMEOUT_MS + prefill_ms)
     }
 
     /// Forwards a run's events until the run ends.
@@ -189,7 +189,7 @@
                 WatchResult::Superseded => (Failure::Replaced, INCARNATION_REPLACED.to_owned()),
                 WatchResult::DeadlineReached => (silence, "no event".to_owned()),
                 WatchResult::Done(Ok(Some(piece))) => {
-                    self.relay.note_heard(&endpoint.id);
+                    self.relay.record_received(&endpoint.id);
                     splitter.push(&piece);
                     match self.forward_complete_events(&mut splitter, head).await {
                         Ok(true) => {
--- a/crates/masticsill_relay/src/suspects.rs
+++ b/crates/masticsill_relay/src/suspects.rs
@@ -48,8 +48,8 @@
     /// Records that a crash check of a request's endpoint is complete.
     pub(crate) fn finish_crash_check(&self, fingerprint: Fingerprint) {
         let mut crash_checks = self.crash_checks.borrow_mut();
-        if let Some(place) = crash_checks.iter().position(|it| *it == fingerprint) {
-            crash_checks.swap_remove(place);
+        if let Some(position) = crash_checks.iter().position(|it| *it == fingerprint) {
+            crash_checks.swap_remove(position);
         }
         drop(crash_checks);
         self.notify_crash_reporters();
@@ -101,7 +101,6 @@
     /// Judges the crashes recorded here while no control replica is reachable to do so, and drops
     /// old records.
     ///
-    ///
     /// A replica knows which other endpoints failed at the moment of a crash, this entry only what
     /// it ran itself.
     pub(crate) fn judge_crashes(&self) {
@@ -123,7 +122,6 @@
     /// under which an endpoint has crashed: after another crash nobody could tell which of the two
     /// caused it. If a list leaves no endpoint, the next one applies, and finally none.
     ///
-    ///
     /// Suspect requests of this entry are known. The request is kept apart from those of other
     /// entries by its fingerprint once one further crash may quarantine it.
     pub(crate) fn isolation_exclusions(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
@@ -151,8 +149,8 @@
         request: &RelayRequest,
         endpoint: &EndpointId,
     ) -> bool {
-        let is_short = self.is_one_crash_short(request);
-        is_short && self.endpoints_of_other_suspects(request).contains(endpoint)
+        let is_near_quarantine = self.is_one_crash_short(request);
+        is_near_quarantine && self.endpoints_of_other_suspects(request).contains(endpoint)
     }
 
     fn is_one_crash_short(&self, request: &RelayRequest) -> bool {
@@ -184,12 +182,10 @@
         is_checked || self.crashes.borrow().is_suspect(fingerprint)
     }
 
-    /// Whether a request may be sent, considering the endpoints that crashed under it.
-    ///
+    /// Checks whether a request may be sent, considering the endpoints that crashed under it.
     ///
     /// # Errors
     ///
-    ///
     /// The request is quarantined, or has to wait until a crash is judged.
     pub(crate) fn check_crashes(&self, request: &RelayRequest) -> Result<(), Obstacle> {
         let fingerprint = &request.fingerprint;
@@ -221,9 +217,9 @@
 
     /// Waits until the crash records change, `bound_ms` milliseconds at most.
     pub(crate) async fn wait_for_crash_change(&self, bound_ms: u64) {
-        let mut noted = self.crash_changes.subscribe();
+        let mut changes = self.crash_changes.subscribe();
         // The timeout ends the wait if nothing changes.
-        let _ = timeout(Duration::from_millis(bound_ms), noted.changed()).await;
+        let _ = timeout(Duration::from_millis(bound_ms), changes.changed()).await;
     }
 }
 
@@ -233,8 +229,8 @@
     address: SocketAddr,
     reported: ReportedRevision,
 ) {
-    let mut noted = relay.crash_changes.subscribe();
-    while noted.changed().await.is_ok() {
+    let mut changes = relay.crash_changes.subscribe();
+    while changes.changed().await.is_ok() {
         loop {
             let (revision, records) = {
                 let ledger = relay.crashes.borrow();
--- a/crates/masticsill_relay/tests/known_behind.rs
+++ b/crates/masticsill_relay/tests/known_behind.rs
@@ -1,6 +1,5 @@
 //! A relay that knows of a newer document than its active one refuses no request for good.
 //!
-//!
 //! Guards against valid requests being answered 404 while a large document is being fetched: their
 //! route was part of a version that had been acknowledged, and that the relay had heard of but not
 //! fetched yet. Callers do not retry after a 404 or 401.
--- a/crates/masticsill_upstream/src/call.rs
+++ b/crates/masticsill_upstream/src/call.rs
@@ -49,14 +49,11 @@
     /// Sends a call and reads the status and body of the response, within `timeout_ms` milliseconds
     /// in all.
     ///
-    ///
     /// The call may have been carried out even if it fails; only calls that may be repeated are
     /// made in this way.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// A text that says what went wrong: no connection, a broken connection, an invalid response,
     /// or no response in time.
     pub async fn call(
--- a/crates/masticsill_upstream/src/dial.rs
+++ b/crates/masticsill_upstream/src/dial.rs
@@ -19,10 +19,8 @@
 
 /// Connects to an address within `timeout_ms` milliseconds, and configures the socket.
 ///
-///
 /// # Errors
 ///
-///
 /// The operating system's error, or `TimedOut`.
 pub async fn dial(address: SocketAddr, timeout_ms: u64) -> io::Result<TcpStream> {
     let connecting = timeout(
@@ -39,10 +37,8 @@
 /// Disables Nagle's algorithm, and enables keep-alive probes and a timeout for unacknowledged data,
 /// which detect a peer that is gone without closing the connection.
 ///
-///
 /// # Errors
 ///
-///
 /// The operating system's error if an option cannot be set.
 pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
--- a/crates/masticsill_upstream/src/exchange.rs
+++ b/crates/masticsill_upstream/src/exchange.rs
@@ -80,10 +80,8 @@
     /// Sends a request and reads the head of its response, both at once: an endpoint may respond
     /// before it has read a long body. Responses to other requests are skipped.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// The connection failed, the bytes received are not a valid response, or too many responses
     /// belong to other requests.
     pub async fn exchange(
@@ -124,10 +122,8 @@
 
     /// Reads the next chunk of the response body; `None` at its regular end.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// The connection failed or ended early, or the bytes received are not a valid body.
     pub async fn next_chunk(
         &mut self,
@@ -138,10 +134,8 @@
 
     /// Reads the whole response body, of at most `max_bytes` bytes.
     ///
-    ///
     /// # Errors
     ///
-    ///
     /// As [`Self::next_chunk`]; a longer body counts as invalid.
     pub async fn read_body(
         &mut self,
--- a/crates/masticsill_upstream/src/lib.rs
+++ b/crates/masticsill_upstream/src/lib.rs
@@ -1,7 +1,6 @@
 //! HTTP/1.1 exchanges with endpoints: connections that detect a dead peer, and responses that are
 //! matched to requests by id.
 //!
-//!
 //! Relays forward requests with this crate, and control replicas ask engines what they have cached.
 
 mod call;
--- a/crates/masticsill_upstream/src/read.rs
+++ b/crates/masticsill_upstream/src/read.rs
@@ -8,10 +8,8 @@
 /// Reads once, after reserving space for at least `reserve_bytes` bytes in the buffer; false at the
 /// end of the connection.
 ///
-///
 /// # Errors
 ///
-///
 /// The connection's error.
 pub async fn read_more(
     reader: &mut (impl AsyncReadExt + Unpin),
