--- a/crates/masticsill_relay/src/copies.rs
+++ b/crates/masticsill_relay/src/copies.rs
@@ -1,8 +1,8 @@
-//! Copies of a run's memory, from which another engine goes on when the run breaks.
+//! Copies of a run's KV cache, from which another engine resumes when the run breaks.
 //!
-//! An engine sends its memory to a second one as it grows, if the request asks for it. That copy
-//! dies with its holder, while the run may have seconds to go: then a new copy is made from the
-//! running engine, and made again before it expires.
+//! If the request asks for it, an engine streams its KV cache to a second engine as the cache
+//! grows. That copy is lost with the engine that holds it, while the run may have seconds to go. In
+//! that case a new copy is requested from the running engine, and renewed before it expires.
 
 use std::rc::Rc;
 
@@ -13,132 +13,135 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use crate::attempt::with_patience;
+use crate::attempt::with_silence_timeout;
 use crate::config::EngineCalls;
 use crate::events;
 use crate::relay::Relay;
-use crate::reservation::CopyPlace;
+use crate::reservation::CopyReservation;
 
-/// Longest wait for a copy: 14,400 tokens take a quarter of a second between zones, behind others.
-const COPY_BOUND_MS: u64 = 1_500;
-/// Age at which a copy is made again: engines drop one that is not used within four seconds.
-const RENEW_MS: u64 = 2_800;
+/// Timeout of a copy request. Copying 14,400 tokens between zones takes 250 ms, queued behind other
+/// copies.
+const COPY_TIMEOUT_MS: u64 = 1_500;
+/// Age at which a requested copy is renewed: engines drop a copy that is not used within four
+/// seconds.
+const COPY_RENEW_AGE_MS: u64 = 2_800;
 /// Pause after a copy could not be made.
-const RETRY_MS: u64 = 400;
+const COPY_RETRY_PAUSE_MS: u64 = 400;
 
-/// A copy of a run's memory.
+/// A copy of a run's KV cache.
 #[derive(Clone, Debug)]
-pub(crate) struct Copy {
-    /// The engine that holds it.
+pub(crate) struct RunCopy {
+    /// The engine that holds the copy.
     pub(crate) at: Announcement,
     origin: Origin,
-    /// The memory that it takes there.
-    place: Rc<CopyPlace>,
+    /// The memory reserved at the holder.
+    reservation: Rc<CopyReservation>,
 }
 
 /// How a copy was made.
 #[derive(Clone, Debug)]
 enum Origin {
-    /// The running engine sends what it has as it grows.
+    /// The running engine streams its KV cache to the holder as it grows.
     Backup,
-    /// The running engine was asked for it; it names the copy by this handle.
-    Asked {
+    /// The copy was requested from the running engine, which named it by this handle.
+    Requested {
         handle: String,
         made_at: ClockMs,
         source: Announcement,
     },
 }
 
-impl Copy {
-    /// The copy that an engine keeps as the run grows.
-    pub(crate) fn backup(at: Announcement, place: CopyPlace) -> Self {
+impl RunCopy {
+    /// The copy that the running engine streams as the KV cache grows.
+    pub(crate) fn backup(at: Announcement, reservation: CopyReservation) -> Self {
         Self {
             at,
             origin: Origin::Backup,
-            place: Rc::new(place),
+            reservation: Rc::new(reservation),
         }
     }
 
-    /// The holder, and the memory that the copy takes there.
-    pub(crate) fn into_parts(self) -> (Announcement, Rc<CopyPlace>) {
-        (self.at, self.place)
+    /// The holder, and the memory reserved there.
+    pub(crate) fn into_parts(self) -> (Announcement, Rc<CopyReservation>) {
+        (self.at, self.reservation)
     }
 
-    /// What a request that goes on from the copy names.
+    /// The value of the resume header field of a request that resumes from the copy.
     pub(crate) fn reference(&self, request_id: &str) -> String {
         match &self.origin {
             Origin::Backup => format!("{}/{request_id}", self.at.address),
-            Origin::Asked { handle, source, .. } => format!("{}/{handle}", source.address),
+            Origin::Requested { handle, source, .. } => format!("{}/{handle}", source.address),
         }
     }
 }
 
-/// Keeps a copy of one run while it lasts.
+/// Keeps a copy of one run available while the run lasts.
 #[derive(Debug, Default)]
-pub(crate) struct CopyKeeper {
-    copy: Option<Copy>,
-    pending: Option<Pending>,
+pub(crate) struct CopyManager {
+    copy: Option<RunCopy>,
+    pending: Option<PendingCopy>,
     retry_at: ClockMs,
 }
 
-/// A copy that is being made.
+/// A copy that has been requested and is not complete yet.
 #[derive(Debug)]
-struct Pending {
+struct PendingCopy {
     at: Announcement,
-    place: Rc<CopyPlace>,
+    reservation: Rc<CopyReservation>,
     made: oneshot::Receiver<Result<String, String>>,
     source: Announcement,
 }
 
-impl CopyKeeper {
-    /// The copy, if there is one.
-    pub(crate) fn copy(&self) -> Option<&Copy> {
+impl CopyManager {
+    /// The current copy, if there is one.
+    pub(crate) fn copy(&self) -> Option<&RunCopy> {
         self.copy.as_ref()
     }
 
-    /// The memory that the copy takes at its holder.
-    pub(crate) fn place(&self) -> Option<Rc<CopyPlace>> {
+    /// The memory reserved at the holder of the current copy.
+    pub(crate) fn reservation(&self) -> Option<Rc<CopyReservation>> {
         let copy = self.copy.as_ref()?;
-        Some(Rc::clone(&copy.place))
+        Some(Rc::clone(&copy.reservation))
     }
 
-    /// Starts anew with a run's own copy.
-    pub(crate) fn begin(&mut self, copy: Option<Copy>) {
+    /// Starts a new run with the copy that its engine streams, if any.
+    pub(crate) fn reset(&mut self, copy: Option<RunCopy>) {
         self.copy = copy;
         self.pending = None;
     }
 
     /// Forgets the copy.
-    pub(crate) fn forget(&mut self) {
-        self.begin(None);
+    pub(crate) fn clear(&mut self) {
+        self.reset(None);
     }
 
-    /// Takes in a copy that was made meanwhile.
-    pub(crate) fn collect(&mut self, now: ClockMs) {
+    /// Adopts a requested copy that has been completed meanwhile.
+    pub(crate) fn poll_pending(&mut self, now: ClockMs) {
         let Some(mut pending) = self.pending.take() else {
             return;
         };
         match pending.made.try_recv() {
             Ok(Ok(handle)) => {
-                self.copy = Some(Copy {
+                self.copy = Some(RunCopy {
                     at: pending.at,
-                    origin: Origin::Asked {
+                    origin: Origin::Requested {
                         handle,
                         made_at: now,
                         source: pending.source,
                     },
-                    place: pending.place,
+                    reservation: pending.reservation,
                 });
             }
             Ok(Err(_)) | Err(oneshot::error::TryRecvError::Closed) => {
-                self.retry_at = now + RETRY_MS;
+                self.retry_at = now + COPY_RETRY_PAUSE_MS;
             }
             Err(oneshot::error::TryRecvError::Empty) => self.pending = Some(pending),
         }
     }
 
-    /// Whether a copy must be made now: there is none that lives, or it is about to expire.
-    pub(crate) fn needs_copy(&self, now: ClockMs, lives: impl Fn(&Copy) -> bool) -> bool {
+    /// Whether a copy has to be made now: there is none on a usable holder, or the copy is about to
+    /// expire.
+    pub(crate) fn needs_copy(&self, now: ClockMs, lives: impl Fn(&RunCopy) -> bool) -> bool {
         if self.pending.is_some() || now < self.retry_at {
             return false;
         }
@@ -147,24 +150,24 @@
         };
         match &copy.origin {
             Origin::Backup => false,
-            Origin::Asked { made_at, .. } => now.since(*made_at) >= RENEW_MS,
+            Origin::Requested { made_at, .. } => now.since(*made_at) >= COPY_RENEW_AGE_MS,
         }
     }
 
-    /// Asks the running engine for a copy at another one.
-    pub(crate) fn ask(
+    /// Requests a copy from the running engine, to be held by another one.
+    pub(crate) fn start_copy(
         &mut self,
         relay: &Rc<Relay>,
         request_id: &str,
         source: &Announcement,
         at: Announcement,
-        place: Rc<CopyPlace>,
+        reservation: Rc<CopyReservation>,
     ) {
         let (made, receiver) = oneshot::channel();
         let (calling, from, id) = (Rc::clone(relay), source.clone(), request_id.to_owned());
         let target = at.clone();
         spawn_local(async move {
-            let handle = ask_for_copy(&calling, &id, &from, &target).await;
+            let handle = request_copy(&calling, &id, &from, &target).await;
             let cause = handle.as_ref().err().map_or("", String::as_str);
             log_event!(
                 info,
@@ -178,31 +181,31 @@
             );
             let _ = made.send(handle);
         });
-        self.pending = Some(Pending {
+        self.pending = Some(PendingCopy {
             at,
-            place,
+            reservation,
             made: receiver,
             source: source.clone(),
         });
     }
 
-    /// Lets the engines drop the copy of a run that has ended.
+    /// Has the engines drop the copy of a run that has ended.
     pub(crate) fn release(&mut self, relay: &Rc<Relay>) {
         let copy = self.copy.take();
-        let Some(Origin::Asked { handle, source, .. }) = copy.map(|copy| copy.origin) else {
+        let Some(Origin::Requested { handle, source, .. }) = copy.map(|copy| copy.origin) else {
             return;
         };
         let relay = Rc::clone(relay);
         spawn_local(async move {
             let calls = &relay.config.engine_calls;
             let target = format!("{}{handle}", calls.release_path);
-            // An engine that can't be told drops the copy by itself within seconds.
+            // An engine that cannot be reached drops the copy by itself within seconds.
             let _ = call(&relay, &source, "DELETE", &target, "").await;
         });
     }
 }
 
-async fn ask_for_copy(
+async fn request_copy(
     relay: &Rc<Relay>,
     request_id: &str,
     source: &Announcement,
@@ -230,7 +233,11 @@
         .ok_or_else(|| format!("the answer has no `{handle_field}`"))
 }
 
-/// Calls an engine; its answer's body if it says 200, or what went wrong.
+/// Calls an engine and returns the body of a response with status 200.
+///
+/// # Errors
+///
+/// A text that says what went wrong: another status, a failed connection, or no response in time.
 async fn call(
     relay: &Rc<Relay>,
     engine: &Announcement,
@@ -245,9 +252,9 @@
         method,
         target,
     };
-    let calling = client.call(&call, COPY_BOUND_MS);
-    // A zone that stands still ends the wait sooner.
-    match with_patience(relay, engine, relay.now(), COPY_BOUND_MS, calling).await {
+    let calling = client.call(&call, COPY_TIMEOUT_MS);
+    // A report that the engine or its zone is stalled shortens the wait.
+    match with_silence_timeout(relay, engine, relay.now(), COPY_TIMEOUT_MS, calling).await {
         Some(Ok((200, answer))) => Ok(answer),
         Some(Ok((status, _))) => Err(format!("the engine answered {status}")),
         Some(Err(cause)) => Err(cause),
--- a/crates/masticsill_relay/src/choosing.rs
+++ b/crates/masticsill_relay/src/endpoint_choice.rs
@@ -1,4 +1,5 @@
-//! The choice of an endpoint for one send: what is known of the endpoints, and of the prompt.
+//! Selection of an endpoint for one attempt, from the known state of the endpoints and the cached
+//! parts of the prompt.
 
 use std::rc::Rc;
 
@@ -11,21 +12,21 @@
 use masticsill_types::{ZoneId, log_event};
 use tokio::time::Instant;
 
-use crate::dispatching::{Dispatched, dispatch};
+use crate::dispatch_queue::{Dispatched, dispatch};
+use crate::engine_reservation::reserve_engine;
 use crate::events;
-use crate::places::take_place;
-use crate::prompts::find_kept;
-use crate::relay::{NEWS_BOUND_MS, NEWS_SHARE, Relay};
+use crate::prompts::find_cached;
+use crate::relay::{DISCOVERY_WAIT_DIVISOR, MAX_DISCOVERY_WAIT_MS, Relay};
 use crate::request::RelayRequest;
-use crate::tries::Tries;
+use crate::retry_state::RetryState;
 
-/// Part of the connections that an endpoint accepts which the entries use: health checks and
-/// connections that are just closing take the rest.
+/// Percentage of the connections accepted by an endpoint that the entries use. Health checks and
+/// connections that are just closing need the rest.
 const USED_PERCENT: u32 = 85;
 
 impl Relay {
-    /// Chooses the engine that is to hold a copy of a run: in another zone than the running one,
-    /// so that it survives that, and with memory to spare.
+    /// Chooses the engine that is to hold a copy of a run: in another zone than the running engine,
+    /// so that the copy survives a failure of that zone, and with memory to spare.
     pub(crate) fn choose_copy_holder(
         &self,
         request: &RelayRequest,
@@ -46,7 +47,7 @@
             not_in_zone: Some(&running.zone),
             reserved_endpoint: None,
             service: &request.service,
-            share: self.share.get(),
+            share: self.zone_share.get(),
             zone: &self.config.zone,
         };
         let tokens = request.held_tokens(&self.config.headers);
@@ -56,61 +57,72 @@
         Some(holder.announcement.clone())
     }
 
-    /// Has a request sent to an endpoint, waiting for a place while there is none.
+    /// Reserves an endpoint for a request, waiting while none has capacity.
     ///
-    /// Of an endpoint that has just begun, the relay may not have heard yet: while the request has
-    /// gone nowhere, it waits a little for news.
+    /// The relay may not have been informed yet of an endpoint that has just started. A request
+    /// that has not been tried anywhere therefore waits briefly for discovery.
     pub(crate) async fn choose_or_wait(
         self: &Rc<Self>,
         request: &RelayRequest,
-        tries: &Tries,
+        retry_state: &RetryState,
         is_resume: bool,
     ) -> Dispatched {
-        let mut need = self.need_of(request, tries).await;
+        let mut need = self.need_of(request, retry_state).await;
         let terms = terms_of(request, is_resume);
-        let is_first = tries.excluded.is_empty();
-        let news_ms = request.left_ms(self.now()) / NEWS_SHARE;
-        let news_by = Instant::now() + std::time::Duration::from_millis(news_ms.min(NEWS_BOUND_MS));
+        let is_first = retry_state.excluded.is_empty();
+        let discovery_wait_ms = request.left_ms(self.now()) / DISCOVERY_WAIT_DIVISOR;
+        let discovery_deadline = Instant::now()
+            + std::time::Duration::from_millis(discovery_wait_ms.min(MAX_DISCOVERY_WAIT_MS));
         loop {
-            let mut news = self.news.subscribe();
-            let mut dispatched = Dispatched::Nobody;
-            let mut lists = self.endpoints_kept_from(request);
+            let mut discovery_changes = self.discovery_changes.subscribe();
+            let mut dispatched = Dispatched::NoEndpoint;
+            let mut lists = self.isolation_exclusions(request);
             lists.push(Vec::new());
-            for kept_from in lists {
-                need.excluded = [tries.excluded.as_slice(), &kept_from].concat();
+            for exclusions in lists {
+                need.excluded = [retry_state.excluded.as_slice(), &exclusions].concat();
                 dispatched = dispatch(self, request, &need, &terms).await;
-                if !matches!(dispatched, Dispatched::Nobody) {
+                if !matches!(dispatched, Dispatched::NoEndpoint) {
                     break;
                 }
             }
             match dispatched {
-                Dispatched::Nobody if is_first => {
-                    let changed = tokio::time::timeout_at(news_by, news.changed());
+                Dispatched::NoEndpoint if is_first => {
+                    let changed =
+                        tokio::time::timeout_at(discovery_deadline, discovery_changes.changed());
                     if changed.await.is_err() {
-                        return Dispatched::Nobody;
+                        return Dispatched::NoEndpoint;
                     }
                 }
-                Dispatched::Sent(choice, mut reservation) => {
-                    reservation.note_kept(choice.cached_tokens);
+                Dispatched::Assigned(choice, mut reservation) => {
+                    reservation.record_cached_tokens(choice.cached_tokens);
                     self.mark_suspect(request, &mut reservation);
                     if !is_first || request.route.kind == RouteKind::Stream {
-                        self.note_choice(request, &choice, reservation.endpoint(), tries.sends);
+                        self.note_choice(
+                            request,
+                            &choice,
+                            reservation.endpoint(),
+                            retry_state.sends,
+                        );
                     }
-                    return Dispatched::Sent(choice, reservation);
+                    return Dispatched::Assigned(choice, reservation);
                 }
                 dispatched => return dispatched,
             }
         }
     }
 
-    /// What a request needs of an endpoint.
-    async fn need_of(self: &Rc<Self>, request: &RelayRequest, tries: &Tries) -> Requirements {
+    /// What a request requires of an endpoint.
+    async fn need_of(
+        self: &Rc<Self>,
+        request: &RelayRequest,
+        retry_state: &RetryState,
+    ) -> Requirements {
         let names = &self.config.headers;
         let (kept, place) = match request.route.kind {
             RouteKind::Stream => {
-                // Boxed, as every request's own state would hold both questions otherwise.
-                let kept = Box::pin(find_kept(self, request));
-                let place = Box::pin(take_place(self, request, tries));
+                // Boxed, because otherwise the future of every request would contain both queries.
+                let kept = Box::pin(find_cached(self, request));
+                let place = Box::pin(reserve_engine(self, request, retry_state));
                 tokio::join!(kept, place)
             }
             RouteKind::Idempotent | RouteKind::NonIdempotent => (Vec::new(), None),
@@ -128,7 +140,7 @@
             RouteKind::Idempotent | RouteKind::NonIdempotent => Work::Whole,
         };
         Requirements {
-            // Filled in for each choice.
+            // Set for each choice.
             excluded: Vec::new(),
             cached: kept,
             reserved_endpoint: place,
@@ -137,7 +149,7 @@
         }
     }
 
-    /// Logs and counts a choice with what decided it.
+    /// Logs and counts a choice, with the values that decided it.
     fn note_choice(
         &self,
         request: &RelayRequest,
@@ -167,8 +179,8 @@
         );
     }
 
-    /// Endpoints that accept no more connections of this entry: all entries share what one
-    /// accepts, and it resets what is beyond.
+    /// Endpoints that accept no further connection from this entry. The connection limit of an
+    /// endpoint is shared by all entries, and the endpoint resets connections beyond it.
     pub(crate) fn full_endpoints(
         &self,
         endpoints: &EndpointTable,
@@ -190,31 +202,36 @@
             .collect()
     }
 
-    /// Endpoints of a zone that take requests, but would not be sent this one.
-    pub(crate) fn avoided(&self, service: &str, zone: &ZoneId, tries: &Tries) -> Vec<EndpointId> {
+    /// Ready endpoints of a zone to which this request would not be sent.
+    pub(crate) fn unusable_endpoints(
+        &self,
+        service: &str,
+        zone: &ZoneId,
+        retry_state: &RetryState,
+    ) -> Vec<EndpointId> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
         let closed = self.full_endpoints(&endpoints, service);
-        let is_avoided = |it: &&Endpoint| {
+        let is_unusable = |it: &&Endpoint| {
             let id = &it.announcement.id;
             let is_known_bad = it.is_backing_off(now) || it.is_silent() || it.is_full(now);
-            is_known_bad || closed.contains(id) || tries.excluded.contains(id)
+            is_known_bad || closed.contains(id) || retry_state.excluded.contains(id)
         };
         let ready = endpoints.iter().filter(|it| it.is_ready());
         let of_zone = ready.filter(|it| it.announcement.zone == *zone);
-        let avoided = of_zone.filter(|it| it.announcement.service == service);
-        let avoided = avoided.filter(is_avoided);
-        avoided.map(|it| it.announcement.id.clone()).collect()
+        let unusable = of_zone.filter(|it| it.announcement.service == service);
+        let unusable = unusable.filter(is_unusable);
+        unusable.map(|it| it.announcement.id.clone()).collect()
     }
 
-    /// Whether a service's endpoints in a zone seem to be down together.
+    /// Whether a service's endpoints in a zone appear to be down together.
     pub(crate) fn is_suspect(&self, service: &str, zone: &ZoneId) -> bool {
         let endpoints = self.endpoints.borrow();
         suspect_zones(&endpoints, service, self.now()).contains(&zone)
     }
 
-    /// What keeps requests from an endpoint, if anything does.
-    pub(crate) fn obstacle(&self, id: &EndpointId) -> Option<&'static str> {
+    /// Why requests cannot be sent to an endpoint; `None` if they can.
+    pub(crate) fn unavailability_reason(&self, id: &EndpointId) -> Option<&'static str> {
         let endpoints = self.endpoints.borrow();
         match endpoints.get(id) {
             None => Some("forgotten"),
@@ -225,7 +242,7 @@
     }
 }
 
-/// For how long a request may wait. Its caller's aim counts from the caller's first attempt.
+/// The time limits of a request. The latency target counts from the caller's first attempt.
 fn terms_of(request: &RelayRequest, is_resume: bool) -> Terms {
     let asked_at = request.received_at.before(request.had_waited_ms);
     Terms {
--- a/crates/masticsill_relay/src/pool.rs
+++ b/crates/masticsill_relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that are kept for the next request.
+//! Idle connections to endpoints, kept for further requests.
 
 use bytes::BytesMut;
 use indexmap::IndexMap;
@@ -6,42 +6,43 @@
 use masticsill_types::ClockMs;
 use tokio::net::TcpStream;
 
-/// Connections kept for one endpoint.
-const KEPT_PER_ENDPOINT: usize = 8;
-/// How long a connection is kept where the endpoint doesn't say.
-const DEFAULT_KEEP_MS: u64 = 2_000;
-/// How long before the endpoint's own timeout a connection is given up, so that no request
-/// crosses its close.
-const KEEP_MARGIN_MS: u64 = 1_000;
+/// Maximum number of idle connections per endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 8;
+/// Idle timeout of a connection whose endpoint states none.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 2_000;
+/// Margin by which an idle connection is closed before the endpoint's own timeout, so that no
+/// request crosses the endpoint's close.
+const IDLE_TIMEOUT_MARGIN_MS: u64 = 1_000;
 
-/// A connection without a request.
+/// An idle connection.
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     idle_since: ClockMs,
-    keep_ms: u64,
+    idle_timeout_ms: u64,
     stream: TcpStream,
 }
 
-/// Kept connections by endpoint, and how many are open in all.
+/// Idle connections by endpoint, and the number of open connections including those in use.
 #[derive(Debug, Default)]
-pub(crate) struct Pool {
-    kept: IndexMap<EndpointId, Vec<Kept>>,
+pub(crate) struct ConnectionPool {
+    idle: IndexMap<EndpointId, Vec<IdleConnection>>,
     open: IndexMap<EndpointId, u32>,
 }
 
-impl Pool {
-    /// A kept connection on which nothing has arrived, idle for `idle_ms` at most.
+impl ConnectionPool {
+    /// Takes an idle connection that has received no bytes and has been idle for less than
+    /// `idle_ms`.
     pub(crate) fn take(
         &mut self,
         now: ClockMs,
         id: &EndpointId,
         idle_ms: u64,
     ) -> Option<TcpStream> {
-        let kept = self.kept.get_mut(id)?;
-        while let Some(connection) = kept.pop() {
+        let idle = self.idle.get_mut(id)?;
+        while let Some(connection) = idle.pop() {
             let idle_for = now.since(connection.idle_since);
-            let is_young = idle_for < connection.keep_ms.min(idle_ms);
-            if is_young && is_quiet(&connection.stream) {
+            let is_fresh = idle_for < connection.idle_timeout_ms.min(idle_ms);
+            if is_fresh && is_unused(&connection.stream) {
                 return Some(connection.stream);
             }
             note_closed(&mut self.open, id);
@@ -49,32 +50,33 @@
         None
     }
 
-    /// Keeps a connection after a whole answer.
+    /// Keeps a connection after a complete response, for the time that the endpoint states.
     pub(crate) fn put(
         &mut self,
         now: ClockMs,
         id: &EndpointId,
         stream: TcpStream,
-        stated_keep_ms: Option<u64>,
+        stated_timeout_ms: Option<u64>,
     ) {
-        let keep_ms =
-            stated_keep_ms.map_or(DEFAULT_KEEP_MS, |ms| ms.saturating_sub(KEEP_MARGIN_MS));
-        let kept = self.kept.entry(id.clone()).or_default();
-        if kept.len() >= KEPT_PER_ENDPOINT || keep_ms == 0 {
+        let idle_timeout_ms = stated_timeout_ms.map_or(DEFAULT_IDLE_TIMEOUT_MS, |ms| {
+            ms.saturating_sub(IDLE_TIMEOUT_MARGIN_MS)
+        });
+        let idle = self.idle.entry(id.clone()).or_default();
+        if idle.len() >= MAX_IDLE_PER_ENDPOINT || idle_timeout_ms == 0 {
             note_closed(&mut self.open, id);
             return;
         }
-        kept.push(Kept {
+        idle.push(IdleConnection {
             idle_since: now,
-            keep_ms,
+            idle_timeout_ms,
             stream,
         });
     }
 
-    /// Whether a request finds a connection to an endpoint while at most `limit` may be open.
+    /// Whether a request can get a connection to an endpoint while at most `limit` may be open.
     pub(crate) fn has_room(&self, id: &EndpointId, limit: u32) -> bool {
-        let is_kept = self.kept.get(id).is_some_and(|kept| !kept.is_empty());
-        is_kept || self.open.get(id).copied().unwrap_or_default() < limit
+        let has_idle = self.idle.get(id).is_some_and(|idle| !idle.is_empty());
+        has_idle || self.open.get(id).copied().unwrap_or_default() < limit
     }
 
     pub(crate) fn note_opened(&mut self, id: &EndpointId) {
@@ -85,22 +87,22 @@
         note_closed(&mut self.open, id);
     }
 
-    /// Closes what has been kept for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_idle(&mut self, now: ClockMs) {
-        for (id, kept) in &mut self.kept {
-            let before = kept.len();
-            kept.retain(|it| now.since(it.idle_since) < it.keep_ms);
-            for _ in kept.len()..before {
+        for (id, idle) in &mut self.idle {
+            let before = idle.len();
+            idle.retain(|it| now.since(it.idle_since) < it.idle_timeout_ms);
+            for _ in idle.len()..before {
                 note_closed(&mut self.open, id);
             }
         }
-        self.kept.retain(|_, kept| !kept.is_empty());
+        self.idle.retain(|_, idle| !idle.is_empty());
         self.open.retain(|_, open| *open > 0);
     }
 
-    /// Closes every kept connection to an endpoint.
+    /// Closes all idle connections to an endpoint.
     pub(crate) fn drop_endpoint(&mut self, id: &EndpointId) {
-        for _ in self.kept.swap_remove(id).into_iter().flatten() {
+        for _ in self.idle.swap_remove(id).into_iter().flatten() {
             note_closed(&mut self.open, id);
         }
     }
@@ -112,8 +114,9 @@
     }
 }
 
-/// Whether a connection is open and nothing has arrived on it: bytes there belong to no request.
-fn is_quiet(stream: &TcpStream) -> bool {
+/// Whether a connection is open and has received nothing: bytes received while idle belong to no
+/// request.
+fn is_unused(stream: &TcpStream) -> bool {
     let mut one = BytesMut::zeroed(1);
     match stream.try_read(&mut one) {
         Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
--- a/crates/masticsill_relay/src/suspects.rs
+++ b/crates/masticsill_relay/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that crash endpoints: what is noted here, told to the control replicas, and told by them.
+//! Requests that crash endpoints: crashes recorded here, reports to the control replicas, and
+//! records received from them.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,73 +11,74 @@
 use masticsill_types::log_event;
 use tokio::time::{sleep, timeout};
 
-use crate::crash_watch::PROBE_MS;
+use crate::crash_check::CRASH_PROBE_TIMEOUT_MS;
 use crate::events;
 use crate::relay::Relay;
 use crate::request::RelayRequest;
 use crate::reservation::Reservation;
-use crate::tries::Obstacle;
+use crate::retry_state::Obstacle;
 
-/// Pause before a replica that did not answer is told again.
+/// Pause before a report is repeated to a replica that did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Up to where a control replica has been told what was noted here.
+/// Revision of the crash records up to which a control replica has been informed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct ReportedRevision {
     revision: Rc<Cell<u64>>,
 }
 
-impl Told {
-    /// Has everything told again, to a replica that may have forgotten it.
-    pub(crate) fn begin_anew(&self) {
+impl ReportedRevision {
+    /// Causes everything to be reported again, to a replica that may have lost it.
+    pub(crate) fn reset(&self) {
         self.revision.set(0);
     }
 }
 
 impl Relay {
-    /// Notes that a run of a request ended together with its endpoint.
+    /// Records that a run of a request ended because its endpoint crashed.
     pub(crate) fn note_crash(&self, fingerprint: Fingerprint, crash: &CrashRecord) {
         let now = self.now();
         self.crashes
             .borrow_mut()
             .note_crash(now, fingerprint, crash);
         self.metrics.runs_crashed.inc();
-        self.wake_tellers();
+        self.notify_crash_reporters();
     }
 
-    /// Notes that it is known of an endpoint whether it crashed under a request.
-    pub(crate) fn end_check(&self, fingerprint: Fingerprint) {
-        let mut checked = self.checked.borrow_mut();
-        if let Some(place) = checked.iter().position(|it| *it == fingerprint) {
-            checked.swap_remove(place);
+    /// Records that a crash check of a request's endpoint is complete.
+    pub(crate) fn finish_crash_check(&self, fingerprint: Fingerprint) {
+        let mut crash_checks = self.crash_checks.borrow_mut();
+        if let Some(position) = crash_checks.iter().position(|it| *it == fingerprint) {
+            crash_checks.swap_remove(position);
         }
-        drop(checked);
-        self.wake_tellers();
+        drop(crash_checks);
+        self.notify_crash_reporters();
     }
 
-    /// Notes that an endpoint ran a request to an end, well or not: it bore it.
+    /// Records that an endpoint ran a request to its end, successfully or not, without crashing.
     pub(crate) fn note_completion(&self, request: &RelayRequest) {
         let (now, fingerprint) = (self.now(), request.fingerprint);
         let mut ledger = self.crashes.borrow_mut();
         let before = ledger.local_revision();
         ledger.note_completion(now, fingerprint);
         if ledger.local_revision() != before {
-            self.wake_tellers();
+            self.notify_crash_reporters();
         }
     }
 
-    /// Notes that an endpoint has answered a request for so long, with the runs that it goes on from.
+    /// Records for how long endpoints have produced events for a request, over all of its runs, in
+    /// milliseconds.
     pub(crate) fn note_progress(&self, request: &RelayRequest, reached_ms: u64) {
         let mut ledger = self.crashes.borrow_mut();
         let before = ledger.local_revision();
         ledger.note_progress(request.fingerprint, reached_ms);
         if ledger.local_revision() != before {
-            self.wake_tellers();
+            self.notify_crash_reporters();
         }
     }
 
-    /// Takes what a control replica tells of requests that crash endpoints.
-    pub(crate) fn take_suspects(&self, records: &[RequestRecord]) {
+    /// Merges records of requests that crash endpoints, received from a control replica.
+    pub(crate) fn merge_crash_records(&self, records: &[RequestRecord]) {
         if records.is_empty() {
             return;
         }
@@ -92,13 +94,15 @@
             log_if_quarantined(record, standing(&ledger, record));
         }
         drop(ledger);
-        // One that was run to an end here is to be cleared elsewhere.
-        self.wake_tellers();
+        // A request that ran to its end here has to be cleared at the other processes as well.
+        self.notify_crash_reporters();
     }
 
-    /// Judges the crashes that were noted here while no control replica does, and forgets what is old.
+    /// Judges the crashes recorded here while no control replica is reachable to do so, and drops
+    /// old records.
     ///
-    /// A replica knows what else fell at the moment of a crash, this entry only what it ran itself.
+    /// A replica knows which other endpoints failed at the moment of a crash, this entry only what
+    /// it ran itself.
     pub(crate) fn judge_crashes(&self) {
         let now = self.now();
         let mut ledger = self.crashes.borrow_mut();
@@ -109,40 +113,44 @@
         }
     }
 
-    /// Has the tasks that tell control replicas of crashes look for what is new.
-    pub(crate) fn wake_tellers(&self) {
-        self.noted_crashes.send_modify(|count| *count += 1);
+    /// Wakes the tasks that report crashes to control replicas.
+    pub(crate) fn notify_crash_reporters(&self) {
+        self.crash_changes.send_modify(|count| *count += 1);
     }
 
-    /// Endpoints that a request is kept from, so that it doesn't meet another one under which an
-    /// endpoint has crashed as well: together again, nobody could tell which of them it was. Where none
-    /// is left, the next list holds, and then none.
+    /// Lists of endpoints to exclude for a request, so that it does not run beside another request
+    /// under which an endpoint has crashed: after another crash nobody could tell which of the two
+    /// caused it. If a list leaves no endpoint, the next one applies, and finally none.
     ///
-    /// Those of this entry are known. From those of other entries it is kept apart by its fingerprint
-    /// once a further crash may have it sent nowhere.
-    pub(crate) fn endpoints_kept_from(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
-        let beside = self.endpoints_of_other_suspects(request);
+    /// Suspect requests of this entry are known. The request is kept apart from those of other
+    /// entries by its fingerprint once one further crash may quarantine it.
+    pub(crate) fn isolation_exclusions(&self, request: &RelayRequest) -> Vec<Vec<EndpointId>> {
+        let other_suspects = self.endpoints_of_other_suspects(request);
         let mut lists = Vec::new();
         if self.is_near_quarantine(request) {
             let fingerprint = &request.fingerprint;
             let endpoints = self.endpoints.borrow();
-            let said = endpoints.iter().map(|it| &it.announcement);
-            let of_service = said.filter(|it| it.service == request.service);
+            let announcements = endpoints.iter().map(|it| &it.announcement);
+            let of_service = announcements.filter(|it| it.service == request.service);
             let others = of_service.filter(|it| !fingerprint.is_isolated_to(&it.id));
             let others: Vec<EndpointId> = others.map(|it| it.id.clone()).collect();
-            lists.push([beside.as_slice(), &others].concat());
+            lists.push([other_suspects.as_slice(), &others].concat());
         }
-        if !beside.is_empty() {
-            lists.push(beside);
+        if !other_suspects.is_empty() {
+            lists.push(other_suspects);
         }
         lists
     }
 
-    /// Whether a request which another crash may have sent nowhere would meet one of this entry under
-    /// which an endpoint has crashed as well.
-    pub(crate) fn would_meet_suspect(&self, request: &RelayRequest, endpoint: &EndpointId) -> bool {
-        let is_short = self.is_near_quarantine(request);
-        is_short && self.endpoints_of_other_suspects(request).contains(endpoint)
+    /// Whether a request that one further crash may quarantine would run beside another suspect
+    /// request of this entry.
+    pub(crate) fn would_colocate_with_suspect(
+        &self,
+        request: &RelayRequest,
+        endpoint: &EndpointId,
+    ) -> bool {
+        let is_near_quarantine = self.is_near_quarantine(request);
+        is_near_quarantine && self.endpoints_of_other_suspects(request).contains(endpoint)
     }
 
     fn is_near_quarantine(&self, request: &RelayRequest) -> bool {
@@ -151,7 +159,7 @@
             .is_near_quarantine(&request.fingerprint)
     }
 
-    /// Endpoints where another request runs under which an endpoint has crashed, if one has under this.
+    /// Endpoints that run another suspect request, if this request is suspect itself.
     fn endpoints_of_other_suspects(&self, request: &RelayRequest) -> Vec<EndpointId> {
         if !self.is_crash_suspect(request) {
             return Vec::new();
@@ -161,29 +169,31 @@
         others.map(|(_, endpoint)| endpoint.clone()).collect()
     }
 
-    /// Marks where a request goes to run, if an endpoint has crashed under it, or may have.
+    /// Marks the run of a request under which an endpoint has crashed, or may have.
     pub(crate) fn mark_suspect(&self, request: &RelayRequest, reservation: &mut Reservation) {
         if self.is_crash_suspect(request) {
-            reservation.note_suspect(request.fingerprint);
+            reservation.mark_suspect_run(request.fingerprint);
         }
     }
 
     fn is_crash_suspect(&self, request: &RelayRequest) -> bool {
         let fingerprint = &request.fingerprint;
-        let is_checked = self.checked.borrow().contains(fingerprint);
+        let is_checked = self.crash_checks.borrow().contains(fingerprint);
         is_checked || self.crashes.borrow().is_suspect(fingerprint)
     }
 
-    /// Whether a request may be sent, as far as the endpoints are concerned that crashed under it.
+    /// Checks whether a request may be sent, considering the endpoints that crashed under it.
     ///
     /// # Errors
     ///
-    /// It is sent nowhere, or is to wait for the judgement of a crash.
+    /// The request is quarantined, or has to wait until a crash is judged.
     pub(crate) fn check_crashes(&self, request: &RelayRequest) -> Result<(), Obstacle> {
         let fingerprint = &request.fingerprint;
-        let is_checked = self.checked.borrow().contains(fingerprint);
+        let is_checked = self.crash_checks.borrow().contains(fingerprint);
         if is_checked && self.is_near_quarantine(request) {
-            return Err(Obstacle::Held { left_ms: PROBE_MS });
+            return Err(Obstacle::Held {
+                left_ms: CRASH_PROBE_TIMEOUT_MS,
+            });
         }
         match self.standing(request) {
             Standing::Free => Ok(()),
@@ -192,7 +202,7 @@
         }
     }
 
-    /// For how long a request is sent nowhere, since it crashes endpoints; none if it may be sent.
+    /// Time left for which a request is quarantined, in milliseconds; `None` if it is not.
     pub(crate) fn quarantine_left_ms(&self, request: &RelayRequest) -> Option<u64> {
         match self.standing(request) {
             Standing::Free | Standing::Held { .. } => None,
@@ -205,34 +215,38 @@
         ledger.standing(self.now(), &request.fingerprint)
     }
 
-    /// Waits until something is learned of crashes, `bound_ms` at most.
-    pub(crate) async fn await_judgement(&self, bound_ms: u64) {
-        let mut noted = self.noted_crashes.subscribe();
-        // The bound ends the wait where nobody judges.
-        let _ = timeout(Duration::from_millis(bound_ms), noted.changed()).await;
+    /// Waits until the crash records change, `bound_ms` milliseconds at most.
+    pub(crate) async fn wait_for_crash_change(&self, bound_ms: u64) {
+        let mut changes = self.crash_changes.subscribe();
+        // The timeout ends the wait if nothing changes.
+        let _ = timeout(Duration::from_millis(bound_ms), changes.changed()).await;
     }
 }
 
-/// Tells a control replica what is noted here of requests under which endpoints crashed, for good.
-pub(crate) async fn tell_crashes(relay: Rc<Relay>, address: SocketAddr, told: Told) {
-    let mut noted = relay.noted_crashes.subscribe();
-    while noted.changed().await.is_ok() {
+/// Reports crashes recorded here to a control replica, until the relay ends.
+pub(crate) async fn report_crashes(
+    relay: Rc<Relay>,
+    address: SocketAddr,
+    reported: ReportedRevision,
+) {
+    let mut changes = relay.crash_changes.subscribe();
+    while changes.changed().await.is_ok() {
         loop {
             let (revision, records) = {
                 let ledger = relay.crashes.borrow();
-                if ledger.local_revision() <= told.revision.get() {
+                if ledger.local_revision() <= reported.revision.get() {
                     break;
                 }
-                let records = ledger.local_since(relay.now(), told.revision.get());
+                let records = ledger.local_since(relay.now(), reported.revision.get());
                 (ledger.revision(), records)
             };
             if relay.control.tell_crashes(address, &records).await {
-                told.revision.set(revision);
+                reported.revision.set(revision);
                 continue;
             }
             sleep(RETRY_PAUSE).await;
             if !relay.control_reached.borrow().contains_key(&address) {
-                // It is told once it is reached again.
+                // The report is repeated once the replica is reached again.
                 break;
             }
         }
--- a/crates/masticsill_upstream/src/exchange.rs
+++ b/crates/masticsill_upstream/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on a connection to an endpoint.
+//! One HTTP exchange on a connection to an endpoint.
 
 use std::io;
 
@@ -9,35 +9,35 @@
 
 use crate::read::read_more;
 
-/// Bytes of an answer's head at most.
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Room made for each read.
-const READ_BYTES: usize = 16 * 1024;
-/// Answers of earlier requests that are skipped before a connection is given up.
-const MAX_FOREIGN_ANSWERS: u32 = 4;
+/// Buffer space reserved for each read.
+const READ_RESERVE_BYTES: usize = 16 * 1024;
+/// Maximum number of responses to earlier requests that are skipped before the exchange fails.
+const MAX_SKIPPED_RESPONSES: u32 = 4;
 
-/// Why an exchange ended without a whole answer.
+/// Why an exchange ended without a complete response.
 #[derive(Debug)]
-pub enum Break {
-    /// The connection ended or failed.
+pub enum ExchangeError {
+    /// The connection was closed or failed.
     Connection(io::Error),
-    /// The bytes are no answer.
+    /// The bytes received are not a valid response.
     Parse(ParseError),
 }
 
-impl From<io::Error> for Break {
+impl From<io::Error> for ExchangeError {
     fn from(error: io::Error) -> Self {
         Self::Connection(error)
     }
 }
 
-impl From<ParseError> for Break {
+impl From<ParseError> for ExchangeError {
     fn from(error: ParseError) -> Self {
         Self::Parse(error)
     }
 }
 
-impl std::fmt::Display for Break {
+impl std::fmt::Display for ExchangeError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Connection(error) => write!(formatter, "connection: {error}"),
@@ -48,17 +48,17 @@
 
 /// The connection of one exchange.
 #[derive(Debug)]
-pub struct Upstream {
+pub struct UpstreamConnection {
     buffer: BytesMut,
-    /// Whether all of the request has left.
+    /// Whether the request has been sent completely.
     is_sent: bool,
     stream: TcpStream,
 }
 
-/// How answers are told apart.
+/// How the response to a request is recognised.
 #[derive(Clone, Copy, Debug)]
-pub struct Expected<'a> {
-    /// The request's method, on which the answer's framing depends.
+pub struct ExpectedResponse<'a> {
+    /// The request's method, on which the framing of the response depends.
     pub method: &'a str,
     /// The header field in which endpoints repeat the request's id.
     pub id_field: &'a str,
@@ -66,28 +66,29 @@
     pub request_id: &'a str,
 }
 
-impl Upstream {
-    /// An exchange on a connection that no other one uses.
+impl UpstreamConnection {
+    /// Starts an exchange on a connection that is not used by any other.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self {
-            buffer: BytesMut::with_capacity(READ_BYTES),
+            buffer: BytesMut::with_capacity(READ_RESERVE_BYTES),
             is_sent: false,
             stream,
         }
     }
 
-    /// Sends a request and reads the head of its answer, both at once: an endpoint may answer
-    /// before it has read a long body. Answers to other requests are skipped.
+    /// Sends a request and reads the head of its response, both at once: an endpoint may respond
+    /// before it has read a long body. Responses to other requests are skipped.
     ///
     /// # Errors
     ///
-    /// The connection's break, or that its bytes are no answer.
+    /// The connection failed, the bytes received are not a valid response, or too many responses
+    /// belong to other requests.
     pub async fn exchange(
         &mut self,
         request: &[u8],
-        expected: Expected<'_>,
-    ) -> Result<ResponseHead, Break> {
+        expected: ExpectedResponse<'_>,
+    ) -> Result<ResponseHead, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let writing = writer.write_all(request);
         tokio::pin!(writing);
@@ -108,39 +109,42 @@
                 return Ok(head);
             }
             skipped += 1;
-            if skipped > MAX_FOREIGN_ANSWERS {
-                return Err(Break::Parse(ParseError::Head));
+            if skipped > MAX_SKIPPED_RESPONSES {
+                return Err(ExchangeError::Parse(ParseError::Head));
             }
             let mut decoder = BodyDecoder::new(head.framing);
-            while next_piece(&mut reader, &mut self.buffer, &mut decoder)
+            while next_chunk(&mut reader, &mut self.buffer, &mut decoder)
                 .await?
                 .is_some()
             {}
         }
     }
 
-    /// Reads the next piece of the answer's body; `None` at its proper end.
+    /// Reads the next chunk of the response body; `None` at its regular end.
     ///
     /// # Errors
     ///
-    /// As [`Self::exchange`].
-    pub async fn next_piece(&mut self, decoder: &mut BodyDecoder) -> Result<Option<Bytes>, Break> {
-        next_piece(&mut self.stream, &mut self.buffer, decoder).await
+    /// The connection failed or ended early, or the bytes received are not a valid body.
+    pub async fn next_chunk(
+        &mut self,
+        decoder: &mut BodyDecoder,
+    ) -> Result<Option<Bytes>, ExchangeError> {
+        next_chunk(&mut self.stream, &mut self.buffer, decoder).await
     }
 
-    /// Reads the whole body of an answer, of `max_bytes` at most.
+    /// Reads the whole response body, of at most `max_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// As [`Self::exchange`]; a longer body counts as no answer.
-    pub async fn read_whole(
+    /// As [`Self::next_chunk`]; a longer body counts as invalid.
+    pub async fn read_body(
         &mut self,
         framing: Framing,
         max_bytes: usize,
-    ) -> Result<BytesMut, Break> {
+    ) -> Result<BytesMut, ExchangeError> {
         let mut decoder = BodyDecoder::new(framing);
         let mut body = BytesMut::new();
-        while let Some(piece) = self.next_piece(&mut decoder).await? {
+        while let Some(piece) = self.next_chunk(&mut decoder).await? {
             body.extend_from_slice(&piece);
             if body.len() > max_bytes {
                 return Err(ParseError::Framing.into());
@@ -149,8 +153,8 @@
         Ok(body)
     }
 
-    /// The connection, if the next request may use it: the request has left whole and nothing
-    /// follows the answer.
+    /// The connection, if the next request may use it: the request has been sent completely and
+    /// nothing follows the response.
     pub fn into_reusable(self) -> Option<TcpStream> {
         (self.is_sent && self.buffer.is_empty()).then_some(self.stream)
     }
@@ -160,29 +164,29 @@
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
     method: &str,
-) -> Result<ResponseHead, Break> {
+) -> Result<ResponseHead, ExchangeError> {
     loop {
         if let Some(head) = parse_response(buffer, method, MAX_HEAD_BYTES)? {
             return Ok(head);
         }
-        if !read_more(reader, buffer, READ_BYTES).await? {
+        if !read_more(reader, buffer, READ_RESERVE_BYTES).await? {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
     }
 }
 
-async fn next_piece(
+async fn next_chunk(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
     decoder: &mut BodyDecoder,
-) -> Result<Option<Bytes>, Break> {
+) -> Result<Option<Bytes>, ExchangeError> {
     loop {
         match decoder.step(buffer)? {
             BodyStep::Data(data) => return Ok(Some(data)),
             BodyStep::End => return Ok(None),
             BodyStep::NeedMore => {}
         }
-        if read_more(reader, buffer, READ_BYTES).await? {
+        if read_more(reader, buffer, READ_RESERVE_BYTES).await? {
             continue;
         }
         if decoder.ends_with_connection() {
--- a/crates/masticsill_upstream/src/lib.rs
+++ b/crates/masticsill_upstream/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 exchanges with endpoints: connections on which a dead peer shows, and answers that are
-//! told apart by the id of their request.
+//! HTTP/1.1 exchanges with endpoints: connections that detect a dead peer, and responses that are
+//! matched to requests by id.
 //!
-//! Relays pass requests on through it, and control replicas ask engines what they keep.
+//! Relays forward requests with this crate, and control replicas ask engines what they have cached.
 
 mod call;
 mod dial;
@@ -9,6 +9,6 @@
 mod read;
 
 pub use call::{EndpointCall, EndpointClient};
-pub use dial::{dial, watch_peer};
-pub use exchange::{Break, Expected, Upstream};
+pub use dial::{configure_socket, dial};
+pub use exchange::{ExchangeError, ExpectedResponse, UpstreamConnection};
 pub use read::read_more;
