--- a/crates/masticsill_routing/src/cache_view.rs
+++ b/crates/masticsill_routing/src/cache_view.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-const KEPT_PREFIXES: usize = 512;
+const MAX_PREFIXES_PER_ENGINE: usize = 512;
 
 /// One change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -17,7 +17,7 @@
 
 /// Whether a prefix is in an engine's cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Cached {
+pub(crate) enum CachePresence {
     No,
     Unknown,
     Yes,
@@ -33,7 +33,7 @@
 }
 
 impl CacheView {
-    pub(crate) fn take(&mut self, change: CacheChange) {
+    pub(crate) fn apply(&mut self, change: CacheChange) {
         let is_repeated = self
             .last_sequence
             .is_some_and(|last| change.sequence <= last);
@@ -56,27 +56,27 @@
     }
 
     /// Notes that work with this prefix was sent there; its event is still to come.
-    pub(crate) fn expect(&mut self, prefix_hash: u64) {
+    pub(crate) fn note_sent(&mut self, prefix_hash: u64) {
         if !self.stored.contains_key(&prefix_hash) {
             self.store(prefix_hash, self.epoch.wrapping_sub(1));
         }
     }
 
-    pub(crate) fn holds(&self, prefix_hash: u64) -> Cached {
+    pub(crate) fn presence(&self, prefix_hash: u64) -> CachePresence {
         match self.stored.get(&prefix_hash) {
-            Some(epoch) if *epoch == self.epoch => Cached::Yes,
-            None if self.epoch == 0 && self.last_sequence.is_some() => Cached::No,
-            Some(_) | None => Cached::Unknown,
+            Some(epoch) if *epoch == self.epoch => CachePresence::Yes,
+            None if self.epoch == 0 && self.last_sequence.is_some() => CachePresence::No,
+            Some(_) | None => CachePresence::Unknown,
         }
     }
 
     /// Whether this very prefix was stored or sent there, so that unknown means likely.
-    pub(crate) fn has_seen(&self, prefix_hash: u64) -> bool {
+    pub(crate) fn is_listed(&self, prefix_hash: u64) -> bool {
         self.stored.contains_key(&prefix_hash)
     }
 
     fn store(&mut self, prefix_hash: u64, epoch: u32) {
-        if self.stored.len() >= KEPT_PREFIXES {
+        if self.stored.len() >= MAX_PREFIXES_PER_ENGINE {
             self.stored.swap_remove_index(0);
         }
         self.stored.insert(prefix_hash, epoch);
--- a/crates/masticsill_routing/src/config.rs
+++ b/crates/masticsill_routing/src/config.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(crate) fn longest_wait_ms(&self, class: Class) -> u64 {
+    pub(crate) fn max_wait_ms(&self, class: Class) -> u64 {
         match class {
             Class::InstantLookup => self.lookup_wait_ms,
             Class::PatientDraft => self.draft_wait_ms,
--- a/crates/masticsill_routing/src/endpoint.rs
+++ b/crates/masticsill_routing/src/endpoint.rs
@@ -4,19 +4,19 @@
 
 use masticsill_types::{Class, ClockMs, EndpointKind, Incarnation, LoadReport, NodeId, ZoneId};
 
-use crate::cache_view::{CacheView, Cached};
+use crate::cache_view::{CacheView, CachePresence};
 use crate::config::RouterConfig;
 use crate::number::{hash_text, mix, to_float};
 use crate::request::{BackEndTarget, PrefixBlock};
 use crate::slot_gate::reserved_slots;
 
 /// What a likely prefix is worth, in hundredths of a known one.
-const LIKELY_PERCENT: u32 = 60;
+const UNCONFIRMED_CACHED_PERCENT: u32 = 60;
 /// Reports that lag more than this are not corrected by what was done since.
-const LONGEST_LAG_MS: u64 = 10_000;
+const MAX_REPORT_LAG_MS: u64 = 10_000;
 /// How long a slot that own work left is this entry's to fill again; later, a report may have
 /// shown it to others.
-const REFILL_MS: u64 = 50;
+const FREED_SLOT_HOLD_MS: u64 = 50;
 
 /// An endpoint as membership describes it.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -55,7 +55,7 @@
 
 /// A load report and what this entry did since it was true.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct CorrectedReport {
     as_of: ClockMs,
     /// Own drafts started since, on slots that the report may show to others as free.
     claimed_since: u32,
@@ -64,17 +64,17 @@
     started_since: InFlight,
 }
 
-impl Reported {
-    fn counted(&self) -> u32 {
+impl CorrectedReport {
+    fn total_reported(&self) -> u32 {
         self.load.running + self.load.waiting
     }
 
-    fn add(&mut self, step: Step) {
-        match step.kind {
-            StepKind::Claim | StepKind::Refill => *self.started_since.of_mut(step.class) += 1,
-            StepKind::End => *self.ended_since.of_mut(step.class) += 1,
+    fn add(&mut self, event: OwnEvent) {
+        match event.kind {
+            OwnEventKind::Claim | OwnEventKind::Reuse => *self.started_since.of_mut(event.class) += 1,
+            OwnEventKind::End => *self.ended_since.of_mut(event.class) += 1,
         }
-        if step.kind == StepKind::Claim && step.class == Class::PatientDraft {
+        if event.kind == OwnEventKind::Claim && event.class == Class::PatientDraft {
             self.claimed_since += 1;
         }
     }
@@ -82,16 +82,16 @@
 
 /// A start or an end of own work.
 #[derive(Clone, Copy, Debug)]
-struct Step {
+struct OwnEvent {
     at: ClockMs,
     class: Class,
-    kind: StepKind,
+    kind: OwnEventKind,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum StepKind {
+enum OwnEventKind {
     /// A start on a slot that own work left just before.
-    Refill,
+    Reuse,
     /// Any other start.
     Claim,
     End,
@@ -135,10 +135,10 @@
     pub(crate) is_shared: bool,
     pub(crate) node: NodeId,
     /// When own drafts left slots that were not filled again yet.
-    left_at: VecDeque<ClockMs>,
+    freed_at: VecDeque<ClockMs>,
     /// Own starts and ends, newest last, to be counted against a report that is late.
-    recent: VecDeque<Step>,
-    reported: Option<Reported>,
+    recent: VecDeque<OwnEvent>,
+    reported: Option<CorrectedReport>,
     pub(crate) slots: u32,
 }
 
@@ -148,7 +148,7 @@
         description: EndpointDescription,
         config: &RouterConfig,
     ) -> Self {
-        let slots = count_slots(&description, config);
+        let slots = slots_of(&description, config);
         Self {
             cache: CacheView::default(),
             description,
@@ -156,7 +156,7 @@
             in_flight: InFlight::default(),
             is_down: false,
             is_shared: false,
-            left_at: VecDeque::new(),
+            freed_at: VecDeque::new(),
             node,
             recent: VecDeque::new(),
             reported: None,
@@ -165,15 +165,15 @@
     }
 
     /// Takes a new description. A new life forgets what the old one reported.
-    pub(crate) fn describe(&mut self, description: EndpointDescription, config: &RouterConfig) {
+    pub(crate) fn update(&mut self, description: EndpointDescription, config: &RouterConfig) {
         if description.incarnation != self.description.incarnation {
             self.cache = CacheView::default();
             self.is_down = false;
-            self.left_at.clear();
+            self.freed_at.clear();
             self.recent.clear();
             self.reported = None;
         }
-        self.slots = count_slots(&description, config);
+        self.slots = slots_of(&description, config);
         self.description = description;
     }
 
@@ -209,12 +209,12 @@
 
     pub(crate) fn begin(&mut self, now: ClockMs, class: Class) {
         *self.in_flight.of_mut(class) += 1;
-        self.forget_left(now);
-        let is_refill = class == Class::PatientDraft && self.left_at.pop_front().is_some();
-        let kind = if is_refill {
-            StepKind::Refill
+        self.evict_freed(now);
+        let is_reuse = class == Class::PatientDraft && self.freed_at.pop_front().is_some();
+        let kind = if is_reuse {
+            OwnEventKind::Reuse
         } else {
-            StepKind::Claim
+            OwnEventKind::Claim
         };
         self.note(now, class, kind);
     }
@@ -222,26 +222,26 @@
     pub(crate) fn end(&mut self, now: ClockMs, class: Class) {
         let count = self.in_flight.of_mut(class);
         *count = count.saturating_sub(1);
-        self.forget_left(now);
+        self.evict_freed(now);
         if class == Class::PatientDraft {
-            self.left_at.push_back(now);
+            self.freed_at.push_back(now);
         }
-        self.note(now, class, StepKind::End);
+        self.note(now, class, OwnEventKind::End);
     }
 
-    fn forget_left(&mut self, now: ClockMs) {
-        self.left_at.retain(|left| now.since(*left) <= REFILL_MS);
+    fn evict_freed(&mut self, now: ClockMs) {
+        self.freed_at.retain(|left| now.since(*left) <= FREED_SLOT_HOLD_MS);
     }
 
-    fn note(&mut self, at: ClockMs, class: Class, kind: StepKind) {
-        let oldest = at.before(LONGEST_LAG_MS);
-        while self.recent.front().is_some_and(|step| step.at < oldest) {
+    fn note(&mut self, at: ClockMs, class: Class, kind: OwnEventKind) {
+        let oldest = at.before(MAX_REPORT_LAG_MS);
+        while self.recent.front().is_some_and(|event| event.at < oldest) {
             self.recent.pop_front();
         }
-        let step = Step { at, class, kind };
-        self.recent.push_back(step);
+        let event = OwnEvent { at, class, kind };
+        self.recent.push_back(event);
         if let Some(reported) = &mut self.reported {
-            reported.add(step);
+            reported.add(event);
         }
     }
 
@@ -251,16 +251,16 @@
         if self.reported.is_some_and(|reported| reported.as_of > as_of) {
             return;
         }
-        self.recent.retain(|step| step.at >= as_of);
-        let mut reported = Reported {
+        self.recent.retain(|event| event.at >= as_of);
+        let mut reported = CorrectedReport {
             as_of,
             claimed_since: 0,
             ended_since: InFlight::default(),
             load,
             started_since: InFlight::default(),
         };
-        for step in &self.recent {
-            reported.add(*step);
+        for event in &self.recent {
+            reported.add(*event);
         }
         self.reported = Some(reported);
     }
@@ -289,13 +289,13 @@
                 left.max(self.in_flight.lookups)
             }
             Class::PatientDraft => {
-                let moved = reported.counted() + reported.started_since.total();
+                let moved = reported.total_reported() + reported.started_since.total();
                 moved.saturating_sub(reported.ended_since.total()).max(own)
             }
         }
     }
 
-    fn fresh_report(&self, now: ClockMs, stale_ms: u64) -> Option<&Reported> {
+    fn fresh_report(&self, now: ClockMs, stale_ms: u64) -> Option<&CorrectedReport> {
         let reported = self.reported.as_ref()?;
         (now.since(reported.as_of) <= stale_ms).then_some(reported)
     }
@@ -320,25 +320,25 @@
             Class::PatientDraft => {
                 let kept = reserved.saturating_sub(lookups);
                 let free = self.slots.saturating_sub(estimate + kept);
-                free.min(self.allowance(now, kept, stale_ms, seat))
+                free.min(self.draft_allowance(now, kept, stale_ms, seat))
             }
         }
     }
 
     /// Drafts that this entry may start before the next report, lest several entries take the
     /// same free slot: its part of the slots reported free, and those that its own drafts left.
-    fn allowance(&self, now: ClockMs, kept: u32, stale_ms: u64, seat: EntrySeat) -> u32 {
+    fn draft_allowance(&self, now: ClockMs, kept: u32, stale_ms: u64, seat: EntrySeat) -> u32 {
         let Some(reported) = self.fresh_report(now, stale_ms) else {
             return u32::MAX;
         };
-        let free = self.slots.saturating_sub(reported.counted() + kept);
+        let free = self.slots.saturating_sub(reported.total_reported() + kept);
         let claims = seat
             .part(free, self.hash)
             .saturating_sub(reported.claimed_since);
         let left = self
-            .left_at
+            .freed_at
             .iter()
-            .filter(|left| now.since(**left) <= REFILL_MS);
+            .filter(|left| now.since(**left) <= FREED_SLOT_HOLD_MS);
         claims + u32::try_from(left.count()).unwrap_or(u32::MAX)
     }
 
@@ -358,12 +358,12 @@
     /// Tokens of a prompt that are expected to be cached here.
     pub(crate) fn cached_tokens(&self, prefix: &[PrefixBlock]) -> u32 {
         for block in prefix.iter().rev() {
-            match self.cache.holds(block.hash) {
-                Cached::Yes => return block.tokens,
-                Cached::Unknown if self.cache.has_seen(block.hash) => {
-                    return block.tokens * LIKELY_PERCENT / 100;
+            match self.cache.presence(block.hash) {
+                CachePresence::Yes => return block.tokens,
+                CachePresence::Unknown if self.cache.is_listed(block.hash) => {
+                    return block.tokens * UNCONFIRMED_CACHED_PERCENT / 100;
                 }
-                Cached::No | Cached::Unknown => {}
+                CachePresence::No | CachePresence::Unknown => {}
             }
         }
         0
@@ -375,7 +375,7 @@
     }
 }
 
-fn count_slots(description: &EndpointDescription, config: &RouterConfig) -> u32 {
+fn slots_of(description: &EndpointDescription, config: &RouterConfig) -> u32 {
     match &description.kind {
         EndpointKind::Engine { slots, .. } => *slots,
         EndpointKind::PlainService { .. } => config.service_slots,
--- a/crates/masticsill_routing/src/fair_queue.rs
+++ b/crates/masticsill_routing/src/fair_queue.rs
@@ -14,7 +14,7 @@
 
 /// What came of trying to start a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Trial<T> {
+pub(crate) enum StartAttempt<T> {
     /// It starts, with this.
     Started(T),
     /// It can't start now; others may.
@@ -39,7 +39,7 @@
 
 /// What is ahead of a new request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ahead {
+pub(crate) struct WorkAhead {
     /// Cost that is served before it, as well as can be told.
     pub(crate) cost: u64,
     /// Whether there is room for it.
@@ -63,7 +63,7 @@
 
     /// What would be ahead of a new request: its workspace's own, and of each other workspace as
     /// much as that one may have in the same time.
-    pub(crate) fn ahead(&self, request: &WorkRequest, capacity: usize) -> Ahead {
+    pub(crate) fn ahead(&self, request: &WorkRequest, capacity: usize) -> WorkAhead {
         let flow = self.flows.get(&request.workspace);
         let own_length = flow.map_or(0, |flow| flow.waiting.len());
         let own_cost = flow.map_or(0, |flow| flow.cost);
@@ -74,7 +74,7 @@
             .filter(|(name, _)| **name != request.workspace);
         let others_cost: u64 = others.map(|(_, flow)| flow.cost.min(share)).sum();
         let room = capacity.saturating_sub(self.length);
-        Ahead {
+        WorkAhead {
             cost: own_cost + others_cost,
             has_room: own_length < room,
         }
@@ -102,37 +102,37 @@
     /// Takes the first request in order that `try_start` can start, and what it gave.
     pub(crate) fn start_next<T>(
         &mut self,
-        mut try_start: impl FnMut(&WorkRequest) -> Trial<T>,
+        mut try_start: impl FnMut(&WorkRequest) -> StartAttempt<T>,
     ) -> Option<(WorkRequest, T)> {
         let first = self.first_flow()?;
         match try_start(self.head(first)) {
-            Trial::Started(started) => return Some((self.take_head(first), started)),
-            Trial::Stopped => return None,
-            Trial::Skipped => {}
+            StartAttempt::Started(started) => return Some((self.take_head(first), started)),
+            StartAttempt::Stopped => return None,
+            StartAttempt::Skipped => {}
         }
         for index in self.flows_in_order().into_iter().skip(1) {
             match try_start(self.head(index)) {
-                Trial::Started(started) => return Some((self.take_head(index), started)),
-                Trial::Stopped => return None,
-                Trial::Skipped => {}
+                StartAttempt::Started(started) => return Some((self.take_head(index), started)),
+                StartAttempt::Stopped => return None,
+                StartAttempt::Skipped => {}
             }
         }
         None
     }
 
     /// Tags and places of the workspaces with waiting work.
-    fn busy_flows(&self) -> impl Iterator<Item = (u64, usize)> {
+    fn backlogged_flows(&self) -> impl Iterator<Item = (u64, usize)> {
         let flows = self.flows.values().enumerate();
         let busy = flows.filter(|(_, flow)| !flow.waiting.is_empty());
         busy.map(|(index, flow)| (flow.tag, index))
     }
 
     fn first_flow(&self) -> Option<usize> {
-        self.busy_flows().min().map(|(_, index)| index)
+        self.backlogged_flows().min().map(|(_, index)| index)
     }
 
     fn flows_in_order(&self) -> Vec<usize> {
-        let mut flows: Vec<(u64, usize)> = self.busy_flows().collect();
+        let mut flows: Vec<(u64, usize)> = self.backlogged_flows().collect();
         flows.sort_unstable();
         flows.into_iter().map(|(_, index)| index).collect()
     }
@@ -154,7 +154,7 @@
         flow.cost -= cost;
         self.cost -= cost;
         self.length -= 1;
-        self.forget_idle();
+        self.evict_idle_flows();
         waiting.request
     }
 
@@ -164,12 +164,12 @@
             return false;
         };
         let mut waiting = flow.waiting.iter();
-        let Some(place) = waiting.position(|waiting| waiting.request.id == id) else {
+        let Some(position) = waiting.position(|waiting| waiting.request.id == id) else {
             return false;
         };
         let removed = flow
             .waiting
-            .remove(place)
+            .remove(position)
             .expect("the place was just found");
         let cost = removed.request.cost();
         flow.cost -= cost;
@@ -194,7 +194,7 @@
     }
 
     /// Forgets workspaces that wait for nothing and have no turn to make up.
-    fn forget_idle(&mut self) {
+    fn evict_idle_flows(&mut self) {
         let virtual_time = self.virtual_time;
         let is_kept = |flow: &Flow| !flow.waiting.is_empty() || flow.tag > virtual_time;
         if self.flows.len() > 2 * self.length + 64 {
--- a/crates/masticsill_routing/src/lane.rs
+++ b/crates/masticsill_routing/src/lane.rs
@@ -4,13 +4,13 @@
 
 use masticsill_types::{Class, ClockMs, GenerationId};
 
-use crate::fair_queue::{FairQueue, Trial, Waiting};
-use crate::number::{Average, to_count, to_float};
+use crate::fair_queue::{FairQueue, StartAttempt, Waiting};
+use crate::number::{MovingAverage, to_count, to_float};
 use crate::request::WorkRequest;
 
 /// Speed of a slot before anything was measured, in tokens a millisecond.
-const FIRST_SPEED: f64 = 0.03;
-const LONGEST_MS: u64 = 3_600_000;
+const INITIAL_SPEED_COST_PER_MS: f64 = 0.03;
+const MAX_ESTIMATE_MS: u64 = 3_600_000;
 
 /// The waiting work of one class for one model.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
     pub(crate) resumes: VecDeque<Waiting>,
     resumes_cost: u64,
     /// Cost that one slot serves in a millisecond.
-    speed: Average,
+    speed: MovingAverage,
 }
 
 impl Lane {
@@ -37,13 +37,13 @@
     /// Takes the first resume that `try_start` can start, and what it gave.
     pub(crate) fn start_resume<T>(
         &mut self,
-        mut try_start: impl FnMut(&WorkRequest) -> Trial<T>,
+        mut try_start: impl FnMut(&WorkRequest) -> StartAttempt<T>,
     ) -> Option<(WorkRequest, T)> {
-        for place in 0..self.resumes.len() {
-            match try_start(&self.resumes[place].request) {
-                Trial::Started(started) => return Some((self.take_resume(place), started)),
-                Trial::Skipped => {}
-                Trial::Stopped => return None,
+        for position in 0..self.resumes.len() {
+            match try_start(&self.resumes[position].request) {
+                StartAttempt::Started(started) => return Some((self.remove_resume(position), started)),
+                StartAttempt::Skipped => {}
+                StartAttempt::Stopped => return None,
             }
         }
         None
@@ -51,48 +51,48 @@
 
     /// Takes out one resume whose wait is over.
     pub(crate) fn expire_resume(&mut self, now: ClockMs) -> Option<WorkRequest> {
-        let place = self
+        let position = self
             .resumes
             .iter()
             .position(|waiting| waiting.expires_at <= now)?;
-        Some(self.take_resume(place))
+        Some(self.remove_resume(position))
     }
 
     /// Takes out a resume that is no longer wanted.
     pub(crate) fn withdraw_resume(&mut self, id: GenerationId) -> bool {
         let mut waiting = self.resumes.iter();
-        let Some(place) = waiting.position(|waiting| waiting.request.id == id) else {
+        let Some(position) = waiting.position(|waiting| waiting.request.id == id) else {
             return false;
         };
-        self.take_resume(place);
+        self.remove_resume(position);
         true
     }
 
-    fn take_resume(&mut self, place: usize) -> WorkRequest {
+    fn remove_resume(&mut self, position: usize) -> WorkRequest {
         let waiting = self
             .resumes
-            .remove(place)
+            .remove(position)
             .expect("the place was just found");
         self.resumes_cost -= waiting.request.cost();
         waiting.request
     }
 
     /// Notes that work of this cost took this long.
-    pub(crate) fn served(&mut self, cost: u64, duration_ms: u64) {
+    pub(crate) fn record_service(&mut self, cost: u64, duration_ms: u64) {
         self.speed
             .add(to_float(cost) / to_float(duration_ms.max(1)));
     }
 
     /// Milliseconds that work ahead takes on so many slots, the waiting resumes included.
     pub(crate) fn wait_ms(&self, cost_ahead: u64, slots: u32) -> u64 {
-        let speed = self.speed.get().unwrap_or(FIRST_SPEED) * f64::from(slots.max(1));
-        to_count(to_float(cost_ahead + self.resumes_cost) / speed, LONGEST_MS)
+        let speed = self.speed.get().unwrap_or(INITIAL_SPEED_COST_PER_MS) * f64::from(slots.max(1));
+        to_count(to_float(cost_ahead + self.resumes_cost) / speed, MAX_ESTIMATE_MS)
     }
 
     /// Milliseconds that work of this cost takes in a slot, once that was measured.
     pub(crate) fn service_ms(&self, cost: u64) -> Option<u64> {
         let speed = self.speed.get()?;
-        Some(to_count(to_float(cost) / speed, LONGEST_MS))
+        Some(to_count(to_float(cost) / speed, MAX_ESTIMATE_MS))
     }
 }
 
@@ -101,7 +101,7 @@
 pub(crate) struct Lanes {
     pub(crate) drafts: Lane,
     /// Whether something happened that may let waiting work start.
-    pub(crate) has_news: bool,
+    pub(crate) needs_scan: bool,
     pub(crate) lookups: Lane,
 }
 
--- a/crates/masticsill_routing/src/limits.rs
+++ b/crates/masticsill_routing/src/limits.rs
@@ -7,8 +7,8 @@
 /// What a bucket may hold, in milliseconds of its rate.
 const BURST_MS: u64 = 1_000;
 /// Sums of floats may fall short of a whole by this much.
-const ROUNDING: f64 = 1e-9;
-const LONGEST_WAIT_MS: u64 = 60_000;
+const ROUNDING_TOLERANCE_TOKENS: f64 = 1e-9;
+const MAX_WAIT_MS: u64 = 60_000;
 
 /// A token bucket. A withdrawal may leave it in debt, which is worked off before the next.
 #[derive(Clone, Copy, Debug)]
@@ -57,14 +57,14 @@
     pub fn check(&mut self, now: ClockMs) -> Result<(), u64> {
         self.refill(now);
         if self.per_s <= 0.0 {
-            return Err(LONGEST_WAIT_MS);
+            return Err(MAX_WAIT_MS);
         }
-        let missing = 1.0 - self.level - ROUNDING;
+        let missing = 1.0 - self.level - ROUNDING_TOLERANCE_TOKENS;
         if missing <= 0.0 {
             return Ok(());
         }
         let wait_ms = missing / self.per_s * 1_000.0;
-        Err(to_count(wait_ms, LONGEST_WAIT_MS).max(1))
+        Err(to_count(wait_ms, MAX_WAIT_MS).max(1))
     }
 
     /// Takes an amount that was checked.
@@ -133,25 +133,25 @@
     }
 
     /// Puts a counted request back that was refused for another reason.
-    pub(crate) fn give_back_request(&mut self) {
+    pub(crate) fn refund_request(&mut self) {
         if let Some(bucket) = &mut self.requests {
             bucket.give_back(1);
         }
     }
 
     /// Whether another request may run beside those that run.
-    pub(crate) fn has_place(&self) -> bool {
+    pub(crate) fn has_concurrency_room(&self) -> bool {
         self.concurrent.is_none_or(|limit| self.running < limit)
     }
 
     /// Whether a request may start now.
     pub(crate) fn may_start(&mut self, now: ClockMs) -> bool {
-        let has_place = self.has_place();
+        let has_concurrency_room = self.has_concurrency_room();
         let has_tokens = match &mut self.tokens {
             Some(bucket) => bucket.check(now).is_ok(),
             None => true,
         };
-        has_place && has_tokens
+        has_concurrency_room && has_tokens
     }
 
     /// Notes a start, charging all tokens that it may generate.
--- a/crates/masticsill_routing/src/number.rs
+++ b/crates/masticsill_routing/src/number.rs
@@ -34,17 +34,17 @@
 
 /// A running average that forgets with each sample.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Average {
+pub(crate) struct MovingAverage {
     value: Option<f64>,
 }
 
-impl Average {
-    const WEIGHT: f64 = 0.1;
+impl MovingAverage {
+    const SAMPLE_WEIGHT: f64 = 0.1;
 
     pub(crate) fn add(&mut self, sample: f64) {
         self.value = Some(
             self.value
-                .map_or(sample, |value| value + (sample - value) * Self::WEIGHT),
+                .map_or(sample, |value| value + (sample - value) * Self::SAMPLE_WEIGHT),
         );
     }
 
--- a/crates/masticsill_routing/src/placement.rs
+++ b/crates/masticsill_routing/src/placement.rs
@@ -14,29 +14,29 @@
 use crate::request::{PrefixBlock, WorkRequest};
 
 /// Random candidates; the better of two avoids herding on stale reports.
-const RANDOM_CHOICES: usize = 2;
+const RANDOM_CANDIDATES: usize = 2;
 /// Tries to find those among endpoints without a free slot.
-const RANDOM_TRIES: usize = 8;
+const MAX_RANDOM_TRIES: usize = 8;
 /// Endpoints searched one by one when the random tries found none.
-const SEARCHED: usize = 256;
+const MAX_SCANNED_ENDPOINTS: usize = 256;
 /// Candidates by own work that ended there.
-const LEFT_CHOICES: usize = 4;
+const MAX_FREED_CANDIDATES: usize = 4;
 /// Candidates by rendezvous hash of the prefix.
-const PREFIX_CHOICES: usize = 2;
+const RENDEZVOUS_CANDIDATES: usize = 2;
 /// Part of the first prefix that is taken to be cached at the endpoint that ranks highest for it,
 /// since every entry sends it there.
-const EXPECTED_PERCENT: u32 = 60;
+const RENDEZVOUS_CACHED_PERCENT: u32 = 60;
 /// What a full endpoint costs beside an empty one, in prompt tokens to be computed again.
-const FULL_LOAD_TOKENS: f64 = 4_000.0;
+const FULL_LOAD_COST_TOKENS: f64 = 4_000.0;
 /// What another zone costs, in prompt tokens.
-const OTHER_ZONE_TOKENS: f64 = 50.0;
+const OTHER_ZONE_COST_TOKENS: f64 = 50.0;
 /// Endpoints remembered for one prefix, and prefixes remembered.
-const HOLDERS: usize = 3;
-const KEPT_PREFIXES: usize = 65_536;
+const MAX_HOLDERS_PER_PREFIX: usize = 3;
+const MAX_PREFIXES: usize = 65_536;
 
 /// What is asked of the placement.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct PlacementQuery<'a> {
     /// The class whose slots may be used.
     pub(crate) class: Class,
     /// The request.
@@ -50,8 +50,8 @@
 pub(crate) struct Placer {
     holders: IndexMap<u64, Vec<EndpointIndex>>,
     /// Endpoints where own work ended last; a slot there may be filled again at once.
-    left: VecDeque<EndpointIndex>,
-    next_turn: usize,
+    recently_freed: VecDeque<EndpointIndex>,
+    next_round_robin: usize,
     /// The entries that share the endpoints.
     pub(crate) seat: EntrySeat,
 }
@@ -60,8 +60,8 @@
     pub(crate) fn new() -> Self {
         Self {
             holders: IndexMap::new(),
-            left: VecDeque::new(),
-            next_turn: 0,
+            recently_freed: VecDeque::new(),
+            next_round_robin: 0,
             seat: EntrySeat::default(),
         }
     }
@@ -70,7 +70,7 @@
     pub(crate) fn choose(
         &mut self,
         now: ClockMs,
-        wanted: Wanted<'_>,
+        query: PlacementQuery<'_>,
         table: &EndpointTable,
         config: &RouterConfig,
         rng: &mut StdRng,
@@ -78,50 +78,50 @@
         let search = Search {
             config,
             now,
-            pool: table.pool(&wanted.request.target),
+            pool: table.pool(&query.request.target),
             seat: self.seat,
             table,
-            wanted,
+            query,
         };
         match config.policy {
             PlacementPolicy::Affinity => self.choose_by_cost(&search, rng),
             PlacementPolicy::LeastConnections => search.least_connections(),
             PlacementPolicy::RoundRobin => {
-                self.next_turn = self.next_turn.wrapping_add(1);
-                search.in_turn(self.next_turn)
+                self.next_round_robin = self.next_round_robin.wrapping_add(1);
+                search.round_robin(self.next_round_robin)
             }
         }
     }
 
     /// Notes an endpoint where own work ended.
-    pub(crate) fn note_left(&mut self, index: EndpointIndex) {
-        if self.left.len() == LEFT_CHOICES {
-            self.left.pop_front();
+    pub(crate) fn note_freed_slot(&mut self, index: EndpointIndex) {
+        if self.recently_freed.len() == MAX_FREED_CANDIDATES {
+            self.recently_freed.pop_front();
         }
-        self.left.push_back(index);
+        self.recently_freed.push_back(index);
     }
 
     /// Notes where a prompt's prefixes went.
     pub(crate) fn remember(&mut self, prefix: &[PrefixBlock], index: EndpointIndex) {
         for block in prefix {
-            if self.holders.len() >= KEPT_PREFIXES {
+            if self.holders.len() >= MAX_PREFIXES {
                 self.holders.swap_remove_index(0);
             }
             let holders = self.holders.entry(block.hash).or_default();
             holders.retain(|known| *known != index);
             holders.insert(0, index);
-            holders.truncate(HOLDERS);
+            holders.truncate(MAX_HOLDERS_PER_PREFIX);
         }
     }
 
     fn choose_by_cost(&self, search: &Search<'_>, rng: &mut StdRng) -> Option<EndpointIndex> {
-        let prefix = &search.wanted.request.prefix;
-        let known = search.random(rng).into_iter();
-        let known = known.chain(self.known_holders(prefix));
-        let known = known.chain(search.serving(&self.left));
+        let prefix = &search.query.request.prefix;
+        let known = search.random_candidates(rng).into_iter();
+        let known = known.chain(self.holders_of_longest_prefix(prefix));
+        let known = known.chain(search.filter_serving(&self.recently_freed));
         let mut candidates: Vec<(EndpointIndex, u32)> = known.map(|index| (index, 0)).collect();
         if let Some(first) = prefix.first() {
-            let expected = first.tokens * EXPECTED_PERCENT / 100;
+            let expected = first.tokens * RENDEZVOUS_CACHED_PERCENT / 100;
             let ranked = search.by_rendezvous(first.hash).into_iter();
             candidates.extend(ranked.zip([expected, expected / 2]));
         }
@@ -132,7 +132,7 @@
         Some(index)
     }
 
-    fn known_holders(&self, prefix: &[PrefixBlock]) -> Vec<EndpointIndex> {
+    fn holders_of_longest_prefix(&self, prefix: &[PrefixBlock]) -> Vec<EndpointIndex> {
         let known = |block: &PrefixBlock| self.holders.get(&block.hash).cloned();
         prefix.iter().rev().find_map(known).unwrap_or_default()
     }
@@ -144,23 +144,23 @@
     pool: &'a [PoolMember],
     seat: EntrySeat,
     table: &'a EndpointTable,
-    wanted: Wanted<'a>,
+    query: PlacementQuery<'a>,
 }
 
 impl Search<'_> {
     fn allowed(&self, index: EndpointIndex) -> Option<&Endpoint> {
         let endpoint = self.table.at(index)?;
         let is_tried = |node: &NodeId| *node == endpoint.node;
-        let zones = self.wanted.zones;
+        let zones = self.query.zones;
         let is_allowed = endpoint.is_usable(self.now)
             && (zones.is_empty() || zones.contains(&endpoint.description.zone))
-            && !self.wanted.request.tried.iter().any(is_tried);
+            && !self.query.request.tried.iter().any(is_tried);
         is_allowed.then_some(endpoint)
     }
 
     fn has_free_slot(&self, endpoint: &Endpoint) -> bool {
         let stale_ms = self.config.stale_report_ms;
-        endpoint.free_slots(self.now, self.wanted.class, stale_ms, self.seat) > 0
+        endpoint.free_slots(self.now, self.query.class, stale_ms, self.seat) > 0
     }
 
     /// What it costs to run the request there, in prompt tokens; `None` where it can't run.
@@ -171,38 +171,38 @@
         if !self.has_free_slot(endpoint) {
             return None;
         }
-        let request = self.wanted.request;
+        let request = self.query.request;
         let known = endpoint.cached_tokens(&request.prefix);
         let cached = known.max(expected).min(request.prompt_tokens);
         let computed = f64::from(request.prompt_tokens - cached);
         let stale_ms = self.config.stale_report_ms;
-        let estimate = endpoint.estimate(self.now, self.wanted.class, stale_ms, self.seat);
+        let estimate = endpoint.estimate(self.now, self.query.class, stale_ms, self.seat);
         let ratio = endpoint.load_ratio(estimate);
         let is_near = endpoint.description.zone == self.config.zone;
-        let zone = if is_near { 0.0 } else { OTHER_ZONE_TOKENS };
-        Some(computed + ratio * ratio * FULL_LOAD_TOKENS + zone)
+        let zone = if is_near { 0.0 } else { OTHER_ZONE_COST_TOKENS };
+        Some(computed + ratio * ratio * FULL_LOAD_COST_TOKENS + zone)
     }
 
     /// Random endpoints with a free slot.
-    fn random(&self, rng: &mut StdRng) -> Vec<EndpointIndex> {
-        let mut chosen = Vec::with_capacity(RANDOM_CHOICES + PREFIX_CHOICES + HOLDERS);
+    fn random_candidates(&self, rng: &mut StdRng) -> Vec<EndpointIndex> {
+        let mut chosen = Vec::with_capacity(RANDOM_CANDIDATES + RENDEZVOUS_CANDIDATES + MAX_HOLDERS_PER_PREFIX);
         if self.pool.is_empty() {
             return chosen;
         }
-        for _ in 0..RANDOM_TRIES {
+        for _ in 0..MAX_RANDOM_TRIES {
             let member = self.pool[rng.random_range(0..self.pool.len())];
             let endpoint = self.allowed(member.index);
             if endpoint.is_some_and(|endpoint| self.has_free_slot(endpoint)) {
                 chosen.push(member.index);
             }
-            if chosen.len() == RANDOM_CHOICES {
+            if chosen.len() == RANDOM_CANDIDATES {
                 return chosen;
             }
         }
         if chosen.is_empty() {
             let start = rng.random_range(0..self.pool.len());
             let members = self.pool.iter().cycle().skip(start);
-            let mut searched = members.take(self.pool.len().min(SEARCHED));
+            let mut searched = members.take(self.pool.len().min(MAX_SCANNED_ENDPOINTS));
             let found = searched.find(|member| {
                 let endpoint = self.allowed(member.index);
                 endpoint.is_some_and(|endpoint| self.has_free_slot(endpoint))
@@ -214,7 +214,7 @@
 
     /// The endpoints that rank highest for a prefix, whatever entry asks.
     fn by_rendezvous(&self, prefix_hash: u64) -> Vec<EndpointIndex> {
-        let mut best: [Option<(u64, EndpointIndex)>; PREFIX_CHOICES] = [None; PREFIX_CHOICES];
+        let mut best: [Option<(u64, EndpointIndex)>; RENDEZVOUS_CANDIDATES] = [None; RENDEZVOUS_CANDIDATES];
         for member in self.pool {
             let rank = mix(member.hash, prefix_hash);
             if best[1].is_some_and(|(least, _)| rank <= least) {
@@ -231,8 +231,8 @@
     }
 
     /// Those of some endpoints that serve the request.
-    fn serving(&self, indices: &VecDeque<EndpointIndex>) -> Vec<EndpointIndex> {
-        let target = &self.wanted.request.target;
+    fn filter_serving(&self, indices: &VecDeque<EndpointIndex>) -> Vec<EndpointIndex> {
+        let target = &self.query.request.target;
         let endpoints = indices.iter().filter(|index| {
             let endpoint = self.table.at(**index);
             endpoint.is_some_and(|endpoint| endpoint.serves(target))
@@ -249,7 +249,7 @@
         Some(index)
     }
 
-    fn in_turn(&self, turn: usize) -> Option<EndpointIndex> {
+    fn round_robin(&self, turn: usize) -> Option<EndpointIndex> {
         let start = turn.checked_rem(self.pool.len())?;
         let members = self.pool.iter().cycle().skip(start).take(self.pool.len());
         let mut indices = members.map(|member| member.index);
--- a/crates/masticsill_routing/src/pool.rs
+++ b/crates/masticsill_routing/src/pool.rs
@@ -44,13 +44,13 @@
     }
 
     /// Takes a description, or the end of an endpoint.
-    pub(crate) fn describe(
+    pub(crate) fn update(
         &mut self,
         node: &NodeId,
         description: Option<EndpointDescription>,
         config: &RouterConfig,
     ) {
-        self.leave_pools(node);
+        self.remove_from_pools(node);
         let Some(description) = description else {
             if let Some(index) = self.indices.swap_remove(node) {
                 self.endpoints[index.0] = None;
@@ -61,12 +61,12 @@
         let index = self.index_of(node).unwrap_or_else(|| self.new_index(node));
         let place = &mut self.endpoints[index.0];
         if let Some(endpoint) = place {
-            endpoint.describe(description, config);
+            endpoint.update(description, config);
         } else {
             *place = Some(Endpoint::new(node.clone(), description, config));
         }
-        self.join_pools(index);
-        self.note_sharing(index);
+        self.add_to_pools(index);
+        self.update_sharing(index);
     }
 
     /// Counts a catalogue entry; endpoints that lookups use keep slots for each class.
@@ -77,12 +77,12 @@
         let count = self.lookup_entries.entry(target.clone()).or_default();
         *count += 1;
         if *count == 1 {
-            self.note_sharing_of(target);
+            self.update_sharing_of(target);
         }
     }
 
     /// Ends the count of a catalogue entry.
-    pub(crate) fn forget_entry(&mut self, class: Class, target: &BackEndTarget) {
+    pub(crate) fn remove_entry(&mut self, class: Class, target: &BackEndTarget) {
         if class != Class::InstantLookup {
             return;
         }
@@ -92,18 +92,18 @@
         *count -= 1;
         if *count == 0 {
             self.lookup_entries.swap_remove(target);
-            self.note_sharing_of(target);
+            self.update_sharing_of(target);
         }
     }
 
-    fn note_sharing_of(&mut self, target: &BackEndTarget) {
+    fn update_sharing_of(&mut self, target: &BackEndTarget) {
         let members = self.pool(target).to_vec();
         for member in members {
-            self.note_sharing(member.index);
+            self.update_sharing(member.index);
         }
     }
 
-    fn note_sharing(&mut self, index: EndpointIndex) {
+    fn update_sharing(&mut self, index: EndpointIndex) {
         if let Some(endpoint) = &mut self.endpoints[index.0] {
             let mut targets = endpoint.targets().into_iter();
             endpoint.is_shared = targets.any(|target| self.lookup_entries.contains_key(&target));
@@ -119,7 +119,7 @@
         index
     }
 
-    fn join_pools(&mut self, index: EndpointIndex) {
+    fn add_to_pools(&mut self, index: EndpointIndex) {
         let Some(endpoint) = &self.endpoints[index.0] else {
             return;
         };
@@ -132,7 +132,7 @@
         }
     }
 
-    fn leave_pools(&mut self, node: &NodeId) {
+    fn remove_from_pools(&mut self, node: &NodeId) {
         let Some(index) = self.index_of(node) else {
             return;
         };
@@ -171,7 +171,7 @@
     }
 
     /// When the first endpoint of a target that is held back may be used again.
-    pub(crate) fn next_return(&self, now: ClockMs, target: &BackEndTarget) -> Option<ClockMs> {
+    pub(crate) fn next_hold_down_end(&self, now: ClockMs, target: &BackEndTarget) -> Option<ClockMs> {
         let endpoints = self.endpoints_of(target);
         let staying = endpoints.filter(|endpoint| !endpoint.description.is_leaving);
         let ends = staying.map(|endpoint| endpoint.description.held_until);
--- a/crates/masticsill_routing/src/queueing.rs
+++ b/crates/masticsill_routing/src/queueing.rs
@@ -2,14 +2,14 @@
 
 use masticsill_types::{Class, ClockMs, GenerationId, NodeId};
 
-use crate::fair_queue::{Trial, Waiting};
+use crate::fair_queue::{StartAttempt, Waiting};
 use crate::pool::EndpointIndex;
 use crate::refusals::unknown_entry;
 use crate::request::{Dequeued, WorkKind, WorkRequest};
 use crate::router::{Queued, Router};
 
 /// Queues are looked through again after this time even when nothing happened.
-const REVISIT_MS: u64 = 50;
+const QUEUE_RESCAN_INTERVAL_MS: u64 = 50;
 
 impl Router {
     /// The next end of a wait. Call it after each event until it gives `None`, and again within
@@ -21,27 +21,27 @@
         if let Some(dequeued) = self.refuse_dropped() {
             return Some(dequeued);
         }
-        if now >= self.revisit_at {
-            self.revisit_at = now + REVISIT_MS;
-            self.wake_all();
+        if now >= self.next_rescan_at {
+            self.next_rescan_at = now + QUEUE_RESCAN_INTERVAL_MS;
+            self.schedule_scan_of_all();
         }
         for lane in 0..self.lanes.len() {
             if let Some(request) = self.expire(now, lane) {
-                self.forget_queued(&request);
+                self.remove_queued(&request);
                 let refusal = self.overloaded(&request, "its wait was over before its turn");
                 return Some(Dequeued::Refused(request.id, refusal));
             }
-            if !self.lanes[lane].has_news {
+            if !self.lanes[lane].needs_scan {
                 continue;
             }
             for class in [Class::InstantLookup, Class::PatientDraft] {
                 if let Some((request, index)) = self.start_in_lane(now, lane, class) {
-                    self.forget_queued(&request);
+                    self.remove_queued(&request);
                     let placement = self.start(now, &request, index);
                     return Some(Dequeued::Start(request.id, placement));
                 }
             }
-            self.lanes[lane].has_news = false;
+            self.lanes[lane].needs_scan = false;
         }
         None
     }
@@ -58,17 +58,17 @@
         None
     }
 
-    pub(crate) fn wake_all(&mut self) {
+    pub(crate) fn schedule_scan_of_all(&mut self) {
         for lanes in self.lanes.values_mut() {
-            lanes.has_news = !lanes.is_idle();
+            lanes.needs_scan = !lanes.is_idle();
         }
     }
 
     /// Marks the lanes of an endpoint's targets for another look.
-    pub(crate) fn wake_lanes_of(&mut self, node: &NodeId) {
+    pub(crate) fn schedule_scan_for(&mut self, node: &NodeId) {
         for target in self.table.targets_of(node) {
             if let Some(lanes) = self.lanes.get_mut(&target) {
-                lanes.has_news = true;
+                lanes.needs_scan = true;
             }
         }
     }
@@ -95,7 +95,7 @@
     }
 
     pub(crate) fn enqueue(&mut self, now: ClockMs, request: WorkRequest) {
-        let longest = now + self.config.longest_wait_ms(request.class);
+        let longest = now + self.config.max_wait_ms(request.class);
         let expires_at = request
             .deadline
             .map_or(longest, |deadline| deadline.min(longest));
@@ -112,7 +112,7 @@
         }
         self.queued.insert(request.id, queued);
         let lanes = self.lanes.entry(request.target.clone()).or_default();
-        lanes.has_news = true;
+        lanes.needs_scan = true;
         let lane = lanes.of_mut(request.class);
         let waiting = Waiting {
             expires_at,
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(crate) fn forget_queued(&mut self, request: &WorkRequest) {
+    pub(crate) fn remove_queued(&mut self, request: &WorkRequest) {
         self.queued.swap_remove(&request.id);
         if let Some(entry) = self.entries.get_mut(&request.catalogue_entry) {
             entry.limiter.queued = entry.limiter.queued.saturating_sub(1);
@@ -170,19 +170,19 @@
         &mut self,
         now: ClockMs,
         request: &WorkRequest,
-    ) -> Trial<EndpointIndex> {
+    ) -> StartAttempt<EndpointIndex> {
         if !self.may_start(now, request) {
-            return Trial::Skipped;
+            return StartAttempt::Skipped;
         }
         if let Some(index) = self.choose(now, request) {
-            return Trial::Started(index);
+            return StartAttempt::Started(index);
         }
         let entry = self.entries.get(&request.catalogue_entry);
-        let is_choosy = entry.is_none_or(|entry| !entry.zones.is_empty());
-        if is_choosy || !request.tried.is_empty() {
-            Trial::Skipped
+        let is_constrained = entry.is_none_or(|entry| !entry.zones.is_empty());
+        if is_constrained || !request.tried.is_empty() {
+            StartAttempt::Skipped
         } else {
-            Trial::Stopped
+            StartAttempt::Stopped
         }
     }
 }
--- a/crates/masticsill_routing/src/refusals.rs
+++ b/crates/masticsill_routing/src/refusals.rs
@@ -6,18 +6,18 @@
 use crate::router::Router;
 
 /// Refusals ask callers to come back within these bounds.
-const SHORTEST_RETRY_MS: u64 = 250;
-const LONGEST_RETRY_MS: u64 = 60_000;
+const MIN_RETRY_AFTER_MS: u64 = 250;
+const MAX_RETRY_AFTER_MS: u64 = 60_000;
 /// When to come back while no endpoint serves the model.
-const NO_ENDPOINT_RETRY_MS: u64 = 2_000;
+const NO_ENDPOINT_RETRY_AFTER_MS: u64 = 2_000;
 /// When to come back once a retry budget is used up.
-const BUDGET_RETRY_MS: u64 = 1_000;
+const RETRY_BUDGET_RETRY_AFTER_MS: u64 = 1_000;
 /// Waits are estimates: work is only queued when this part of the longest wait is left over.
-const WAIT_MARGIN_PART: u64 = 10;
+const WAIT_MARGIN_DIVISOR: u64 = 10;
 
 impl Router {
     /// Refusals that need no look at endpoints or queues.
-    pub(crate) fn refuse_at_door(
+    pub(crate) fn refuse_by_limits(
         &mut self,
         now: ClockMs,
         request: &WorkRequest,
@@ -39,7 +39,7 @@
                 (!is_paid).then(|| {
                     let detail = "too many attempts failed lately to try another endpoint";
                     Refusal::not_run(RefusalKind::BackEndFailed, detail)
-                        .retry_after(BUDGET_RETRY_MS)
+                        .retry_after(RETRY_BUDGET_RETRY_AFTER_MS)
                 })
             }
         }
@@ -60,10 +60,10 @@
         }
         let entry = self.entries.get(&request.catalogue_entry)?;
         let has_entry_room = entry.limiter.has_queue_room();
-        let wait = self.expect_wait(request);
+        let wait = self.estimate_wait(request);
         let has_resumes = self.has_resumes(request);
         if !has_entry_room {
-            return Some(limit_reached("waiting requests", bound_retry(wait.wait_ms)));
+            return Some(limit_reached("waiting requests", clamp_retry_after(wait.wait_ms)));
         }
         if has_resumes && request.class == Class::PatientDraft {
             return Some(self.overloaded(request, "broken generations are continued first"));
@@ -71,9 +71,9 @@
         if !wait.has_room {
             return Some(self.overloaded(request, "the queue is full"));
         }
-        let longest_ms = self.config.longest_wait_ms(request.class);
-        let longest_ms = longest_ms - longest_ms / WAIT_MARGIN_PART;
-        if wait.wait_ms > longest_ms {
+        let max_wait_ms = self.config.max_wait_ms(request.class);
+        let max_wait_ms = max_wait_ms - max_wait_ms / WAIT_MARGIN_DIVISOR;
+        if wait.wait_ms > max_wait_ms {
             return Some(self.overloaded(request, "the wait would be too long"));
         }
         let end = now + wait.wait_ms + wait.service_ms;
@@ -99,10 +99,10 @@
         })
     }
 
-    pub(crate) fn expect_wait(&self, request: &WorkRequest) -> ExpectedWait {
+    pub(crate) fn estimate_wait(&self, request: &WorkRequest) -> WaitEstimate {
         let slots = self.table.draft_slots(&request.target) / self.placer.seat.count.max(1);
         let Some(lanes) = self.lanes.get(&request.target) else {
-            return ExpectedWait {
+            return WaitEstimate {
                 has_room: true,
                 service_ms: 0,
                 wait_ms: 0,
@@ -110,45 +110,45 @@
         };
         let lane = lanes.of(request.class);
         let ahead = lane.queue.ahead(request, self.config.queue_length);
-        ExpectedWait {
+        WaitEstimate {
             has_room: ahead.has_room,
             service_ms: lane.service_ms(request.cost()).unwrap_or(0),
             wait_ms: lane.wait_ms(ahead.cost, slots),
         }
     }
 
-    pub(crate) fn give_back_request(&mut self, request: &WorkRequest) {
+    pub(crate) fn refund_request(&mut self, request: &WorkRequest) {
         if request.kind == WorkKind::New
             && let Some(entry) = self.entries.get_mut(&request.catalogue_entry)
         {
-            entry.limiter.give_back_request();
+            entry.limiter.refund_request();
         }
     }
 
     /// A refusal with the time until the work that is ahead now will be done.
     pub(crate) fn overloaded(&self, request: &WorkRequest, reason: &str) -> Refusal {
-        let wait = self.expect_wait(request);
-        Refusal::not_run(RefusalKind::Overloaded, reason).retry_after(bound_retry(wait.wait_ms))
+        let wait = self.estimate_wait(request);
+        Refusal::not_run(RefusalKind::Overloaded, reason).retry_after(clamp_retry_after(wait.wait_ms))
     }
 
     pub(crate) fn no_endpoint(&self, now: ClockMs, request: &WorkRequest) -> Refusal {
-        let held = self.table.next_return(now, &request.target);
-        let retry_after_ms = held.map_or(NO_ENDPOINT_RETRY_MS, |end| end.since(now));
+        let held = self.table.next_hold_down_end(now, &request.target);
+        let retry_after_ms = held.map_or(NO_ENDPOINT_RETRY_AFTER_MS, |end| end.since(now));
         let detail = format!("no endpoint serves `{}` now", request.catalogue_entry);
-        Refusal::not_run(RefusalKind::NoEndpoint, detail).retry_after(bound_retry(retry_after_ms))
+        Refusal::not_run(RefusalKind::NoEndpoint, detail).retry_after(clamp_retry_after(retry_after_ms))
     }
 }
 
 /// What waiting would mean for a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ExpectedWait {
+pub(crate) struct WaitEstimate {
     has_room: bool,
     service_ms: u64,
     wait_ms: u64,
 }
 
-fn bound_retry(wait_ms: u64) -> u64 {
-    wait_ms.clamp(SHORTEST_RETRY_MS, LONGEST_RETRY_MS)
+fn clamp_retry_after(wait_ms: u64) -> u64 {
+    wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
 }
 
 pub(crate) fn unknown_entry(entry: &EntryId) -> Refusal {
@@ -158,5 +158,5 @@
 
 fn limit_reached(limit: &str, retry_after_ms: u64) -> Refusal {
     let detail = format!("the entry's limit of {limit} is used up");
-    Refusal::not_run(RefusalKind::LimitReached, detail).retry_after(bound_retry(retry_after_ms))
+    Refusal::not_run(RefusalKind::LimitReached, detail).retry_after(clamp_retry_after(retry_after_ms))
 }
--- a/crates/masticsill_routing/src/retry_budget.rs
+++ b/crates/masticsill_routing/src/retry_budget.rs
@@ -4,9 +4,9 @@
 use masticsill_types::{NodeId, WorkspaceId};
 
 /// Successes that pay for one retry.
-const SUCCESSES_A_RETRY: u32 = 10;
+const SUCCESSES_PER_RETRY: u32 = 10;
 /// Retries that may be saved up; a new budget starts full.
-const SAVED_RETRIES: u32 = 10;
+const MAX_SAVED_RETRIES: u32 = 10;
 
 /// Tokens saved by successes, in tenths of a retry.
 #[derive(Clone, Copy, Debug)]
@@ -17,22 +17,22 @@
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            saved: SAVED_RETRIES * SUCCESSES_A_RETRY,
+            saved: MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY,
         }
     }
 }
 
 impl Budget {
     fn earn(&mut self) {
-        self.saved = (self.saved + 1).min(SAVED_RETRIES * SUCCESSES_A_RETRY);
+        self.saved = (self.saved + 1).min(MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY);
     }
 
     fn can_pay(self) -> bool {
-        self.saved >= SUCCESSES_A_RETRY
+        self.saved >= SUCCESSES_PER_RETRY
     }
 
     fn pay(&mut self) {
-        self.saved = self.saved.saturating_sub(SUCCESSES_A_RETRY);
+        self.saved = self.saved.saturating_sub(SUCCESSES_PER_RETRY);
     }
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// Forgets an endpoint that is gone.
-    pub(crate) fn forget(&mut self, node: &NodeId) {
+    pub(crate) fn remove(&mut self, node: &NodeId) {
         self.endpoints.swap_remove(node);
     }
 }
--- a/crates/masticsill_routing/src/router.rs
+++ b/crates/masticsill_routing/src/router.rs
@@ -12,7 +12,7 @@
 use crate::endpoint::{EndpointDescription, EntrySeat};
 use crate::lane::Lanes;
 use crate::limits::{Limiter, LocalLimits};
-use crate::placement::{Placer, Wanted};
+use crate::placement::{Placer, PlacementQuery};
 use crate::pool::{EndpointIndex, EndpointTable};
 use crate::request::{
     Admit, BackEndTarget, Placement, WorkEnd, WorkKind, WorkOutcome, WorkRequest,
@@ -76,7 +76,7 @@
     pub(crate) placer: Placer,
     pub(crate) queued: IndexMap<GenerationId, Queued>,
     pub(crate) retry_budgets: RetryBudgets,
-    pub(crate) revisit_at: ClockMs,
+    pub(crate) next_rescan_at: ClockMs,
     pub(crate) rng: StdRng,
     pub(crate) running: IndexMap<GenerationId, Running>,
     pub(crate) table: EndpointTable,
@@ -94,7 +94,7 @@
             placer: Placer::new(),
             queued: IndexMap::new(),
             retry_budgets: RetryBudgets::default(),
-            revisit_at: ClockMs::default(),
+            next_rescan_at: ClockMs::default(),
             rng: StdRng::seed_from_u64(seed),
             running: IndexMap::new(),
             table: EndpointTable::default(),
@@ -103,10 +103,10 @@
 
     /// Sets a catalogue entry's policy, or changes it and keeps what is counted.
     pub fn set_entry(&mut self, now: ClockMs, id: &EntryId, policy: EntryPolicy) {
-        self.wake_all();
+        self.schedule_scan_of_all();
         let limiter = match self.entries.swap_remove(id) {
             Some(mut former) => {
-                self.table.forget_entry(former.class, &former.target);
+                self.table.remove_entry(former.class, &former.target);
                 former.limiter.set(now, policy.limits);
                 former.limiter
             }
@@ -124,9 +124,9 @@
 
     /// Forgets a catalogue entry: new and queued work is refused. What was admitted goes on.
     pub fn remove_entry(&mut self, id: &EntryId) {
-        self.wake_all();
+        self.schedule_scan_of_all();
         if let Some(former) = self.entries.swap_remove(id) {
-            self.table.forget_entry(former.class, &former.target);
+            self.table.remove_entry(former.class, &former.target);
         }
         let waiting = self.queued.iter();
         let waiting = waiting.filter(|(_, queued)| queued.entry == *id && !queued.is_resume);
@@ -141,10 +141,10 @@
     /// Takes what membership says of an endpoint; `None` when it is gone.
     pub fn on_member_change(&mut self, node: &NodeId, description: Option<EndpointDescription>) {
         if description.is_none() {
-            self.retry_budgets.forget(node);
+            self.retry_budgets.remove(node);
         }
-        self.table.describe(node, description, &self.config);
-        self.wake_lanes_of(node);
+        self.table.update(node, description, &self.config);
+        self.schedule_scan_for(node);
     }
 
     /// Notes whether an endpoint's agent can be reached.
@@ -152,7 +152,7 @@
         if let Some(endpoint) = self.table.get_mut(node) {
             endpoint.is_down = is_down;
         }
-        self.wake_lanes_of(node);
+        self.schedule_scan_for(node);
     }
 
     /// Takes an endpoint's load report.
@@ -160,14 +160,14 @@
         if let Some(endpoint) = self.table.get_mut(node) {
             endpoint.report(now, load);
         }
-        self.wake_lanes_of(node);
+        self.schedule_scan_for(node);
     }
 
     /// Takes changes of an engine's prefix cache.
     pub fn on_cache_changes(&mut self, node: &NodeId, changes: &[CacheChange]) {
         if let Some(endpoint) = self.table.get_mut(node) {
             for change in changes {
-                endpoint.cache.take(*change);
+                endpoint.cache.apply(*change);
             }
         }
     }
@@ -182,7 +182,7 @@
             tokens: 0,
         };
         self.on_finished(now, request.id, former);
-        if let Some(refusal) = self.refuse_at_door(now, &request) {
+        if let Some(refusal) = self.refuse_by_limits(now, &request) {
             return Admit::Refused(refusal);
         }
         let is_held_back = !self.may_start(now, &request) || self.must_wait(&request);
@@ -190,7 +190,7 @@
             return Admit::Start(self.start(now, &request, index));
         }
         if let Some(refusal) = self.refuse_to_queue(now, &request) {
-            self.give_back_request(&request);
+            self.refund_request(&request);
             return Admit::Refused(refusal);
         }
         self.enqueue(now, request);
@@ -224,7 +224,7 @@
             endpoint.end(now, running.class);
         }
         if let Some(index) = self.table.index_of(&running.node) {
-            self.placer.note_left(index);
+            self.placer.note_freed_slot(index);
         }
         if let Some(entry) = self.entries.get_mut(&running.entry) {
             entry
@@ -237,9 +237,9 @@
             let duration_ms = now.since(running.started_at);
             lanes
                 .of_mut(running.class)
-                .served(running.cost, duration_ms);
+                .record_service(running.cost, duration_ms);
         }
-        self.wake_lanes_of(&running.node);
+        self.schedule_scan_for(&running.node);
     }
 
     /// Requests that wait.
@@ -259,7 +259,7 @@
     pub(crate) fn may_start(&mut self, now: ClockMs, request: &WorkRequest) -> bool {
         let entry = self.entries.get_mut(&request.catalogue_entry);
         match (entry, &request.kind) {
-            (Some(entry), WorkKind::Resume) => entry.limiter.has_place(),
+            (Some(entry), WorkKind::Resume) => entry.limiter.has_concurrency_room(),
             (Some(entry), WorkKind::New | WorkKind::Retry { .. }) => entry.limiter.may_start(now),
             (None, kind) => *kind == WorkKind::Resume,
         }
@@ -285,13 +285,13 @@
 
     pub(crate) fn choose(&mut self, now: ClockMs, request: &WorkRequest) -> Option<EndpointIndex> {
         let entry = self.entries.get(&request.catalogue_entry);
-        let wanted = Wanted {
+        let query = PlacementQuery {
             class: request.class,
             request,
             zones: entry.map_or(&[], |entry| entry.zones.as_slice()),
         };
         self.placer
-            .choose(now, wanted, &self.table, &self.config, &mut self.rng)
+            .choose(now, query, &self.table, &self.config, &mut self.rng)
     }
 
     pub(crate) fn start(
@@ -317,7 +317,7 @@
             cached_tokens = endpoint.cached_tokens(&request.prefix);
             endpoint.begin(now, request.class);
             for block in &request.prefix {
-                endpoint.cache.expect(block.hash);
+                endpoint.cache.note_sent(block.hash);
             }
         }
         let running = Running {
--- a/crates/masticsill_routing/src/shares.rs
+++ b/crates/masticsill_routing/src/shares.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The entry's lease ends this part sooner than the holder's, for clocks that drift.
-const DRIFT_PART: u64 = 50;
+const DRIFT_MARGIN_DIVISOR: u64 = 50;
 
 /// An entry's ask for a share.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -84,7 +84,7 @@
     accounts: IndexMap<(NodeId, Incarnation), Account>,
     lease_ms: u64,
     limit: u64,
-    opens_at: ClockMs,
+    grants_from: ClockMs,
 }
 
 impl ShareLedger {
@@ -95,7 +95,7 @@
             accounts: IndexMap::new(),
             lease_ms,
             limit,
-            opens_at: now + lease_ms,
+            grants_from: now + lease_ms,
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// Answers an ask; `None` for one that was overtaken by a later one.
     pub fn grant(&mut self, now: ClockMs, request: &ShareRequest) -> Option<ShareGrant> {
-        self.forget_ended(now);
+        self.evict_expired(now);
         let key = (request.node.clone(), request.incarnation);
         let account = self.accounts.entry(key.clone()).or_default();
         if request.sequence <= account.last_sequence {
@@ -145,19 +145,19 @@
 
     /// The smaller of an entry's fair part and what the others leave.
     fn units_for(&self, now: ClockMs, key: &(NodeId, Incarnation)) -> u64 {
-        if now < self.opens_at {
+        if now < self.grants_from {
             return 0;
         }
         let own = self.accounts[key].committed(now);
         let others = self.committed(now) - own;
         let left = self.limit.saturating_sub(others);
-        self.fair_part(key).min(left)
+        self.fair_share(key).min(left)
     }
 
     /// The max-min fair part of an entry: nobody gets more than it wants, and what some leave is
     /// shared among the others. What nobody wants is shared equally, so that an idle entry can
     /// start at once. Units that don't divide go to those that come first by name.
-    fn fair_part(&self, key: &(NodeId, Incarnation)) -> u64 {
+    fn fair_share(&self, key: &(NodeId, Incarnation)) -> u64 {
         let own = self.accounts[key].wanted;
         let mut wants: Vec<u64> = self
             .accounts
@@ -168,9 +168,9 @@
         let mut left = self.limit;
         let mut remaining = wants.len() as u64;
         for want in wants {
-            let part = left / remaining;
-            if want > part {
-                return own.min(part + u64::from(self.place(key, part) < left % remaining));
+            let share = left / remaining;
+            if want > share {
+                return own.min(share + u64::from(self.rank(key, share) < left % remaining));
             }
             left -= want;
             remaining -= 1;
@@ -179,15 +179,15 @@
     }
 
     /// An entry's place by name among those that want more than a part.
-    fn place(&self, key: &(NodeId, Incarnation), part: u64) -> u64 {
+    fn rank(&self, key: &(NodeId, Incarnation), share: u64) -> u64 {
         let wanting = self
             .accounts
             .iter()
-            .filter(|(_, account)| account.wanted > part);
+            .filter(|(_, account)| account.wanted > share);
         wanting.filter(|(other, _)| *other < key).count() as u64
     }
 
-    fn forget_ended(&mut self, now: ClockMs) {
+    fn evict_expired(&mut self, now: ClockMs) {
         self.accounts.retain(|_, account| {
             account.leases.retain(|lease| lease.ends_at > now);
             !account.leases.is_empty()
@@ -252,7 +252,7 @@
         if !is_awaited || is_taken {
             return;
         }
-        let usable_ms = grant.lease_ms - grant.lease_ms / DRIFT_PART;
+        let usable_ms = grant.lease_ms - grant.lease_ms / DRIFT_MARGIN_DIVISOR;
         self.held = Some(Lease {
             ends_at: self.asked_at + usable_ms,
             sequence: grant.sequence,
--- a/crates/masticsill_routing/src/slot_gate.rs
+++ b/crates/masticsill_routing/src/slot_gate.rs
@@ -10,17 +10,17 @@
 use masticsill_types::{Class, ClockMs, GenerationId};
 
 /// The reserve follows the most lookups seen at once in a window, up to this part of the slots.
-const LARGEST_RESERVE_PART: u32 = 4;
-const WINDOW_MS: u64 = 10_000;
+const MAX_RESERVE_DIVISOR: u32 = 4;
+const PEAK_WINDOW_MS: u64 = 10_000;
 /// The part of a shared engine's slots that one class always finds free of the other.
-const RESERVED_PART: u32 = 16;
+const MIN_RESERVE_DIVISOR: u32 = 16;
 
 /// Slots that each class finds free of the other at an engine that serves both.
 pub(crate) fn reserved_slots(slots: u32) -> u32 {
     if slots < 2 {
         return 0;
     }
-    (slots / RESERVED_PART).max(1)
+    (slots / MIN_RESERVE_DIVISOR).max(1)
 }
 
 /// The work at one engine: what was passed on, and what waits at the agent.
@@ -73,9 +73,9 @@
 
     fn note_peak(&mut self, now: ClockMs) {
         if now >= self.window_ends {
-            let is_next = now.since(self.window_ends) < WINDOW_MS;
+            let is_next = now.since(self.window_ends) < PEAK_WINDOW_MS;
             self.peaks = [if is_next { self.peaks[1] } else { 0 }, 0];
-            self.window_ends = now + WINDOW_MS;
+            self.window_ends = now + PEAK_WINDOW_MS;
         }
         let waiting = u32::try_from(self.lookups.len()).unwrap_or(u32::MAX);
         let lookups = self.running(Class::InstantLookup).saturating_add(waiting);
@@ -83,7 +83,7 @@
     }
 
     /// Slots kept for lookups: one more than came at once lately.
-    fn reserve(&self) -> u32 {
+    fn lookup_reserve(&self) -> u32 {
         if !self.is_shared {
             return 0;
         }
@@ -92,7 +92,7 @@
         if peak == 0 {
             return least;
         }
-        let most = self.slots / LARGEST_RESERVE_PART;
+        let most = self.slots / MAX_RESERVE_DIVISOR;
         (peak + 1).min(most).max(least)
     }
 
@@ -141,7 +141,7 @@
                 reserved_slots(self.slots).saturating_sub(drafts)
             }
             Class::InstantLookup => 0,
-            Class::PatientDraft => self.reserve().saturating_sub(lookups),
+            Class::PatientDraft => self.lookup_reserve().saturating_sub(lookups),
         };
         drafts + lookups + kept < self.slots
     }
