--- a/crates/masticsill_bench/examples/dispatch_cost.rs
+++ b/crates/masticsill_bench/examples/dispatch_cost.rs
@@ -23,7 +23,7 @@
             announcement: Announcement {
                 address: ([10, 0, 0, u8::try_from(engine)?], 8_000).into(),
                 cold_left_ms: 0,
-                id: EndpointId::unnamed_life(format!("i-{engine:010x}")),
+                id: EndpointId::with_unknown_incarnation(format!("i-{engine:010x}")),
                 keeps_prompts: true,
                 sequence: 1,
                 service: "engines".to_owned(),
--- a/crates/masticsill_bench/src/blame/fleet.rs
+++ b/crates/masticsill_bench/src/blame/fleet.rs
@@ -29,7 +29,7 @@
     }
 
     pub(super) fn id(&self) -> EndpointId {
-        EndpointId::unnamed_life(format!("e{}-{}", self.number, self.life))
+        EndpointId::with_unknown_incarnation(format!("e{}-{}", self.number, self.life))
     }
 
     pub(super) fn end(&mut self, now_ms: u64) {
--- a/crates/masticsill_bench/src/entry.rs
+++ b/crates/masticsill_bench/src/entry.rs
@@ -119,7 +119,7 @@
 }
 
 pub(crate) fn endpoint_id(endpoint: usize) -> EndpointId {
-    EndpointId::unnamed_life(format!("engine-{endpoint:03}"))
+    EndpointId::with_unknown_incarnation(format!("engine-{endpoint:03}"))
 }
 
 /// The zone of an entry's or an endpoint's number.
--- a/crates/masticsill_control/src/endpoints/hub.rs
+++ b/crates/masticsill_control/src/endpoints/hub.rs
@@ -104,7 +104,7 @@
             info,
             events::ENDPOINT_HEARD,
             endpoint = announcement.id,
-            life = announcement.id.life,
+            life = announcement.id.incarnation,
             service = announcement.service,
             address = announcement.address,
             zone = announcement.zone,
@@ -131,7 +131,7 @@
                 info,
                 events::ENDPOINT_LEFT,
                 endpoint = id,
-                life = id.life,
+                life = id.incarnation,
                 revision = revision
             );
             self.shared.revision.send_replace(revision);
--- a/crates/masticsill_control/src/endpoints/prompts.rs
+++ b/crates/masticsill_control/src/endpoints/prompts.rs
@@ -130,7 +130,7 @@
     /// keeps nothing of what this one did.
     fn own(&mut self, news: KeptNews) -> Result<KeptNews, String> {
         if !news.are_of(&self.engine) {
-            return Err(format!("the engine's life {} answers", news.life));
+            return Err(format!("the engine's life {} answers", news.incarnation));
         }
         if news.unreadable > 0 {
             self.endpoints
--- a/crates/masticsill_control/tests/watch_news.rs
+++ b/crates/masticsill_control/tests/watch_news.rs
@@ -41,7 +41,7 @@
     Announcement {
         address: ([10, 0, 0, 1], 8_000 + number).into(),
         cold_left_ms: 0,
-        id: EndpointId::unnamed_life(format!("e{number}")),
+        id: EndpointId::with_unknown_incarnation(format!("e{number}")),
         keeps_prompts: false,
         sequence: 1,
         service: "s".to_owned(),
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -5,7 +5,8 @@
 
 use indexmap::IndexMap;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, Joined, Life,
+    Announcement, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord, EndpointState,
+    Joined,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 
@@ -34,7 +35,7 @@
     endpoints: IndexMap<EndpointId, Endpoint>,
     last_order: u64,
     /// The newest life of each name.
-    lives: IndexMap<String, Life>,
+    lives: IndexMap<String, EndpointIncarnation>,
     /// When the other entries' requests in each zone were told last.
     loads_told_at: IndexMap<ZoneId, ClockMs>,
 }
@@ -78,7 +79,7 @@
     #[must_use]
     pub fn is_outlived(&self, id: &EndpointId) -> bool {
         let newest = self.lives.get(&id.name);
-        newest.is_some_and(|newest| id.life < *newest)
+        newest.is_some_and(|newest| id.incarnation < *newest)
     }
 
     /// Notes a name's newest life, and ends the one that was known before; returns that.
@@ -86,12 +87,12 @@
     /// It stays in the table with what this entry still has there, so that nothing of it is counted
     /// at its successor.
     fn end_former_life(&mut self, newest: &EndpointId) -> Option<EndpointId> {
-        let life = self.lives.insert(newest.name.clone(), newest.life)?;
-        if life == newest.life {
+        let incarnation = self.lives.insert(newest.name.clone(), newest.incarnation)?;
+        if incarnation == newest.incarnation {
             return None;
         }
         let former = EndpointId {
-            life,
+            incarnation,
             name: newest.name.clone(),
         };
         let endpoint = self.endpoints.get_mut(&former)?;
@@ -131,11 +132,12 @@
                 !is_dropped
             });
             let endpoints = &self.endpoints;
-            let is_known = |name: &String, life: Life| {
+            let is_known = |name: &String, incarnation: EndpointIncarnation| {
                 let name = name.clone();
-                endpoints.contains_key(&EndpointId { life, name })
+                endpoints.contains_key(&EndpointId { incarnation, name })
             };
-            self.lives.retain(|name, life| is_known(name, *life));
+            self.lives
+                .retain(|name, incarnation| is_known(name, *incarnation));
         }
     }
 
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -2,7 +2,8 @@
 
 use masticsill_dispatch::{EndpointTable, Wanted, ZoneShare, choose};
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens, Life,
+    Announcement, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord, EndpointState,
+    KeptTokens,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
@@ -25,7 +26,7 @@
 
 fn born(name: &str, born_ms: u64) -> EndpointId {
     EndpointId {
-        life: Life::born_at(born_ms),
+        incarnation: EndpointIncarnation::started_at(born_ms),
         name: name.to_owned(),
     }
 }
@@ -72,11 +73,14 @@
 
 /// Words of few lives of two names. Each name has a port of its own.
 fn words() -> impl Strategy<Value = EndpointRecord> {
-    let life = prop_oneof![Just(Life::UNNAMED), (1_u64..4).prop_map(Life::born_at),];
+    let incarnation = prop_oneof![
+        Just(EndpointIncarnation::UNKNOWN),
+        (1_u64..4).prop_map(EndpointIncarnation::started_at),
+    ];
     let state = prop::sample::select(&STATES);
-    (0..NAMES.len(), life, state).prop_map(|(name, life, state)| {
+    (0..NAMES.len(), incarnation, state).prop_map(|(name, incarnation, state)| {
         let id = EndpointId {
-            life,
+            incarnation,
             name: NAMES[name].to_owned(),
         };
         let port = if name == 0 { 80 } else { 81 };
@@ -85,12 +89,12 @@
 }
 
 /// The newest life of a name and its furthest state, by looking at all words at once.
-fn expected(words: &[EndpointRecord], name: &str) -> Option<(Life, EndpointState)> {
+fn expected(words: &[EndpointRecord], name: &str) -> Option<(EndpointIncarnation, EndpointState)> {
     let words = words.iter().map(|it| &it.announcement);
     let of_name: Vec<_> = words.filter(|it| it.id.name == name).collect();
-    let life = of_name.iter().map(|it| it.id.life).max()?;
-    let of_life = of_name.iter().filter(|it| it.id.life == life);
-    Some((life, of_life.map(|it| it.state).max()?))
+    let incarnation = of_name.iter().map(|it| it.id.incarnation).max()?;
+    let of_life = of_name.iter().filter(|it| it.id.incarnation == incarnation);
+    Some((incarnation, of_life.map(|it| it.state).max()?))
 }
 
 proptest! {
@@ -110,16 +114,16 @@
             let known: Vec<_> = table.iter().filter(|it| it.announcement.id.name == name).collect();
             let usable: Vec<_> = known.iter().filter(|it| it.is_ready()).collect();
             match expected(&words, name) {
-                Some((life, EndpointState::Ready)) => {
+                Some((incarnation, EndpointState::Ready)) => {
                     prop_assert_eq!(usable.len(), 1);
-                    prop_assert_eq!(usable[0].announcement.id.life, life);
+                    prop_assert_eq!(usable[0].announcement.id.incarnation, incarnation);
                 }
                 _ => prop_assert!(usable.is_empty()),
             }
-            let newest = expected(&words, name).map(|(life, _)| life);
+            let newest = expected(&words, name).map(|(incarnation, _)| incarnation);
             let is_known_as_it_is = known.iter().all(|it| {
                 let id = &it.announcement.id;
-                Some(id.life) == newest || table.is_outlived(id)
+                Some(id.incarnation) == newest || table.is_outlived(id)
             });
             prop_assert!(is_known_as_it_is);
         }
@@ -156,7 +160,7 @@
     assert!(tell(&mut table, ready(born("e", 1))).is_empty());
     let gone = record(born("e", 1), EndpointState::Gone, 80);
     assert!(tell(&mut table, gone).is_empty());
-    assert!(tell(&mut table, ready(EndpointId::unnamed_life("e"))).is_empty());
+    assert!(tell(&mut table, ready(EndpointId::with_unknown_incarnation("e"))).is_empty());
     assert_eq!(chosen(&table, &[]), Some((born("e", 2), 0)));
 }
 
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -15,7 +15,7 @@
 const SERVICE: &str = "engines";
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 fn zone() -> ZoneId {
--- a/crates/masticsill_dispatch/tests/placement_choice.rs
+++ b/crates/masticsill_dispatch/tests/placement_choice.rs
@@ -15,7 +15,7 @@
 }
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 /// A record of an endpoint; its name begins with its zone.
--- a/crates/masticsill_quarantine/tests/support/mod.rs
+++ b/crates/masticsill_quarantine/tests/support/mod.rs
@@ -32,7 +32,7 @@
     CrashRecord {
         answered_ms: 0,
         began_ago_ms,
-        endpoint: EndpointId::unnamed_life(format!("e{endpoint}")),
+        endpoint: EndpointId::with_unknown_incarnation(format!("e{endpoint}")),
         ended_ago_ms,
         reached_ms: 0,
         weight: Weight::Pending,
--- a/crates/masticsill_registry/src/id.rs
+++ b/crates/masticsill_registry/src/id.rs
@@ -12,33 +12,36 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Life {
-    born_ms: Option<u64>,
+pub struct EndpointIncarnation {
+    #[serde(rename = "born_ms")]
+    started_at_ms: Option<u64>,
 }
 
-impl Life {
+impl EndpointIncarnation {
     /// The life of an id that names no birth.
-    pub const UNNAMED: Self = Self { born_ms: None };
+    pub const UNKNOWN: Self = Self {
+        started_at_ms: None,
+    };
 
     /// The life that began at a time, in milliseconds of its writer's clock.
     #[must_use]
-    pub const fn born_at(born_ms: u64) -> Self {
+    pub const fn started_at(started_at_ms: u64) -> Self {
         Self {
-            born_ms: Some(born_ms),
+            started_at_ms: Some(started_at_ms),
         }
     }
 
     /// Whether a birth is known.
     #[must_use]
-    pub fn is_named(self) -> bool {
-        self.born_ms.is_some()
+    pub fn is_known(self) -> bool {
+        self.started_at_ms.is_some()
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for EndpointIncarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born_ms {
-            Some(born_ms) => write!(formatter, "{born_ms}"),
+        match self.started_at_ms {
+            Some(started_at_ms) => write!(formatter, "{started_at_ms}"),
             None => formatter.write_str("unnamed"),
         }
     }
@@ -54,16 +57,17 @@
     /// The id that the endpoint gives itself.
     pub name: String,
     /// Which life of it.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: EndpointIncarnation,
 }
 
 impl EndpointId {
     /// The incarnation of a name that tells no birth.
     #[must_use]
-    pub fn unnamed_life(name: impl Into<String>) -> Self {
+    pub fn with_unknown_incarnation(name: impl Into<String>) -> Self {
         Self {
             name: name.into(),
-            life: Life::UNNAMED,
+            incarnation: EndpointIncarnation::UNKNOWN,
         }
     }
 }
--- a/crates/masticsill_registry/src/join.rs
+++ b/crates/masticsill_registry/src/join.rs
@@ -33,10 +33,10 @@
             self.id.name, other.id.name,
             "words of two ids are not joined"
         );
-        if other.id.life < self.id.life {
+        if other.id.incarnation < self.id.incarnation {
             return Joined::Same;
         }
-        if other.id.life > self.id.life {
+        if other.id.incarnation > self.id.incarnation {
             self.clone_from(other);
             return Joined::Reborn;
         }
@@ -57,7 +57,7 @@
     /// Whether this heartbeat was sent after another one of the same name.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        (self.id.life, self.recency()) > (other.id.life, other.recency())
+        (self.id.incarnation, self.recency()) > (other.id.incarnation, other.recency())
     }
 
     fn recency(&self) -> Recency<'_> {
--- a/crates/masticsill_registry/src/kept.rs
+++ b/crates/masticsill_registry/src/kept.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::id::{EndpointId, Life};
+use crate::id::{EndpointId, EndpointIncarnation};
 
 /// Parts remembered for one engine: its memory holds some tens of long prompts.
 const MAX_PARTS: usize = 1_024;
@@ -38,7 +38,7 @@
     /// Whether news before these are lost.
     pub is_gap: bool,
     /// The life that speaks, if it says so.
-    pub life: Life,
+    pub incarnation: EndpointIncarnation,
     /// What changed, oldest first.
     pub parts: Vec<KeptPart>,
     /// From where the next news go on.
@@ -51,8 +51,9 @@
     /// Whether they may be an incarnation's own: one that names no birth can't be told apart.
     #[must_use]
     pub fn are_of(&self, endpoint: &EndpointId) -> bool {
-        let lives = [self.life, endpoint.life];
-        !lives.into_iter().all(Life::is_named) || self.life == endpoint.life
+        let incarnations = [self.incarnation, endpoint.incarnation];
+        !incarnations.into_iter().all(EndpointIncarnation::is_known)
+            || self.incarnation == endpoint.incarnation
     }
 }
 
--- a/crates/masticsill_registry/src/lib.rs
+++ b/crates/masticsill_registry/src/lib.rs
@@ -16,7 +16,7 @@
 mod watchers;
 
 pub use gauges::StateGauges;
-pub use id::{EndpointId, Life};
+pub use id::{EndpointId, EndpointIncarnation};
 pub use join::Joined;
 pub use kept::{KeptNews, KeptPart, KeptPrompts, KeptTokens, PromptPart};
 pub use places::{PlaceRequest, is_zone_down};
--- a/crates/masticsill_registry/src/registry.rs
+++ b/crates/masticsill_registry/src/registry.rs
@@ -154,7 +154,7 @@
     pub fn depart(&mut self, now: ClockMs, id: &EndpointId) -> bool {
         let known = self.newest(&id.name).map(|record| &record.announcement.id);
         let ended = match known {
-            Some(known) if !id.life.is_named() => known.clone(),
+            Some(known) if !id.incarnation.is_known() => known.clone(),
             _ => id.clone(),
         };
         self.take(&Announcement::deregistration(&ended), now)
--- a/crates/masticsill_registry/tests/endpoint_lives.rs
+++ b/crates/masticsill_registry/tests/endpoint_lives.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointState, Heard, Joined, Life, Registry, RegistryPeriods,
+    Announcement, EndpointId, EndpointIncarnation, EndpointState, Heard, Joined, Registry,
+    RegistryPeriods,
 };
 use masticsill_types::{ClockMs, ZoneId};
 use proptest::prelude::*;
@@ -15,15 +16,15 @@
     EndpointState::Gone,
 ];
 
-fn id(life: Life) -> EndpointId {
+fn id(incarnation: EndpointIncarnation) -> EndpointId {
     EndpointId {
-        life,
+        incarnation,
         name: "e".to_owned(),
     }
 }
 
-fn born(born_ms: u64) -> EndpointId {
-    id(Life::born_at(born_ms))
+fn started(started_at_ms: u64) -> EndpointId {
+    id(EndpointIncarnation::started_at(started_at_ms))
 }
 
 /// A heartbeat from the address with this last number.
@@ -55,14 +56,15 @@
 
 /// Words of up to four lives, one of them without a birth. Few values, so that they meet often.
 fn words() -> impl Strategy<Value = Announcement> {
-    let life = prop_oneof![
-        Just(Life::UNNAMED),
-        (1_u64..4).prop_map(Life::born_at),
-        Just(Life::born_at(u64::MAX)),
+    let incarnation = prop_oneof![
+        Just(EndpointIncarnation::UNKNOWN),
+        (1_u64..4).prop_map(EndpointIncarnation::started_at),
+        Just(EndpointIncarnation::started_at(u64::MAX)),
     ];
     let state = prop::sample::select(&STATES);
-    (life, 0_u64..4, state, 1_u8..4)
-        .prop_map(|(life, sequence, state, host)| heartbeat(id(life), sequence, state, host))
+    (incarnation, 0_u64..4, state, 1_u8..4).prop_map(|(incarnation, sequence, state, host)| {
+        heartbeat(id(incarnation), sequence, state, host)
+    })
 }
 
 fn joined(words: &[Announcement]) -> Announcement {
@@ -74,22 +76,29 @@
 }
 
 /// What must be known in the end, by looking at all words at once.
-fn expected(words: &[Announcement]) -> (Life, EndpointState, u64) {
-    let life = words.iter().map(|word| word.id.life).max().unwrap();
-    let of_life: Vec<_> = words.iter().filter(|word| word.id.life == life).collect();
-    let state = of_life.iter().map(|word| word.state).max().unwrap();
-    let sequence = of_life.iter().map(|word| word.sequence).max().unwrap();
-    (life, state, sequence)
-}
-
-fn known(announcement: &Announcement) -> (Life, EndpointState, u64) {
+fn expected(words: &[Announcement]) -> (EndpointIncarnation, EndpointState, u64) {
+    let incarnation = words.iter().map(|word| word.id.incarnation).max().unwrap();
+    let of_incarnation: Vec<_> = words
+        .iter()
+        .filter(|word| word.id.incarnation == incarnation)
+        .collect();
+    let state = of_incarnation.iter().map(|word| word.state).max().unwrap();
+    let sequence = of_incarnation
+        .iter()
+        .map(|word| word.sequence)
+        .max()
+        .unwrap();
+    (incarnation, state, sequence)
+}
+
+fn known(announcement: &Announcement) -> (EndpointIncarnation, EndpointState, u64) {
     let Announcement {
         id,
         sequence,
         state,
         ..
     } = announcement;
-    (id.life, *state, *sequence)
+    (id.incarnation, *state, *sequence)
 }
 
 proptest! {
@@ -120,10 +129,10 @@
         for word in &words[1..] {
             let before = known_now.clone();
             let joined = known_now.join(word);
-            let has_moved = (known_now.id.life, known_now.state) > (before.id.life, before.state);
-            let is_reborn = known_now.id.life > before.id.life;
-            prop_assert!(has_moved || (known_now.id.life, known_now.state) == (before.id.life, before.state));
-            prop_assert_eq!(joined == Joined::Reborn, is_reborn);
+            let has_moved = (known_now.id.incarnation, known_now.state) > (before.id.incarnation, before.state);
+            let is_replaced = known_now.id.incarnation > before.id.incarnation;
+            prop_assert!(has_moved || (known_now.id.incarnation, known_now.state) == (before.id.incarnation, before.state));
+            prop_assert_eq!(joined == Joined::Reborn, is_replaced);
             prop_assert!(joined != Joined::Same || !has_moved);
         }
     }
@@ -149,10 +158,10 @@
             let records = instances[from].changes_since(0);
             instances[to].merge(NOW, &records);
         }
-        let (life, state, _) = expected(&words);
+        let (incarnation, state, _) = expected(&words);
         for instance in &instances {
-            let (known_life, known_state, _) = known(newest(instance));
-            prop_assert_eq!((known_life, known_state), (life, state));
+            let (known_incarnation, known_state, _) = known(newest(instance));
+            prop_assert_eq!((known_incarnation, known_state), (incarnation, state));
             prop_assert_eq!(instance.records().count(), 1);
         }
     }
@@ -175,9 +184,9 @@
             let changes = told.changes_since(seen);
             seen = told.revision();
             reader.merge(NOW, &changes);
-            let (life, state, _) = known(newest(&told));
-            let (read_life, read_state, _) = known(newest(&reader));
-            prop_assert_eq!((read_life, read_state), (life, state));
+            let (incarnation, state, _) = known(newest(&told));
+            let (read_incarnation, read_state, _) = known(newest(&reader));
+            prop_assert_eq!((read_incarnation, read_state), (incarnation, state));
             prop_assert_eq!(newest(&reader).address, newest(&told).address);
         }
     }
@@ -186,57 +195,57 @@
 #[test]
 fn a_newer_life_begins_anew() {
     let mut registry = registry();
-    registry.announce(NOW, &ready(born(1), 90));
-    registry.depart(NOW, &born(1));
-    assert!(registry.announce(NOW, &ready(born(2), 1)));
-    assert_eq!(newest(&registry), &ready(born(2), 1));
-    assert!(registry.get(&born(1)).is_none());
+    registry.announce(NOW, &ready(started(1), 90));
+    registry.depart(NOW, &started(1));
+    assert!(registry.announce(NOW, &ready(started(2), 1)));
+    assert_eq!(newest(&registry), &ready(started(2), 1));
+    assert!(registry.get(&started(1)).is_none());
 }
 
 #[test]
 fn a_late_word_of_a_former_life_changes_nothing() {
     let mut registry = registry();
-    registry.announce(NOW, &ready(born(2), 1));
+    registry.announce(NOW, &ready(started(2), 1));
     let revision = registry.revision();
-    assert!(!registry.announce(NOW, &heartbeat(born(1), 99, EndpointState::Draining, 9)));
-    assert!(!registry.announce(NOW, &ready(EndpointId::unnamed_life("e"), 100)));
-    assert!(!registry.depart(NOW, &born(1)));
-    assert_eq!(newest(&registry), &ready(born(2), 1));
+    assert!(!registry.announce(NOW, &heartbeat(started(1), 99, EndpointState::Draining, 9)));
+    assert!(!registry.announce(NOW, &ready(EndpointId::with_unknown_incarnation("e"), 100)));
+    assert!(!registry.depart(NOW, &started(1)));
+    assert_eq!(newest(&registry), &ready(started(2), 1));
     assert_eq!(registry.revision(), revision);
 }
 
 #[test]
 fn a_late_word_of_a_former_life_is_no_sign_of_life() {
     let mut registry = registry();
-    registry.announce(ClockMs(0), &ready(born(2), 1));
-    registry.announce(ClockMs(4_900), &ready(born(1), 50));
+    registry.announce(ClockMs(0), &ready(started(2), 1));
+    registry.announce(ClockMs(4_900), &ready(started(1), 50));
     let heard = Heard {
         age_ms: 0,
-        id: born(1),
+        id: started(1),
     };
     registry.note_heard(ClockMs(4_900), &[heard]);
     registry.judge_silence(ClockMs(5_000), true);
-    assert!(registry.get(&born(2)).unwrap().is_silent);
+    assert!(registry.get(&started(2)).unwrap().is_silent);
 }
 
 #[test]
 fn a_newer_life_is_not_silent_as_its_former_one() {
     let mut registry = registry();
-    registry.announce(ClockMs(0), &ready(born(1), 1));
+    registry.announce(ClockMs(0), &ready(started(1), 1));
     registry.judge_silence(ClockMs(5_000), true);
-    assert!(registry.get(&born(1)).unwrap().is_silent);
-    registry.announce(ClockMs(5_100), &ready(born(2), 1));
-    assert!(!registry.get(&born(2)).unwrap().is_silent);
+    assert!(registry.get(&started(1)).unwrap().is_silent);
+    registry.announce(ClockMs(5_100), &ready(started(2), 1));
+    assert!(!registry.get(&started(2)).unwrap().is_silent);
     let heard = registry.heard_here(ClockMs(5_200));
-    assert_eq!(heard[0].id, born(2));
+    assert_eq!(heard[0].id, started(2));
 }
 
 #[test]
 fn a_deregistration_without_a_birth_ends_the_known_life() {
     let mut registry = registry();
-    registry.announce(NOW, &ready(born(2), 1));
-    assert!(registry.depart(NOW, &EndpointId::unnamed_life("e")));
-    assert_eq!(newest(&registry).id, born(2));
+    registry.announce(NOW, &ready(started(2), 1));
+    assert!(registry.depart(NOW, &EndpointId::with_unknown_incarnation("e")));
+    assert_eq!(newest(&registry).id, started(2));
     assert_eq!(newest(&registry).state, EndpointState::Gone);
-    assert!(registry.announce(NOW, &ready(born(3), 1)));
+    assert!(registry.announce(NOW, &ready(started(3), 1)));
 }
--- a/crates/masticsill_registry/tests/handed_places.rs
+++ b/crates/masticsill_registry/tests/handed_places.rs
@@ -14,7 +14,7 @@
 }
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 fn load(name: &str, in_flight: u32, reading: u32) -> EndpointLoad {
--- a/crates/masticsill_registry/tests/heartbeats.rs
+++ b/crates/masticsill_registry/tests/heartbeats.rs
@@ -11,7 +11,7 @@
 };
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 fn heartbeat(name: &str, sequence: u64, state: EndpointState) -> Announcement {
--- a/crates/masticsill_registry/tests/kept_prompts.rs
+++ b/crates/masticsill_registry/tests/kept_prompts.rs
@@ -1,11 +1,11 @@
 //! What engines keep of prompts, by news that come late, with gaps and across restarts.
 
 use masticsill_registry::{
-    EndpointId, KeptNews, KeptPart, KeptPrompts, KeptTokens, Life, PromptPart,
+    EndpointId, EndpointIncarnation, KeptNews, KeptPart, KeptPrompts, KeptTokens, PromptPart,
 };
 
 fn engine(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 fn news(epoch: u64, position: u64, parts: &[(&str, u64)]) -> KeptNews {
@@ -16,7 +16,7 @@
     KeptNews {
         epoch,
         is_gap: false,
-        life: Life::UNNAMED,
+        incarnation: EndpointIncarnation::UNKNOWN,
         parts: parts.collect(),
         position,
         unreadable: 0,
@@ -115,7 +115,7 @@
 #[test]
 fn a_new_life_keeps_nothing_of_the_former_one() {
     let reborn = EndpointId {
-        life: Life::born_at(2),
+        incarnation: EndpointIncarnation::started_at(2),
         ..engine("e")
     };
     let mut prompts = KeptPrompts::default();
@@ -130,15 +130,15 @@
 
 #[test]
 fn news_of_another_life_are_told_apart() {
-    let life = |born_ms| EndpointId {
-        life: Life::born_at(born_ms),
+    let incarnation = |started_at_ms| EndpointId {
+        incarnation: EndpointIncarnation::started_at(started_at_ms),
         ..engine("e")
     };
     let mut told = news(1, 1, &[]);
-    assert!(told.are_of(&engine("e")) && told.are_of(&life(2)));
-    told.life = Life::born_at(2);
-    assert!(told.are_of(&life(2)) && told.are_of(&engine("e")));
-    assert!(!told.are_of(&life(1)) && !told.are_of(&life(3)));
+    assert!(told.are_of(&engine("e")) && told.are_of(&incarnation(2)));
+    told.incarnation = EndpointIncarnation::started_at(2);
+    assert!(told.are_of(&incarnation(2)) && told.are_of(&engine("e")));
+    assert!(!told.are_of(&incarnation(1)) && !told.are_of(&incarnation(3)));
 }
 
 #[test]
--- a/crates/masticsill_registry/tests/watcher_loads.rs
+++ b/crates/masticsill_registry/tests/watcher_loads.rs
@@ -14,7 +14,7 @@
 
 fn load(in_flight: u32, reading: u32) -> EndpointLoad {
     EndpointLoad {
-        id: EndpointId::unnamed_life("e"),
+        id: EndpointId::with_unknown_incarnation("e"),
         in_flight,
         reading,
         held_tokens: 0,
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -117,7 +117,7 @@
                 info,
                 events::ENDPOINT_CHANGED,
                 endpoint = id,
-                life = id.life,
+                life = id.incarnation,
                 state = endpoint.announcement.state.name(),
                 address = endpoint.announcement.address,
                 zone = endpoint.announcement.zone,
--- a/crates/masticsill_routing/src/endpoint.rs
+++ b/crates/masticsill_routing/src/endpoint.rs
@@ -4,7 +4,7 @@
 
 use masticsill_types::{Class, ClockMs, EndpointKind, Incarnation, LoadReport, NodeId, ZoneId};
 
-use crate::cache_view::{CacheView, CachePresence};
+use crate::cache_view::{CachePresence, CacheView};
 use crate::config::RouterConfig;
 use crate::number::{hash_text, mix, to_float};
 use crate::request::{BackEndTarget, PrefixBlock};
@@ -71,7 +71,9 @@
 
     fn add(&mut self, event: OwnEvent) {
         match event.kind {
-            OwnEventKind::Claim | OwnEventKind::Reuse => *self.started_since.of_mut(event.class) += 1,
+            OwnEventKind::Claim | OwnEventKind::Reuse => {
+                *self.started_since.of_mut(event.class) += 1
+            }
             OwnEventKind::End => *self.ended_since.of_mut(event.class) += 1,
         }
         if event.kind == OwnEventKind::Claim && event.class == Class::PatientDraft {
@@ -230,7 +232,8 @@
     }
 
     fn evict_freed(&mut self, now: ClockMs) {
-        self.freed_at.retain(|left| now.since(*left) <= FREED_SLOT_HOLD_MS);
+        self.freed_at
+            .retain(|left| now.since(*left) <= FREED_SLOT_HOLD_MS);
     }
 
     fn note(&mut self, at: ClockMs, class: Class, kind: OwnEventKind) {
--- a/crates/masticsill_routing/src/lane.rs
+++ b/crates/masticsill_routing/src/lane.rs
@@ -41,7 +41,9 @@
     ) -> Option<(WorkRequest, T)> {
         for position in 0..self.resumes.len() {
             match try_start(&self.resumes[position].request) {
-                StartAttempt::Started(started) => return Some((self.remove_resume(position), started)),
+                StartAttempt::Started(started) => {
+                    return Some((self.remove_resume(position), started));
+                }
                 StartAttempt::Skipped => {}
                 StartAttempt::Stopped => return None,
             }
@@ -86,7 +88,10 @@
     /// Milliseconds that work ahead takes on so many slots, the waiting resumes included.
     pub(crate) fn wait_ms(&self, cost_ahead: u64, slots: u32) -> u64 {
         let speed = self.speed.get().unwrap_or(INITIAL_SPEED_COST_PER_MS) * f64::from(slots.max(1));
-        to_count(to_float(cost_ahead + self.resumes_cost) / speed, MAX_ESTIMATE_MS)
+        to_count(
+            to_float(cost_ahead + self.resumes_cost) / speed,
+            MAX_ESTIMATE_MS,
+        )
     }
 
     /// Milliseconds that work of this cost takes in a slot, once that was measured.
--- a/crates/masticsill_routing/src/number.rs
+++ b/crates/masticsill_routing/src/number.rs
@@ -42,10 +42,9 @@
     const SAMPLE_WEIGHT: f64 = 0.1;
 
     pub(crate) fn add(&mut self, sample: f64) {
-        self.value = Some(
-            self.value
-                .map_or(sample, |value| value + (sample - value) * Self::SAMPLE_WEIGHT),
-        );
+        self.value = Some(self.value.map_or(sample, |value| {
+            value + (sample - value) * Self::SAMPLE_WEIGHT
+        }));
     }
 
     pub(crate) fn get(&self) -> Option<f64> {
--- a/crates/masticsill_routing/src/placement.rs
+++ b/crates/masticsill_routing/src/placement.rs
@@ -185,7 +185,8 @@
 
     /// Random endpoints with a free slot.
     fn random_candidates(&self, rng: &mut StdRng) -> Vec<EndpointIndex> {
-        let mut chosen = Vec::with_capacity(RANDOM_CANDIDATES + RENDEZVOUS_CANDIDATES + MAX_HOLDERS_PER_PREFIX);
+        let mut chosen =
+            Vec::with_capacity(RANDOM_CANDIDATES + RENDEZVOUS_CANDIDATES + MAX_HOLDERS_PER_PREFIX);
         if self.pool.is_empty() {
             return chosen;
         }
@@ -214,7 +215,8 @@
 
     /// The endpoints that rank highest for a prefix, whatever entry asks.
     fn by_rendezvous(&self, prefix_hash: u64) -> Vec<EndpointIndex> {
-        let mut best: [Option<(u64, EndpointIndex)>; RENDEZVOUS_CANDIDATES] = [None; RENDEZVOUS_CANDIDATES];
+        let mut best: [Option<(u64, EndpointIndex)>; RENDEZVOUS_CANDIDATES] =
+            [None; RENDEZVOUS_CANDIDATES];
         for member in self.pool {
             let rank = mix(member.hash, prefix_hash);
             if best[1].is_some_and(|(least, _)| rank <= least) {
--- a/crates/masticsill_routing/src/pool.rs
+++ b/crates/masticsill_routing/src/pool.rs
@@ -171,7 +171,11 @@
     }
 
     /// When the first endpoint of a target that is held back may be used again.
-    pub(crate) fn next_hold_down_end(&self, now: ClockMs, target: &BackEndTarget) -> Option<ClockMs> {
+    pub(crate) fn next_hold_down_end(
+        &self,
+        now: ClockMs,
+        target: &BackEndTarget,
+    ) -> Option<ClockMs> {
         let endpoints = self.endpoints_of(target);
         let staying = endpoints.filter(|endpoint| !endpoint.description.is_leaving);
         let ends = staying.map(|endpoint| endpoint.description.held_until);
--- a/crates/masticsill_routing/src/refusals.rs
+++ b/crates/masticsill_routing/src/refusals.rs
@@ -63,7 +63,10 @@
         let wait = self.estimate_wait(request);
         let has_resumes = self.has_resumes(request);
         if !has_entry_room {
-            return Some(limit_reached("waiting requests", clamp_retry_after(wait.wait_ms)));
+            return Some(limit_reached(
+                "waiting requests",
+                clamp_retry_after(wait.wait_ms),
+            ));
         }
         if has_resumes && request.class == Class::PatientDraft {
             return Some(self.overloaded(request, "broken generations are continued first"));
@@ -128,14 +131,16 @@
     /// A refusal with the time until the work that is ahead now will be done.
     pub(crate) fn overloaded(&self, request: &WorkRequest, reason: &str) -> Refusal {
         let wait = self.estimate_wait(request);
-        Refusal::not_run(RefusalKind::Overloaded, reason).retry_after(clamp_retry_after(wait.wait_ms))
+        Refusal::not_run(RefusalKind::Overloaded, reason)
+            .retry_after(clamp_retry_after(wait.wait_ms))
     }
 
     pub(crate) fn no_endpoint(&self, now: ClockMs, request: &WorkRequest) -> Refusal {
         let held = self.table.next_hold_down_end(now, &request.target);
         let retry_after_ms = held.map_or(NO_ENDPOINT_RETRY_AFTER_MS, |end| end.since(now));
         let detail = format!("no endpoint serves `{}` now", request.catalogue_entry);
-        Refusal::not_run(RefusalKind::NoEndpoint, detail).retry_after(clamp_retry_after(retry_after_ms))
+        Refusal::not_run(RefusalKind::NoEndpoint, detail)
+            .retry_after(clamp_retry_after(retry_after_ms))
     }
 }
 
@@ -158,5 +163,6 @@
 
 fn limit_reached(limit: &str, retry_after_ms: u64) -> Refusal {
     let detail = format!("the entry's limit of {limit} is used up");
-    Refusal::not_run(RefusalKind::LimitReached, detail).retry_after(clamp_retry_after(retry_after_ms))
+    Refusal::not_run(RefusalKind::LimitReached, detail)
+        .retry_after(clamp_retry_after(retry_after_ms))
 }
--- a/crates/masticsill_routing/src/router.rs
+++ b/crates/masticsill_routing/src/router.rs
@@ -12,7 +12,7 @@
 use crate::endpoint::{EndpointDescription, EntrySeat};
 use crate::lane::Lanes;
 use crate::limits::{Limiter, LocalLimits};
-use crate::placement::{Placer, PlacementQuery};
+use crate::placement::{PlacementQuery, Placer};
 use crate::pool::{EndpointIndex, EndpointTable};
 use crate::request::{
     Admit, BackEndTarget, Placement, WorkEnd, WorkKind, WorkOutcome, WorkRequest,
