--- a/crates/masticsill/src/settings_map.rs
+++ b/crates/masticsill/src/settings_map.rs
@@ -10,7 +10,7 @@
 };
 use masticsill_entry::EntryConfig;
 use masticsill_quorum::ReplicaSettings;
-use masticsill_registry::RegistryPeriods;
+use masticsill_registry::RegistryTimeouts;
 use masticsill_settings::{
     AgentSettings, ControlSettings, EndpointSettings, EntrySettings, OperatorSettings, Settings,
 };
@@ -87,7 +87,7 @@
     let operators = control.operators.iter().map(to_operator_config);
     Ok(ControlConfig {
         admission: AdmissionPolicy::Operators,
-        endpoints: RegistryPeriods::default(),
+        endpoints: RegistryTimeouts::default(),
         cluster: settings.cluster.as_str().to_owned(),
         data_folder: control.data_folder.clone(),
         founding: FoundingPolicy::Named(founders.collect()),
--- a/crates/masticsill_bench/src/overload/play.rs
+++ b/crates/masticsill_bench/src/overload/play.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use masticsill_dispatch::{Decision, Ended, Need, Overload, Wanted, Work, choose};
-use masticsill_registry::{EndpointId, EndpointLoad, PlaceRequest, WatcherBook};
+use masticsill_registry::{EndpointId, EndpointLoad, EngineReservationRequest, WatcherTable};
 use masticsill_types::{ClockMs, ZoneId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,7 +48,7 @@
 struct World {
     arrivals: Vec<Arrival>,
     /// What the replica of each zone knows, in the order of the zones.
-    books: Vec<WatcherBook>,
+    books: Vec<WatcherTable>,
     engine_ids: Vec<EndpointId>,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
@@ -84,7 +84,7 @@
         let random = ChaCha8Rng::seed_from_u64(plan.seed);
         let mut world = Self {
             arrivals: Vec::new(),
-            books: vec![WatcherBook::default(); ZONES.len()],
+            books: vec![WatcherTable::default(); ZONES.len()],
             engine_ids: (0..plan.engines).map(endpoint_id).collect(),
             engines: vec![Engine::default(); plan.engines],
             entries: Vec::new(),
@@ -148,7 +148,7 @@
                     .filter(|load| zone_place(&load.id, &self.engine_ids) == Some(zone))
                     .cloned()
                     .collect();
-                book.note(now, &watcher, 0, &loads);
+                book.record_poll(now, &watcher, 0, &loads);
             }
             self.heard[entry] = loads;
         }
@@ -276,7 +276,7 @@
         let now = self.now;
         let near = entry % ZONES.len();
         let far = (near + self.random.random_range(1..ZONES.len())) % ZONES.len();
-        let request = PlaceRequest {
+        let request = EngineReservationRequest {
             avoided: Vec::new(),
             service: SERVICE.to_owned(),
             watcher: self.entries[entry].watcher(),
@@ -284,7 +284,7 @@
         for zone in [near, far] {
             let engines = self.engine_ids.iter().skip(zone).step_by(ZONES.len());
             let engines: Vec<&EndpointId> = engines.collect();
-            let place = self.books[zone].hand_out_place(now, &request, &engines);
+            let place = self.books[zone].reserve_engine(now, &request, &engines);
             if let Some(load) = place {
                 self.entries[entry].table.take_place(now, &load);
                 return Some(load.id);
--- a/crates/masticsill_control/src/config.rs
+++ b/crates/masticsill_control/src/config.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use masticsill_catalogue::OperatorScope;
 use masticsill_quorum::ReplicaSettings;
-use masticsill_registry::{KeptNews, RegistryPeriods};
+use masticsill_registry::{CacheUpdate, RegistryTimeouts};
 use masticsill_types::{NodeId, OperatorId, ZoneId};
 use thiserror::Error;
 
@@ -22,7 +22,7 @@
     /// Where the replica's durable state lives.
     pub data_folder: PathBuf,
     /// When endpoints count as lost and are forgotten.
-    pub endpoints: RegistryPeriods,
+    pub endpoints: RegistryTimeouts,
     /// Who founds a new cluster.
     ///
     /// It matters only while every folder is new: a founded cluster is never founded again.
@@ -48,7 +48,7 @@
 }
 
 /// Reads an engine's news of prompts; the text names what is wrong.
-pub type PromptNewsReader = fn(&[u8]) -> Result<KeptNews, String>;
+pub type PromptNewsReader = fn(&[u8]) -> Result<CacheUpdate, String>;
 
 /// The calls that tell what an engine keeps of prompts: one waits for news, one lists all.
 #[derive(Clone, Debug)]
--- a/crates/masticsill_control/src/endpoints/hub.rs
+++ b/crates/masticsill_control/src/endpoints/hub.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, Heard, KeptNews,
-    KeptPrompts, KeptTokens, LoadsChange, PlaceRequest, PromptPart, Registry, RegistryPeriods,
-    Watcher, WatcherBook,
+    Announcement, CacheUpdate, CachedTokens, EndpointId, EndpointLoad, EndpointRecord,
+    EndpointState, EngineReservationRequest, HeartbeatAge, LoadsChange, PromptCacheIndex,
+    PromptPart, Registry, RegistryTimeouts, Watcher, WatcherTable,
 };
 use masticsill_types::{MonotonicClock, NodeId, ZoneId, log_event};
 use masticsill_wire::control::{WatchReply, WatchRequest};
@@ -39,7 +39,7 @@
 struct Shared {
     acknowledged: Notify,
     clock: MonotonicClock,
-    kept: Mutex<KeptPrompts>,
+    kept: Mutex<PromptCacheIndex>,
     /// Tells this registry from that of another life of the process.
     life: u64,
     /// Raised when some watcher's loads change.
@@ -48,7 +48,7 @@
     revision: watch::Sender<u64>,
     suspects: Suspects,
     unreadable: UnreadableWords,
-    watchers: Mutex<WatcherBook>,
+    watchers: Mutex<WatcherTable>,
     zone: ZoneId,
 }
 
@@ -61,7 +61,7 @@
 impl EndpointHub {
     pub(crate) fn new(
         clock: MonotonicClock,
-        periods: RegistryPeriods,
+        periods: RegistryTimeouts,
         zone: ZoneId,
         unreadable: UnreadableWords,
     ) -> Self {
@@ -123,7 +123,7 @@
         let now = self.shared.clock.now();
         let (is_changed, revision) = {
             let mut registry = self.registry();
-            let is_changed = registry.depart(now, &id);
+            let is_changed = registry.deregister(now, &id);
             (is_changed, registry.revision())
         };
         if is_changed {
@@ -165,10 +165,10 @@
     }
 
     /// Joins what another replica told.
-    pub(crate) fn merge(&self, records: &[EndpointRecord], heard: &[Heard]) {
+    pub(crate) fn merge(&self, records: &[EndpointRecord], heard: &[HeartbeatAge]) {
         let now = self.shared.clock.now();
         let mut registry = self.registry();
-        registry.note_heard(now, heard);
+        registry.apply_heartbeat_ages(now, heard);
         if registry.merge(now, records) {
             self.shared.revision.send_replace(registry.revision());
         }
@@ -179,7 +179,7 @@
         let now = self.shared.clock.now();
         let mut registry = self.registry();
         let before = registry.revision();
-        if !registry.judge_silence(now, can_judge) {
+        if !registry.update_silence(now, can_judge) {
             return;
         }
         let changes = registry.changes_since(before);
@@ -258,13 +258,13 @@
     }
 
     /// Takes an engine's news of the prompts that it keeps.
-    pub(crate) fn take_kept(&self, endpoint: &EndpointId, news: KeptNews) {
-        self.kept().take(endpoint, news);
+    pub(crate) fn take_kept(&self, endpoint: &EndpointId, news: CacheUpdate) {
+        self.kept().apply(endpoint, news);
     }
 
     /// Takes the whole list of the prompts that an engine keeps.
-    pub(crate) fn take_all_kept(&self, endpoint: &EndpointId, list: KeptNews) {
-        self.kept().take_all(endpoint, list);
+    pub(crate) fn take_all_kept(&self, endpoint: &EndpointId, list: CacheUpdate) {
+        self.kept().replace(endpoint, list);
     }
 
     /// Notes entries of an engine's news of prompts that could not be read.
@@ -280,7 +280,7 @@
     }
 
     /// Engines of this zone that keep the beginning of a prompt.
-    pub(crate) fn find_kept(&self, prompt: &[PromptPart]) -> Vec<KeptTokens> {
+    pub(crate) fn find_kept(&self, prompt: &[PromptPart]) -> Vec<CachedTokens> {
         self.kept().find(prompt, LEAST_KEPT_TOKENS)
     }
 
@@ -292,11 +292,11 @@
     }
 
     /// Hands out a place at an engine of this zone; tells what the other watchers have there.
-    pub(crate) fn take_place(&self, request: &PlaceRequest) -> Option<EndpointLoad> {
+    pub(crate) fn take_place(&self, request: &EngineReservationRequest) -> Option<EndpointLoad> {
         let now = self.shared.clock.now();
         let registry = self.registry();
-        let engines = registry.takers(&request.service, &self.shared.zone);
-        self.watchers().hand_out_place(now, request, &engines)
+        let engines = registry.ready_endpoints(&request.service, &self.shared.zone);
+        self.watchers().reserve_engine(now, request, &engines)
     }
 
     fn tell_of_loads(&self, change: LoadsChange) {
@@ -308,7 +308,7 @@
 
     fn have_loads_changed(&self, request: &WatchRequest) -> bool {
         let watchers = self.watchers();
-        watchers.have_others_changed(&request.watcher, request.loads_revision)
+        watchers.have_other_loads_changed(&request.watcher, request.loads_revision)
     }
 
     /// How long news that are not urgent wait, counted from the question, so that many share one
@@ -328,7 +328,7 @@
     /// Whether a watcher must hear at once: of an endpoint that leaves, of a document, or of a request
     /// that crashes endpoints.
     fn has_urgent_news(&self, published: &PublishedState, request: &WatchRequest) -> bool {
-        if !self.is_followed(request) || self.registry().has_left_since(request.revision) {
+        if !self.is_followed(request) || self.registry().has_departure_since(request.revision) {
             return true;
         }
         if self.suspects().spread_revision() > request.suspects_revision {
@@ -354,7 +354,7 @@
         let registry = self.registry();
         let heard = match request.watcher {
             Watcher::Entry { .. } => Vec::new(),
-            Watcher::Replica(_) => registry.heard_here(now),
+            Watcher::Replica(_) => registry.direct_heartbeat_ages(now),
         };
         WatchReply {
             document_version: *published.watch_document().borrow(),
@@ -401,7 +401,7 @@
         let revision = self.known_revision(request);
         let change = self
             .watchers()
-            .note(now, &request.watcher, revision, &request.loads);
+            .record_poll(now, &request.watcher, revision, &request.loads);
         self.tell_of_loads(change);
         self.shared.acknowledged.notify_waiters();
     }
@@ -424,7 +424,7 @@
 
     fn have_all_seen(&self, revision: u64) -> bool {
         let now = self.shared.clock.now();
-        self.watchers().have_all_seen(now, revision)
+        self.watchers().is_acknowledged_by_all(now, revision)
     }
 
     fn registry(&self) -> MutexGuard<'_, Registry> {
@@ -432,12 +432,12 @@
         registry.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn kept(&self) -> MutexGuard<'_, KeptPrompts> {
+    fn kept(&self) -> MutexGuard<'_, PromptCacheIndex> {
         let kept = self.shared.kept.lock();
         kept.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn watchers(&self) -> MutexGuard<'_, WatcherBook> {
+    fn watchers(&self) -> MutexGuard<'_, WatcherTable> {
         let watchers = self.shared.watchers.lock();
         watchers.unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/masticsill_control/src/endpoints/prompts.rs
+++ b/crates/masticsill_control/src/endpoints/prompts.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use indexmap::IndexSet;
-use masticsill_registry::{Announcement, EndpointId, KeptNews};
+use masticsill_registry::{Announcement, CacheUpdate, EndpointId};
 use masticsill_types::log_event;
 use masticsill_upstream::{EndpointCall, EndpointClient};
 use tokio::task::spawn_local;
@@ -128,8 +128,8 @@
 
     /// News of the engine that is followed: at its address, another life of it may answer, which
     /// keeps nothing of what this one did.
-    fn own(&mut self, news: KeptNews) -> Result<KeptNews, String> {
-        if !news.are_of(&self.engine) {
+    fn own(&mut self, news: CacheUpdate) -> Result<CacheUpdate, String> {
+        if !news.may_be_from(&self.engine) {
             return Err(format!("the engine's life {} answers", news.incarnation));
         }
         if news.unreadable > 0 {
--- a/crates/masticsill_control/src/forwarder/service.rs
+++ b/crates/masticsill_control/src/forwarder/service.rs
@@ -10,7 +10,8 @@
 use masticsill_quarantine::RequestRecord;
 use masticsill_quorum::Reservations;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EngineReservationRequest, PromptPart,
+    Watcher,
 };
 use masticsill_types::{CatalogueVersion, MonotonicClock, NodeId, ZoneId};
 use masticsill_wire::control::{
@@ -152,11 +153,11 @@
 
     async fn tell_crashes(self, _: Context, _: Vec<RequestRecord>) {}
 
-    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<KeptTokens> {
+    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<CachedTokens> {
         Vec::new()
     }
 
-    async fn take_place(self, _: Context, _: PlaceRequest) -> Option<EndpointLoad> {
+    async fn take_place(self, _: Context, _: EngineReservationRequest) -> Option<EndpointLoad> {
         None
     }
 
--- a/crates/masticsill_control/src/gauges.rs
+++ b/crates/masticsill_control/src/gauges.rs
@@ -65,7 +65,7 @@
         let records = server.endpoints.records();
         let said: Vec<EndpointState> = records.iter().map(|it| it.announcement.state).collect();
         let shown = [EndpointState::Ready, EndpointState::Draining];
-        self.endpoints.follow(&shown, &said);
+        self.endpoints.update(&shown, &said);
     }
 }
 
--- a/crates/masticsill_control/src/rpc/service.rs
+++ b/crates/masticsill_control/src/rpc/service.rs
@@ -11,7 +11,8 @@
 use masticsill_quarantine::RequestRecord;
 use masticsill_quorum::{Reservations, VoterId, decode_message};
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EngineReservationRequest, PromptPart,
+    Watcher,
 };
 use masticsill_types::{MonotonicClock, NodeId, log_event};
 use masticsill_wire::control::{
@@ -289,11 +290,15 @@
         self.endpoints.suspects().take(&records);
     }
 
-    async fn find_kept(self, _: Context, prompt: Vec<PromptPart>) -> Vec<KeptTokens> {
+    async fn find_kept(self, _: Context, prompt: Vec<PromptPart>) -> Vec<CachedTokens> {
         self.endpoints.find_kept(&prompt)
     }
 
-    async fn take_place(self, _: Context, request: PlaceRequest) -> Option<EndpointLoad> {
+    async fn take_place(
+        self,
+        _: Context,
+        request: EngineReservationRequest,
+    ) -> Option<EndpointLoad> {
         self.endpoints.take_place(&request)
     }
 
--- a/crates/masticsill_control/tests/common/mod.rs
+++ b/crates/masticsill_control/tests/common/mod.rs
@@ -12,7 +12,7 @@
     OperatorConfig, TokenHash,
 };
 use masticsill_quorum::ReplicaSettings;
-use masticsill_registry::RegistryPeriods;
+use masticsill_registry::RegistryTimeouts;
 use masticsill_runtime::{DutyHandle, Metrics, Ring, ShutdownSignal, listen, spawn_async_duty};
 use masticsill_testkit::{Direction, FaultProxy, ProxyMode};
 use masticsill_types::{CatalogueVersion, MonotonicClock, NodeId};
@@ -136,7 +136,7 @@
         let peers = links.map(|((_, to), link)| (node(*to), link.address()));
         ControlConfig {
             admission: AdmissionPolicy::Operators,
-            endpoints: RegistryPeriods::default(),
+            endpoints: RegistryTimeouts::default(),
             zone: "a".parse().unwrap(),
             cluster: "test".to_owned(),
             data_folder: self.folder(number),
--- a/crates/masticsill_control_client/src/client.rs
+++ b/crates/masticsill_control_client/src/client.rs
@@ -10,7 +10,8 @@
 };
 use masticsill_quarantine::RequestRecord;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EngineReservationRequest, PromptPart,
+    Watcher,
 };
 use masticsill_types::NodeId;
 use masticsill_wire::control::{
@@ -237,7 +238,7 @@
         &self,
         address: SocketAddr,
         prompt: &[PromptPart],
-    ) -> Option<Vec<KeptTokens>> {
+    ) -> Option<Vec<CachedTokens>> {
         let send = async |client: ControlServiceClient, context| {
             client.find_kept(context, prompt.to_vec()).await
         };
@@ -249,7 +250,7 @@
     pub async fn take_place(
         &self,
         address: SocketAddr,
-        request: &PlaceRequest,
+        request: &EngineReservationRequest,
     ) -> Option<EndpointLoad> {
         let send = async |client: ControlServiceClient, context| {
             client.take_place(context, request.clone()).await
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use masticsill_registry::{
     Announcement, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord, EndpointState,
-    Joined,
+    JoinOutcome,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 
@@ -68,9 +68,9 @@
         known.note_word(from, record.is_silent);
         let state = known.announcement.state;
         match known.announcement.join(announcement) {
-            Joined::Same => false,
+            JoinOutcome::Same => false,
             // A former life is not in the place of this one: lives are kept apart by their ids.
-            Joined::Changed | Joined::Reborn => state != known.announcement.state,
+            JoinOutcome::Changed | JoinOutcome::Replaced => state != known.announcement.state,
         }
     }
 
--- a/crates/masticsill_dispatch/src/lane.rs
+++ b/crates/masticsill_dispatch/src/lane.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use indexmap::IndexMap;
-use masticsill_registry::{EndpointId, KeptTokens};
+use masticsill_registry::{CachedTokens, EndpointId};
 use masticsill_types::ClockMs;
 
 use crate::room::Waited;
@@ -51,7 +51,7 @@
     /// Endpoints that it was sent to already.
     pub excluded: Vec<EndpointId>,
     /// Engines that keep the beginning of its prompt.
-    pub kept: Vec<KeptTokens>,
+    pub kept: Vec<CachedTokens>,
     /// The engine at which a control replica has just handed out a place to it.
     pub place: Option<EndpointId>,
     /// The service.
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -1,7 +1,7 @@
 //! Which endpoint a request goes to.
 
 use indexmap::IndexMap;
-use masticsill_registry::{EndpointId, KeptTokens, is_zone_down};
+use masticsill_registry::{CachedTokens, EndpointId, is_zone_down};
 use masticsill_types::{ClockMs, ZoneId};
 
 use crate::endpoint::Endpoint;
@@ -51,7 +51,7 @@
     /// Endpoints that it was sent to already.
     pub excluded: &'a [EndpointId],
     /// Engines that keep the beginning of its prompt.
-    pub kept: &'a [KeptTokens],
+    pub kept: &'a [CachedTokens],
     /// The zone to avoid, for a copy that is to survive the zone.
     pub not_in_zone: Option<&'a ZoneId>,
     /// The endpoint at which a place was handed out to the request.
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -2,8 +2,8 @@
 
 use masticsill_dispatch::{EndpointTable, Wanted, ZoneShare, choose};
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord, EndpointState,
-    KeptTokens,
+    Announcement, CachedTokens, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord,
+    EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
@@ -56,7 +56,7 @@
     table.merge(&control(0), &[record])
 }
 
-fn chosen(table: &EndpointTable, kept: &[KeptTokens]) -> Option<(EndpointId, u64)> {
+fn chosen(table: &EndpointTable, kept: &[CachedTokens]) -> Option<(EndpointId, u64)> {
     let wanted = Wanted {
         closed: &[],
         excluded: &[],
@@ -185,7 +185,7 @@
 fn prompts_of_the_former_life_count_no_more() {
     let mut table = EndpointTable::default();
     tell(&mut table, ready(born("e", 2)));
-    let kept = |born_ms| KeptTokens {
+    let kept = |born_ms| CachedTokens {
         endpoint: born("e", born_ms),
         tokens: 8_000,
     };
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -6,7 +6,7 @@
     Ticket, Turns, Work, ZoneShare,
 };
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EndpointRecord, EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
@@ -158,7 +158,7 @@
 #[test]
 fn kept_prompt_needs_no_idle_engine() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let kept = KeptTokens {
+    let kept = CachedTokens {
         endpoint: id("e1"),
         tokens: 7_900,
     };
--- a/crates/masticsill_dispatch/tests/placement_choice.rs
+++ b/crates/masticsill_dispatch/tests/placement_choice.rs
@@ -2,7 +2,7 @@
 
 use masticsill_dispatch::{EndpointTable, Failure, Wanted, ZoneShare, choose, choose_holder};
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EndpointRecord, EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use rand::{Rng, SeedableRng};
@@ -101,7 +101,7 @@
     assert_eq!(chosen(&table).as_deref(), Some("a1"));
 }
 
-fn chosen_with(table: &EndpointTable, kept: &[KeptTokens]) -> Option<String> {
+fn chosen_with(table: &EndpointTable, kept: &[CachedTokens]) -> Option<String> {
     let wanted = Wanted {
         closed: &[],
         excluded: &[],
@@ -118,7 +118,7 @@
 #[test]
 fn a_kept_prompt_outweighs_load_and_zone_but_no_failure() {
     let mut table = table(&["a1", "b1"]);
-    let kept = [KeptTokens {
+    let kept = [CachedTokens {
         endpoint: id("b1"),
         tokens: 8_000,
     }];
@@ -132,7 +132,7 @@
 #[test]
 fn a_short_kept_part_does_not_outweigh_load() {
     let mut table = table(&["a1", "a2"]);
-    let kept = [KeptTokens {
+    let kept = [CachedTokens {
         endpoint: id("a2"),
         tokens: 300,
     }];
--- a/crates/masticsill_registry/src/gauges.rs
+++ b/crates/masticsill_registry/src/gauges.rs
@@ -27,7 +27,7 @@
     }
 
     /// Counts the endpoints of each of the states.
-    pub fn follow(&self, states: &[EndpointState], endpoints: &[EndpointState]) {
+    pub fn update(&self, states: &[EndpointState], endpoints: &[EndpointState]) {
         for state in states {
             let count = endpoints.iter().filter(|it| *it == state).count();
             let label = StateLabel {
--- a/crates/masticsill_registry/src/join.rs
+++ b/crates/masticsill_registry/src/join.rs
@@ -13,13 +13,13 @@
 
 /// What a word did to what was known of its id.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Joined {
+pub enum JoinOutcome {
     /// Nothing that matters to requests is different.
     Same,
     /// Something that matters to requests is different; the life is the same.
     Changed,
     /// A newer life is in place of the one known before.
-    Reborn,
+    Replaced,
 }
 
 /// What orders the heartbeats of one life: the sequence, and for two with the same one whatever
@@ -28,17 +28,17 @@
 
 impl Announcement {
     /// Joins another word of the same name into this one.
-    pub fn join(&mut self, other: &Self) -> Joined {
+    pub fn join(&mut self, other: &Self) -> JoinOutcome {
         debug_assert_eq!(
             self.id.name, other.id.name,
             "words of two ids are not joined"
         );
         if other.id.incarnation < self.id.incarnation {
-            return Joined::Same;
+            return JoinOutcome::Same;
         }
         if other.id.incarnation > self.id.incarnation {
             self.clone_from(other);
-            return Joined::Reborn;
+            return JoinOutcome::Replaced;
         }
         let state = self.state.max(other.state);
         let mut is_changed = state != self.state;
@@ -48,9 +48,9 @@
         }
         self.state = state;
         if is_changed {
-            Joined::Changed
+            JoinOutcome::Changed
         } else {
-            Joined::Same
+            JoinOutcome::Same
         }
     }
 
--- a/crates/masticsill_registry/src/kept.rs
+++ b/crates/masticsill_registry/src/kept.rs
@@ -22,7 +22,7 @@
 
 /// What an engine keeps of one part from now on.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KeptPart {
+pub struct CachedPart {
     /// The part.
     pub id: String,
     /// Tokens of it that are kept; zero once it is dropped. What was generated after a prompt
@@ -32,7 +32,7 @@
 
 /// News of one engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct KeptNews {
+pub struct CacheUpdate {
     /// Another number after a restart, which keeps nothing.
     pub epoch: u64,
     /// Whether news before these are lost.
@@ -40,17 +40,17 @@
     /// The life that speaks, if it says so.
     pub incarnation: EndpointIncarnation,
     /// What changed, oldest first.
-    pub parts: Vec<KeptPart>,
+    pub parts: Vec<CachedPart>,
     /// From where the next news go on.
     pub position: u64,
     /// Entries that could not be read; they name nothing.
     pub unreadable: u64,
 }
 
-impl KeptNews {
+impl CacheUpdate {
     /// Whether they may be an incarnation's own: one that names no birth can't be told apart.
     #[must_use]
-    pub fn are_of(&self, endpoint: &EndpointId) -> bool {
+    pub fn may_be_from(&self, endpoint: &EndpointId) -> bool {
         let incarnations = [self.incarnation, endpoint.incarnation];
         !incarnations.into_iter().all(EndpointIncarnation::is_known)
             || self.incarnation == endpoint.incarnation
@@ -59,7 +59,7 @@
 
 /// Tokens of one prompt that an engine keeps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct KeptTokens {
+pub struct CachedTokens {
     /// The engine.
     pub endpoint: EndpointId,
     /// Tokens from the prompt's beginning.
@@ -76,11 +76,11 @@
 
 /// What several engines keep.
 #[derive(Clone, Debug, Default)]
-pub struct KeptPrompts {
+pub struct PromptCacheIndex {
     engines: IndexMap<EndpointId, Engine>,
 }
 
-impl KeptPrompts {
+impl PromptCacheIndex {
     /// From where an engine's news go on.
     #[must_use]
     pub fn position(&self, endpoint: &EndpointId) -> u64 {
@@ -92,7 +92,7 @@
     ///
     /// What was known before a gap is kept until the whole list comes: a request that goes where its prompt no longer is
     /// only waits as long as it would elsewhere.
-    pub fn take(&mut self, endpoint: &EndpointId, news: KeptNews) {
+    pub fn apply(&mut self, endpoint: &EndpointId, news: CacheUpdate) {
         let engine = self.engines.entry(endpoint.clone()).or_default();
         if engine.epoch != news.epoch {
             engine.parts.clear();
@@ -110,9 +110,9 @@
     }
 
     /// Takes all that an engine keeps, in place of what was known.
-    pub fn take_all(&mut self, endpoint: &EndpointId, news: KeptNews) {
+    pub fn replace(&mut self, endpoint: &EndpointId, news: CacheUpdate) {
         self.forget(endpoint);
-        self.take(endpoint, news);
+        self.apply(endpoint, news);
     }
 
     /// Forgets an engine that has ended.
@@ -122,8 +122,8 @@
 
     /// Engines that keep the beginning of a prompt, with at least `least_tokens` of it.
     #[must_use]
-    pub fn find(&self, prompt: &[PromptPart], least_tokens: u64) -> Vec<KeptTokens> {
-        let kept = self.engines.iter().map(|(endpoint, engine)| KeptTokens {
+    pub fn find(&self, prompt: &[PromptPart], least_tokens: u64) -> Vec<CachedTokens> {
+        let kept = self.engines.iter().map(|(endpoint, engine)| CachedTokens {
             endpoint: endpoint.clone(),
             tokens: engine.kept_tokens(prompt),
         });
--- a/crates/masticsill_registry/src/lib.rs
+++ b/crates/masticsill_registry/src/lib.rs
@@ -17,9 +17,9 @@
 
 pub use gauges::StateGauges;
 pub use id::{EndpointId, EndpointIncarnation};
-pub use join::Joined;
-pub use kept::{KeptNews, KeptPart, KeptPrompts, KeptTokens, PromptPart};
-pub use places::{PlaceRequest, is_zone_down};
-pub use record::{Announcement, EndpointRecord, EndpointState, Heard};
-pub use registry::{Registry, RegistryPeriods};
-pub use watchers::{EndpointLoad, LoadsChange, Watcher, WatcherBook};
+pub use join::JoinOutcome;
+pub use kept::{CacheUpdate, CachedPart, CachedTokens, PromptCacheIndex, PromptPart};
+pub use places::{EngineReservationRequest, is_zone_down};
+pub use record::{Announcement, EndpointRecord, EndpointState, HeartbeatAge};
+pub use registry::{Registry, RegistryTimeouts};
+pub use watchers::{EndpointLoad, LoadsChange, Watcher, WatcherTable};
--- a/crates/masticsill_registry/src/places.rs
+++ b/crates/masticsill_registry/src/places.rs
@@ -25,7 +25,7 @@
 
 /// Asks for an engine that reads no prompt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PlaceRequest {
+pub struct EngineReservationRequest {
     /// Engines that the entry would not use.
     pub avoided: Vec<EndpointId>,
     /// The service.
@@ -81,10 +81,10 @@
 
     /// Hands out a place at the engine that has the least to do among those that read no prompt;
     /// `loads` are those of all watchers.
-    pub(crate) fn hand_out(
+    pub(crate) fn reserve(
         &mut self,
         now: ClockMs,
-        request: &PlaceRequest,
+        request: &EngineReservationRequest,
         engines: &[&EndpointId],
         loads: &IndexMap<EndpointId, EndpointLoad>,
     ) -> Option<EndpointId> {
--- a/crates/masticsill_registry/src/record.rs
+++ b/crates/masticsill_registry/src/record.rs
@@ -86,7 +86,7 @@
 
 /// How long ago a control instance heard an incarnation itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Heard {
+pub struct HeartbeatAge {
     /// Age of the newest heartbeat.
     pub age_ms: u64,
     /// The incarnation.
--- a/crates/masticsill_registry/src/registry.rs
+++ b/crates/masticsill_registry/src/registry.rs
@@ -6,12 +6,12 @@
 use masticsill_types::{ClockMs, ZoneId};
 
 use crate::id::EndpointId;
-use crate::join::Joined;
-use crate::record::{Announcement, EndpointRecord, EndpointState, Heard};
+use crate::join::JoinOutcome;
+use crate::record::{Announcement, EndpointRecord, EndpointState, HeartbeatAge};
 
 /// Periods of a registry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct RegistryPeriods {
+pub struct RegistryTimeouts {
     /// How long a silent or ended incarnation is remembered, so that a heartbeat that was held up
     /// can't bring it back.
     pub forget_ms: u64,
@@ -19,7 +19,7 @@
     pub silence_ms: u64,
 }
 
-impl Default for RegistryPeriods {
+impl Default for RegistryTimeouts {
     /// Four heartbeats of 1.2 s and some slack make an incarnation lost; a minute is far beyond
     /// the longest that a network holds a heartbeat up.
     fn default() -> Self {
@@ -46,7 +46,7 @@
 pub struct Registry {
     /// The revision at which an incarnation last began to leave, or left.
     left_revision: u64,
-    pub(crate) periods: RegistryPeriods,
+    pub(crate) periods: RegistryTimeouts,
     pub(crate) revision: u64,
     /// By name.
     pub(crate) tracked: IndexMap<String, Tracked>,
@@ -55,7 +55,7 @@
 impl Registry {
     /// An empty registry.
     #[must_use]
-    pub fn new(periods: RegistryPeriods) -> Self {
+    pub fn new(periods: RegistryTimeouts) -> Self {
         Self {
             left_revision: 0,
             periods,
@@ -73,7 +73,7 @@
     /// Whether an incarnation began to leave, or left, after a revision: whoever sends requests
     /// must hear of that at once. Other changes can wait for each other.
     #[must_use]
-    pub fn has_left_since(&self, revision: u64) -> bool {
+    pub fn has_departure_since(&self, revision: u64) -> bool {
         self.left_revision > revision
     }
 
@@ -92,7 +92,7 @@
     /// last. A former one that crashed says nothing, and counts as lost only after several
     /// heartbeats.
     #[must_use]
-    pub fn takers(&self, service: &str, zone: &ZoneId) -> Vec<&EndpointId> {
+    pub fn ready_endpoints(&self, service: &str, zone: &ZoneId) -> Vec<&EndpointId> {
         let mut newest: IndexMap<SocketAddr, &Tracked> = IndexMap::new();
         let is_asked_for = |it: &&Tracked| {
             let said = &it.record.announcement;
@@ -106,9 +106,9 @@
             }
         }
         let records = newest.into_values().map(|tracked| &tracked.record);
-        let takers =
+        let ready_endpoints =
             records.filter(|it| it.announcement.state == EndpointState::Ready && !it.is_silent);
-        takers.map(|it| &it.announcement.id).collect()
+        ready_endpoints.map(|it| &it.announcement.id).collect()
     }
 
     /// An incarnation's record, unless another life of its name is known.
@@ -151,7 +151,7 @@
     /// without a birth ends the life that is known here: it comes from a writer that tells births
     /// in heartbeats only, and a request sent to an endpoint that leaves is worse than one endpoint
     /// less.
-    pub fn depart(&mut self, now: ClockMs, id: &EndpointId) -> bool {
+    pub fn deregister(&mut self, now: ClockMs, id: &EndpointId) -> bool {
         let known = self.newest(&id.name).map(|record| &record.announcement.id);
         let ended = match known {
             Some(known) if !id.incarnation.is_known() => known.clone(),
@@ -183,8 +183,8 @@
     }
 
     /// Takes the ages of heartbeats that another process heard itself.
-    pub fn note_heard(&mut self, now: ClockMs, heard: &[Heard]) {
-        for Heard { age_ms, id } in heard {
+    pub fn apply_heartbeat_ages(&mut self, now: ClockMs, heard: &[HeartbeatAge]) {
+        for HeartbeatAge { age_ms, id } in heard {
             let tracked = self.tracked.get_mut(&id.name);
             let of_this_life = tracked.filter(|it| it.record.announcement.id == *id);
             if let Some(tracked) = of_this_life {
@@ -202,21 +202,21 @@
         let held = &mut tracked.record.announcement;
         let is_newer = announcement.is_newer_than(held);
         let joined = held.join(announcement);
-        if joined == Joined::Reborn {
+        if joined == JoinOutcome::Replaced {
             self.insert(announcement, heard_at, revision);
             return true;
         }
         if is_newer {
             tracked.heard_at = tracked.heard_at.max(heard_at);
         }
-        if joined == Joined::Changed {
+        if joined == JoinOutcome::Changed {
             tracked.revision = revision;
             self.revision = revision;
             if tracked.record.announcement.state > EndpointState::Ready {
                 self.left_revision = revision;
             }
         }
-        joined == Joined::Changed
+        joined == JoinOutcome::Changed
     }
 
     /// Tracks a life of which nothing was known, in place of a former one.
--- a/crates/masticsill_registry/src/silence.rs
+++ b/crates/masticsill_registry/src/silence.rs
@@ -2,18 +2,18 @@
 
 use masticsill_types::ClockMs;
 
-use crate::record::{EndpointState, Heard};
+use crate::record::{EndpointState, HeartbeatAge};
 use crate::registry::Registry;
 
 impl Registry {
     /// Heartbeats that this process heard itself and lately, for the other instances.
     #[must_use]
-    pub fn heard_here(&self, now: ClockMs) -> Vec<Heard> {
+    pub fn direct_heartbeat_ages(&self, now: ClockMs) -> Vec<HeartbeatAge> {
         let silence_ms = self.periods.silence_ms;
         let ages = self.tracked.values().filter_map(|tracked| {
             let age_ms = now.since(tracked.heard_here_at?);
             let id = tracked.record.announcement.id.clone();
-            (age_ms < silence_ms).then_some(Heard { age_ms, id })
+            (age_ms < silence_ms).then_some(HeartbeatAge { age_ms, id })
         });
         ages.collect()
     }
@@ -23,7 +23,7 @@
     ///
     /// `can_judge` tells whether this process hears of most heartbeats: an instance that is cut
     /// off must not take its own silence for the endpoints'.
-    pub fn judge_silence(&mut self, now: ClockMs, can_judge: bool) -> bool {
+    pub fn update_silence(&mut self, now: ClockMs, can_judge: bool) -> bool {
         let periods = self.periods;
         let mut revision = self.revision;
         for tracked in self.tracked.values_mut() {
--- a/crates/masticsill_registry/src/watchers.rs
+++ b/crates/masticsill_registry/src/watchers.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id::EndpointId;
-use crate::places::{PlaceBook, PlaceRequest};
+use crate::places::{EngineReservationRequest, PlaceBook};
 
 /// A watcher that asked for nothing in this time has gone: twice the usual wait, and an answer.
 const GONE_MS: u64 = 2_500;
@@ -73,15 +73,15 @@
 
 /// The watchers of one registry.
 #[derive(Clone, Debug, Default)]
-pub struct WatcherBook {
+pub struct WatcherTable {
     loads_revision: u64,
     places: PlaceBook,
     watchers: IndexMap<Watcher, Seen>,
 }
 
-impl WatcherBook {
+impl WatcherTable {
     /// Notes that a watcher asks for news; it holds a revision of the registry.
-    pub fn note(
+    pub fn record_poll(
         &mut self,
         now: ClockMs,
         watcher: &Watcher,
@@ -130,7 +130,7 @@
 
     /// Whether the loads of others than a watcher changed after a revision.
     #[must_use]
-    pub fn have_others_changed(&self, watcher: &Watcher, loads_revision: u64) -> bool {
+    pub fn have_other_loads_changed(&self, watcher: &Watcher, loads_revision: u64) -> bool {
         let others = self.watchers.iter().filter(|(other, _)| *other != watcher);
         others
             .into_iter()
@@ -145,14 +145,14 @@
     }
 
     /// Hands out a place at one of the engines, and tells what the other watchers have there.
-    pub fn hand_out_place(
+    pub fn reserve_engine(
         &mut self,
         now: ClockMs,
-        request: &PlaceRequest,
+        request: &EngineReservationRequest,
         engines: &[&EndpointId],
     ) -> Option<EndpointLoad> {
         let loads = self.sum_loads(now, |_| true);
-        let place = self.places.hand_out(now, request, engines, &loads)?;
+        let place = self.places.reserve(now, request, engines, &loads)?;
         let mut others = self.sum_loads(now, |other| *other != request.watcher);
         let load = others.swap_remove(&place);
         Some(load.unwrap_or_else(|| EndpointLoad::none(place)))
@@ -207,7 +207,7 @@
 
     /// Whether each watcher that still asks holds a revision of the registry.
     #[must_use]
-    pub fn have_all_seen(&self, now: ClockMs, revision: u64) -> bool {
+    pub fn is_acknowledged_by_all(&self, now: ClockMs, revision: u64) -> bool {
         let has_seen =
             |seen: &Seen| seen.revision >= revision || now.since(seen.asked_at) >= GONE_MS;
         self.watchers.values().all(has_seen)
--- a/crates/masticsill_registry/tests/endpoint_lives.rs
+++ b/crates/masticsill_registry/tests/endpoint_lives.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointIncarnation, EndpointState, Heard, Joined, Registry,
-    RegistryPeriods,
+    Announcement, EndpointId, EndpointIncarnation, EndpointState, HeartbeatAge, JoinOutcome,
+    Registry, RegistryTimeouts,
 };
 use masticsill_types::{ClockMs, ZoneId};
 use proptest::prelude::*;
@@ -47,7 +47,7 @@
 }
 
 fn registry() -> Registry {
-    Registry::new(RegistryPeriods::default())
+    Registry::new(RegistryTimeouts::default())
 }
 
 fn newest(registry: &Registry) -> &Announcement {
@@ -119,7 +119,7 @@
         prop_assert_eq!(joined(&[word.clone(), word.clone()]), word.clone());
         let both = joined(&[word, other.clone()]);
         let mut again = both.clone();
-        prop_assert_eq!(again.join(&other), Joined::Same);
+        prop_assert_eq!(again.join(&other), JoinOutcome::Same);
         prop_assert_eq!(again, both);
     }
 
@@ -132,8 +132,8 @@
             let has_moved = (known_now.id.incarnation, known_now.state) > (before.id.incarnation, before.state);
             let is_replaced = known_now.id.incarnation > before.id.incarnation;
             prop_assert!(has_moved || (known_now.id.incarnation, known_now.state) == (before.id.incarnation, before.state));
-            prop_assert_eq!(joined == Joined::Reborn, is_replaced);
-            prop_assert!(joined != Joined::Same || !has_moved);
+            prop_assert_eq!(joined == JoinOutcome::Replaced, is_replaced);
+            prop_assert!(joined != JoinOutcome::Same || !has_moved);
         }
     }
 
@@ -196,7 +196,7 @@
 fn a_newer_life_begins_anew() {
     let mut registry = registry();
     registry.announce(NOW, &ready(started(1), 90));
-    registry.depart(NOW, &started(1));
+    registry.deregister(NOW, &started(1));
     assert!(registry.announce(NOW, &ready(started(2), 1)));
     assert_eq!(newest(&registry), &ready(started(2), 1));
     assert!(registry.get(&started(1)).is_none());
@@ -209,7 +209,7 @@
     let revision = registry.revision();
     assert!(!registry.announce(NOW, &heartbeat(started(1), 99, EndpointState::Draining, 9)));
     assert!(!registry.announce(NOW, &ready(EndpointId::with_unknown_incarnation("e"), 100)));
-    assert!(!registry.depart(NOW, &started(1)));
+    assert!(!registry.deregister(NOW, &started(1)));
     assert_eq!(newest(&registry), &ready(started(2), 1));
     assert_eq!(registry.revision(), revision);
 }
@@ -219,12 +219,12 @@
     let mut registry = registry();
     registry.announce(ClockMs(0), &ready(started(2), 1));
     registry.announce(ClockMs(4_900), &ready(started(1), 50));
-    let heard = Heard {
+    let heard = HeartbeatAge {
         age_ms: 0,
         id: started(1),
     };
-    registry.note_heard(ClockMs(4_900), &[heard]);
-    registry.judge_silence(ClockMs(5_000), true);
+    registry.apply_heartbeat_ages(ClockMs(4_900), &[heard]);
+    registry.update_silence(ClockMs(5_000), true);
     assert!(registry.get(&started(2)).unwrap().is_silent);
 }
 
@@ -232,11 +232,11 @@
 fn a_newer_life_is_not_silent_as_its_former_one() {
     let mut registry = registry();
     registry.announce(ClockMs(0), &ready(started(1), 1));
-    registry.judge_silence(ClockMs(5_000), true);
+    registry.update_silence(ClockMs(5_000), true);
     assert!(registry.get(&started(1)).unwrap().is_silent);
     registry.announce(ClockMs(5_100), &ready(started(2), 1));
     assert!(!registry.get(&started(2)).unwrap().is_silent);
-    let heard = registry.heard_here(ClockMs(5_200));
+    let heard = registry.direct_heartbeat_ages(ClockMs(5_200));
     assert_eq!(heard[0].id, started(2));
 }
 
@@ -244,7 +244,7 @@
 fn a_deregistration_without_a_birth_ends_the_known_life() {
     let mut registry = registry();
     registry.announce(NOW, &ready(started(2), 1));
-    assert!(registry.depart(NOW, &EndpointId::with_unknown_incarnation("e")));
+    assert!(registry.deregister(NOW, &EndpointId::with_unknown_incarnation("e")));
     assert_eq!(newest(&registry).id, started(2));
     assert_eq!(newest(&registry).state, EndpointState::Gone);
     assert!(registry.announce(NOW, &ready(started(3), 1)));
--- a/crates/masticsill_registry/tests/handed_places.rs
+++ b/crates/masticsill_registry/tests/handed_places.rs
@@ -1,6 +1,8 @@
 //! Places at engines that are handed out one by one.
 
-use masticsill_registry::{EndpointId, EndpointLoad, PlaceRequest, Watcher, WatcherBook};
+use masticsill_registry::{
+    EndpointId, EndpointLoad, EngineReservationRequest, Watcher, WatcherTable,
+};
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
 
@@ -34,32 +36,32 @@
 
 /// The replica of a zone, its engines and two entries.
 struct Zone {
-    book: WatcherBook,
+    book: WatcherTable,
     engines: Vec<EndpointId>,
 }
 
 impl Zone {
     fn new(engines: &[&str]) -> Self {
-        let mut book = WatcherBook::default();
+        let mut book = WatcherTable::default();
         for name in ["one", "two"] {
-            book.note(NOW, &entry(name), 1, &[]);
+            book.record_poll(NOW, &entry(name), 1, &[]);
         }
         let engines = engines.iter().map(|name| id(name)).collect();
         Self { book, engines }
     }
 
     fn tell(&mut self, now: ClockMs, name: &str, loads: &[EndpointLoad]) {
-        self.book.note(now, &entry(name), 1, loads);
+        self.book.record_poll(now, &entry(name), 1, loads);
     }
 
     fn ask_but(&mut self, now: ClockMs, name: &str, avoided: &[&str]) -> Option<EndpointLoad> {
-        let request = PlaceRequest {
+        let request = EngineReservationRequest {
             avoided: avoided.iter().map(|name| id(name)).collect(),
             service: "s".to_owned(),
             watcher: entry(name),
         };
         let engines: Vec<&EndpointId> = self.engines.iter().collect();
-        self.book.hand_out_place(now, &request, &engines)
+        self.book.reserve_engine(now, &request, &engines)
     }
 
     fn ask(&mut self, now: ClockMs, name: &str) -> Option<String> {
--- a/crates/masticsill_registry/tests/heartbeats.rs
+++ b/crates/masticsill_registry/tests/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Heartbeats that come late, twice, out of order and through other instances.
 
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointState, Heard, Registry, RegistryPeriods,
+    Announcement, EndpointId, EndpointState, HeartbeatAge, Registry, RegistryTimeouts,
 };
 use masticsill_types::{ClockMs, ZoneId};
 
-const PERIODS: RegistryPeriods = RegistryPeriods {
+const PERIODS: RegistryTimeouts = RegistryTimeouts {
     forget_ms: 60_000,
     silence_ms: 5_000,
 };
@@ -47,8 +47,8 @@
 fn an_incarnation_that_has_ended_never_comes_back() {
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
-    assert!(registry.depart(ClockMs(1), &id("e")));
-    assert!(!registry.depart(ClockMs(1), &id("e")));
+    assert!(registry.deregister(ClockMs(1), &id("e")));
+    assert!(!registry.deregister(ClockMs(1), &id("e")));
     registry.announce(ClockMs(10), &heartbeat("e", 9, EndpointState::Ready));
     assert_eq!(state_of(&registry, "e"), EndpointState::Gone);
 }
@@ -56,7 +56,7 @@
 #[test]
 fn the_end_of_an_unknown_incarnation_reaches_those_who_know_it() {
     let mut restarted = Registry::new(PERIODS);
-    assert!(restarted.depart(ClockMs(0), &id("e")));
+    assert!(restarted.deregister(ClockMs(0), &id("e")));
     let mut reader = Registry::new(PERIODS);
     reader.announce(ClockMs(0), &heartbeat("e", 7, EndpointState::Ready));
     assert!(reader.merge(ClockMs(1), &restarted.changes_since(0)));
@@ -86,16 +86,16 @@
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     registry.announce(ClockMs(0), &heartbeat("f", 1, EndpointState::Ready));
-    let heard = Heard {
+    let heard = HeartbeatAge {
         age_ms: 500,
         id: id("e"),
     };
-    registry.note_heard(ClockMs(5_000), &[heard]);
-    assert!(registry.judge_silence(ClockMs(5_500), true));
+    registry.apply_heartbeat_ages(ClockMs(5_000), &[heard]);
+    assert!(registry.update_silence(ClockMs(5_500), true));
     assert!(!registry.get(&id("e")).unwrap().is_silent);
     assert!(registry.get(&id("f")).unwrap().is_silent);
     registry.announce(ClockMs(5_600), &heartbeat("f", 2, EndpointState::Ready));
-    assert!(registry.judge_silence(ClockMs(5_700), true));
+    assert!(registry.update_silence(ClockMs(5_700), true));
     assert!(!registry.get(&id("f")).unwrap().is_silent);
 }
 
@@ -103,7 +103,7 @@
 fn an_instance_that_is_cut_off_declares_nobody_lost() {
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
-    assert!(!registry.judge_silence(ClockMs(50_000), false));
+    assert!(!registry.update_silence(ClockMs(50_000), false));
     assert!(!registry.get(&id("e")).unwrap().is_silent);
 }
 
@@ -112,7 +112,7 @@
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("e", 5, EndpointState::Ready));
     registry.announce(ClockMs(4_900), &heartbeat("e", 4, EndpointState::Ready));
-    registry.judge_silence(ClockMs(5_000), true);
+    registry.update_silence(ClockMs(5_000), true);
     assert!(registry.get(&id("e")).unwrap().is_silent);
 }
 
@@ -139,16 +139,19 @@
 fn what_is_long_past_is_forgotten() {
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
-    registry.depart(ClockMs(1), &id("e"));
-    registry.judge_silence(ClockMs(59_000), true);
+    registry.deregister(ClockMs(1), &id("e"));
+    registry.update_silence(ClockMs(59_000), true);
     assert!(registry.get(&id("e")).is_some());
-    registry.judge_silence(ClockMs(60_000), true);
+    registry.update_silence(ClockMs(60_000), true);
     assert!(registry.get(&id("e")).is_none());
 }
 
-fn takers(registry: &Registry) -> Vec<&str> {
-    let takers = registry.takers("drafts", &ZoneId::new("a").unwrap());
-    takers.into_iter().map(|id| id.name.as_str()).collect()
+fn ready_endpoints(registry: &Registry) -> Vec<&str> {
+    let ready_endpoints = registry.ready_endpoints("drafts", &ZoneId::new("a").unwrap());
+    ready_endpoints
+        .into_iter()
+        .map(|id| id.name.as_str())
+        .collect()
 }
 
 /// An endpoint that crashed and began anew: its former life counts as lost after seconds only.
@@ -156,20 +159,20 @@
 fn only_the_life_heard_last_at_an_address_takes_requests() {
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("former", 9, EndpointState::Ready));
-    assert_eq!(takers(&registry), ["former"]);
+    assert_eq!(ready_endpoints(&registry), ["former"]);
     registry.announce(ClockMs(1_500), &heartbeat("later", 1, EndpointState::Ready));
-    assert_eq!(takers(&registry), ["later"]);
+    assert_eq!(ready_endpoints(&registry), ["later"]);
     registry.announce(
         ClockMs(2_000),
         &heartbeat("later", 2, EndpointState::Draining),
     );
-    assert!(takers(&registry).is_empty());
+    assert!(ready_endpoints(&registry).is_empty());
 }
 
 #[test]
 fn silent_endpoints_take_no_requests() {
     let mut registry = Registry::new(PERIODS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
-    registry.judge_silence(ClockMs(5_000), true);
-    assert!(takers(&registry).is_empty());
+    registry.update_silence(ClockMs(5_000), true);
+    assert!(ready_endpoints(&registry).is_empty());
 }
--- a/crates/masticsill_relay/src/metrics.rs
+++ b/crates/masticsill_relay/src/metrics.rs
@@ -196,7 +196,7 @@
             EndpointState::Gone,
         ];
         let said: Vec<EndpointState> = table.iter().map(|it| it.announcement.state).collect();
-        self.endpoints.follow(&shown, &said);
+        self.endpoints.update(&shown, &said);
         let limited = table
             .iter()
             .filter(|it| it.concurrency.is_limited())
--- a/crates/masticsill_relay/src/places.rs
+++ b/crates/masticsill_relay/src/places.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use indexmap::IndexSet;
-use masticsill_registry::{EndpointId, PlaceRequest};
+use masticsill_registry::{EndpointId, EngineReservationRequest};
 use masticsill_types::ZoneId;
 use rand::seq::SliceRandom;
 use tokio::time::{Instant, timeout_at};
@@ -27,7 +27,7 @@
     let bound = Instant::now() + BOUND;
     let near = near_replica(relay).filter(|_| !relay.is_suspect(service, &relay.config.zone));
     for (replica, zone) in near.into_iter().chain(far_replicas(relay, service)) {
-        let asked = PlaceRequest {
+        let asked = EngineReservationRequest {
             avoided: relay.avoided(service, &zone, tries),
             service: service.clone(),
             watcher: relay.watcher(),
--- a/crates/masticsill_relay/src/prompts.rs
+++ b/crates/masticsill_relay/src/prompts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use masticsill_catalogue::RouteKind;
-use masticsill_registry::{KeptTokens, PromptPart};
+use masticsill_registry::{CachedTokens, PromptPart};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout_at};
@@ -23,7 +23,7 @@
 ///
 /// Each replica knows its own zone; one that does not answer in time leaves its zone out, which
 /// costs a reading and nothing else.
-pub(crate) async fn find_kept(relay: &Rc<Relay>, request: &RelayRequest) -> Vec<KeptTokens> {
+pub(crate) async fn find_kept(relay: &Rc<Relay>, request: &RelayRequest) -> Vec<CachedTokens> {
     let prompt = prompt_of(relay, request);
     // Callers name the lengths.
     let tokens = prompt
--- a/crates/masticsill_relay/tests/common/mod.rs
+++ b/crates/masticsill_relay/tests/common/mod.rs
@@ -14,7 +14,8 @@
 };
 use masticsill_quarantine::RequestRecord;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EngineReservationRequest, PromptPart,
+    Watcher,
 };
 use masticsill_runtime::{DutyHandle, ShutdownSignal, listen, spawn_async_duty};
 use masticsill_testkit::FaultProxy;
@@ -172,11 +173,11 @@
 
     async fn tell_crashes(self, _: Context, _: Vec<RequestRecord>) {}
 
-    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<KeptTokens> {
+    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<CachedTokens> {
         Vec::new()
     }
 
-    async fn take_place(self, _: Context, _: PlaceRequest) -> Option<EndpointLoad> {
+    async fn take_place(self, _: Context, _: EngineReservationRequest) -> Option<EndpointLoad> {
         None
     }
 
--- a/crates/masticsill_wire/src/control.rs
+++ b/crates/masticsill_wire/src/control.rs
@@ -13,8 +13,8 @@
 };
 use masticsill_quarantine::RequestRecord;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, Heard, KeptTokens, PlaceRequest,
-    PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EndpointRecord, EngineReservationRequest,
+    HeartbeatAge, PromptPart, Watcher,
 };
 use masticsill_types::{
     CatalogueVersion, EntryId, FencingNumber, NodeId, OperatorId, Term, ZoneId,
@@ -234,7 +234,7 @@
     /// What changed since the watcher's revision.
     pub endpoints: Vec<EndpointRecord>,
     /// Whom this replica heard lately; for other replicas only.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<HeartbeatAge>,
     /// Requests of the other entries, as they told last.
     pub loads: Vec<EndpointLoad>,
     /// Revision of these loads.
@@ -380,10 +380,10 @@
     /// Takes what a watcher noted of requests under which endpoints crashed.
     async fn tell_crashes(records: Vec<RequestRecord>);
     /// Finds the engines of the replica's zone that keep the beginning of a prompt.
-    async fn find_kept(prompt: Vec<PromptPart>) -> Vec<KeptTokens>;
+    async fn find_kept(prompt: Vec<PromptPart>) -> Vec<CachedTokens>;
     /// Hands out a place at an engine of the replica's zone that reads no prompt, and tells what the
     /// other watchers have there.
-    async fn take_place(request: PlaceRequest) -> Option<EndpointLoad>;
+    async fn take_place(request: EngineReservationRequest) -> Option<EndpointLoad>;
     /// Tells what the newest document applied here consists of; none when it is older than
     /// `version`.
     async fn document_pieces(version: u64) -> Option<PieceList>;
