--- a/crates/masticsill_agent/src/engine_gate.rs
+++ b/crates/masticsill_agent/src/engine_gate.rs
@@ -60,8 +60,8 @@
     }
 
     /// The next run to pass on; call it after each change until it gives `None`.
-    pub(crate) fn pass_next(&mut self) -> Option<EngineCommand> {
-        let passed = self.gate.pass_next()?;
+    pub(crate) fn forward_next(&mut self) -> Option<EngineCommand> {
+        let passed = self.gate.forward_next()?;
         let number = u64::try_from(passed.0).expect("the gate names runs by their number");
         let order = self.held.shift_remove(&RunNumber(number));
         order.map(EngineCommand::Run)
--- a/crates/masticsill_agent/src/state.rs
+++ b/crates/masticsill_agent/src/state.rs
@@ -220,7 +220,7 @@
             let passed = self.gate.take(now, command);
             self.backlog.extend(passed.map(EndpointCommand::Engine));
         }
-        while let Some(command) = self.gate.pass_next() {
+        while let Some(command) = self.gate.forward_next() {
             self.backlog.push_back(EndpointCommand::Engine(command));
         }
         while let Some(command) = self.backlog.pop_front() {
--- a/crates/masticsill_entry/src/policies.rs
+++ b/crates/masticsill_entry/src/policies.rs
@@ -17,7 +17,7 @@
 use masticsill_catalogue::{BackEnd, CatalogueEntry, Limits};
 use masticsill_membership::Role;
 use masticsill_mesh::{CatalogueView, MembershipView};
-use masticsill_routing::{BackEndTarget, EntryPolicy, EntrySeat, LocalLimits, Router};
+use masticsill_routing::{BackEndTarget, EntryPolicy, EntryRank, LocalLimits, Router};
 use masticsill_types::{CatalogueVersion, ClockMs, EntryId, NodeId, Refusal, RefusalKind};
 
 const THOUSANDTHS: u64 = 1_000;
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Policies {
     known: IndexMap<EntryId, EntryPolicy>,
-    seat: EntrySeat,
+    seat: EntryRank,
     version: Option<CatalogueVersion>,
 }
 
@@ -37,7 +37,7 @@
         &mut self,
         now: ClockMs,
         view: &CatalogueView,
-        seat: EntrySeat,
+        seat: EntryRank,
         router: &mut Router,
     ) {
         if self.version == Some(view.version()) && self.seat == seat {
@@ -45,7 +45,7 @@
         }
         self.version = Some(view.version());
         self.seat = seat;
-        router.set_seat(seat);
+        router.set_entry_rank(seat);
         let mut former: IndexSet<EntryId> = self.known.keys().cloned().collect();
         for versioned in view.catalogue().entries() {
             let entry = &versioned.entry;
@@ -78,19 +78,19 @@
 }
 
 /// This entry's place among the entries that the membership shows.
-pub(crate) fn find_seat(view: &MembershipView, own: &NodeId) -> EntrySeat {
+pub(crate) fn find_seat(view: &MembershipView, own: &NodeId) -> EntryRank {
     let others = view
         .members()
         .filter(|member| matches!(member.role, Role::Entry) && member.node != *own);
-    let mut seat = EntrySeat::default();
+    let mut seat = EntryRank::default();
     for other in others {
         seat.count += 1;
-        seat.place += u32::from(other.node < *own);
+        seat.rank += u32::from(other.node < *own);
     }
     seat
 }
 
-fn to_policy(entry: &CatalogueEntry, seat: EntrySeat) -> EntryPolicy {
+fn to_policy(entry: &CatalogueEntry, seat: EntryRank) -> EntryPolicy {
     EntryPolicy {
         class: entry.class,
         limits: split_limits(entry.limits, seat),
@@ -106,7 +106,7 @@
     }
 }
 
-fn split_limits(limits: Limits, seat: EntrySeat) -> LocalLimits {
+fn split_limits(limits: Limits, seat: EntryRank) -> LocalLimits {
     let count = |limit: u32| {
         let share = split(u64::from(limit), seat);
         u32::try_from(share).expect("a share is no larger than its limit")
@@ -123,7 +123,7 @@
 }
 
 /// An equal share; the first entries get one more when it does not divide.
-fn split(limit: u64, seat: EntrySeat) -> u64 {
+fn split(limit: u64, seat: EntryRank) -> u64 {
     let count = u64::from(seat.count);
-    limit / count + u64::from(u64::from(seat.place) < limit % count)
+    limit / count + u64::from(u64::from(seat.rank) < limit % count)
 }
--- a/crates/masticsill_entry/src/sessions_duty.rs
+++ b/crates/masticsill_entry/src/sessions_duty.rs
@@ -8,7 +8,9 @@
 use indexmap::IndexMap;
 use masticsill_membership::{Member, MemberState, Role};
 use masticsill_mesh::MeshHandle;
-use masticsill_routing::{Admit, EndpointDescription, RouterConfig, WorkOutcome, WorkRequest};
+use masticsill_routing::{
+    AdmitDecision, EndpointDescription, RouterConfig, WorkOutcome, WorkRequest,
+};
 use masticsill_runtime::{Metrics, Ring};
 use masticsill_session::{
     Action, AnswerSink, BookConfig, Endpoint, Found, Position, SessionBook, StreamItem, Submission,
@@ -149,12 +151,12 @@
         self.waiting_calls.borrow_mut().insert(id, reply);
         let admitted = self.with_book(|book, now| book.admit_call(now, request));
         match admitted {
-            Admit::Queued => placed.await.unwrap_or_else(|_| Err(shutting_down())),
-            Admit::Start(placement) => {
+            AdmitDecision::Queued => placed.await.unwrap_or_else(|_| Err(shutting_down())),
+            AdmitDecision::Start(placement) => {
                 self.waiting_calls.borrow_mut().swap_remove(&id);
                 Ok(placement.node)
             }
-            Admit::Refused(refusal) => {
+            AdmitDecision::Refused(refusal) => {
                 self.waiting_calls.borrow_mut().swap_remove(&id);
                 Err(refusal)
             }
--- a/crates/masticsill_routing/examples/decision_time.rs
+++ b/crates/masticsill_routing/examples/decision_time.rs
@@ -9,8 +9,8 @@
 use std::time::Instant;
 
 use masticsill_routing::{
-    Admit, BackEndTarget, Dequeued, EndpointDescription, EntrySeat, LocalLimits, PlacementPolicy,
-    PrefixBlock, Router, WorkOutcome, WorkRequest,
+    AdmitDecision, BackEndTarget, Dequeued, EndpointDescription, EntryRank, LocalLimits,
+    PlacementPolicy, PrefixBlock, Router, WorkOutcome, WorkRequest,
 };
 use masticsill_types::{Class, ClockMs, EndpointKind, GenerationId, LoadReport};
 use rand::rngs::StdRng;
@@ -35,7 +35,7 @@
 
 fn new_router(policy: PlacementPolicy, models: u32) -> Router {
     let mut router = router(policy, 1);
-    router.set_seat(EntrySeat { count: 3, place: 0 });
+    router.set_entry_rank(EntryRank { count: 3, rank: 0 });
     for index in 0..WORKSPACES {
         set_limits(
             &mut router,
@@ -111,12 +111,12 @@
         let answer = router.admit(now, wanted);
         times.push(u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX));
         match answer {
-            Admit::Start(_) => {
+            AdmitDecision::Start(_) => {
                 started += 1;
                 running.push(name);
             }
-            Admit::Queued => queued += 1,
-            Admit::Refused(_) => refused += 1,
+            AdmitDecision::Queued => queued += 1,
+            AdmitDecision::Refused(_) => refused += 1,
         }
         if running.len() > 2_000 {
             let done = running.swap_remove(rng.random_range(0..running.len()));
--- a/crates/masticsill_routing/examples/share_comparison.rs
+++ b/crates/masticsill_routing/examples/share_comparison.rs
@@ -72,7 +72,7 @@
 impl Shares for Leased {
     fn parts(&mut self, now: ClockMs, wanted: [u64; ENTRIES], rng: &mut StdRng) -> [u64; ENTRIES] {
         for (index, client) in self.clients.iter_mut().enumerate() {
-            let ask = client.ask(now, wanted[index]);
+            let ask = client.request(now, wanted[index]);
             let is_asked = !self.is_cut[index] && !rng.random_bool(self.loss);
             let grant = if is_asked {
                 self.ledger.grant(now, &ask)
@@ -82,7 +82,7 @@
             if let Some(grant) = grant
                 && !rng.random_bool(self.loss)
             {
-                client.take(grant);
+                client.apply(grant);
             }
         }
         let mut parts = [0; ENTRIES];
--- a/crates/masticsill_routing/src/config.rs
+++ b/crates/masticsill_routing/src/config.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouterConfig {
     /// How long a draft may wait.
-    pub draft_wait_ms: u64,
+    pub max_draft_wait_ms: u64,
     /// How long a lookup may wait.
-    pub lookup_wait_ms: u64,
+    pub max_lookup_wait_ms: u64,
     /// How an endpoint is chosen.
     pub policy: PlacementPolicy,
     /// Requests of one class that may wait for one model.
@@ -38,8 +38,8 @@
     #[must_use]
     pub fn in_zone(zone: ZoneId) -> Self {
         Self {
-            draft_wait_ms: 60_000,
-            lookup_wait_ms: 2_000,
+            max_draft_wait_ms: 60_000,
+            max_lookup_wait_ms: 2_000,
             policy: PlacementPolicy::default(),
             queue_length: 1_024,
             service_slots: 64,
@@ -50,8 +50,8 @@
 
     pub(crate) fn max_wait_ms(&self, class: Class) -> u64 {
         match class {
-            Class::InstantLookup => self.lookup_wait_ms,
-            Class::PatientDraft => self.draft_wait_ms,
+            Class::InstantLookup => self.max_lookup_wait_ms,
+            Class::PatientDraft => self.max_draft_wait_ms,
         }
     }
 }
--- a/crates/masticsill_routing/src/endpoint.rs
+++ b/crates/masticsill_routing/src/endpoint.rs
@@ -101,27 +101,27 @@
 
 /// The entries that share the endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct EntrySeat {
+pub struct EntryRank {
     /// Entries, this one included.
     pub count: u32,
     /// This entry's place among them, from zero; no two entries have the same.
-    pub place: u32,
+    pub rank: u32,
 }
 
-impl Default for EntrySeat {
+impl Default for EntryRank {
     fn default() -> Self {
-        Self { count: 1, place: 0 }
+        Self { count: 1, rank: 0 }
     }
 }
 
-impl EntrySeat {
+impl EntryRank {
     /// This entry's part of some free slots of an endpoint, so that all entries together take
     /// no more. What does not divide goes to entries chosen by the endpoint's hash.
     fn part(self, free: u32, endpoint_hash: u64) -> u32 {
         let count = self.count.max(1);
         let first = mix(endpoint_hash, 0) % u64::from(count);
-        let place = (u64::from(self.place) + first) % u64::from(count);
-        free / count + u32::from(place < u64::from(free % count))
+        let rank = (u64::from(self.rank) + first) % u64::from(count);
+        free / count + u32::from(rank < u64::from(free % count))
     }
 }
 
@@ -132,7 +132,7 @@
     pub(crate) hash: u64,
     pub(crate) in_flight: InFlight,
     /// Whether the agent could not be reached.
-    pub(crate) is_down: bool,
+    pub(crate) is_unreachable: bool,
     /// Whether entries of both classes use it.
     pub(crate) is_shared: bool,
     pub(crate) node: NodeId,
@@ -156,7 +156,7 @@
             description,
             hash: hash_text(node.as_str()),
             in_flight: InFlight::default(),
-            is_down: false,
+            is_unreachable: false,
             is_shared: false,
             freed_at: VecDeque::new(),
             node,
@@ -170,7 +170,7 @@
     pub(crate) fn update(&mut self, description: EndpointDescription, config: &RouterConfig) {
         if description.incarnation != self.description.incarnation {
             self.cache = CacheView::default();
-            self.is_down = false;
+            self.is_unreachable = false;
             self.freed_at.clear();
             self.recent.clear();
             self.reported = None;
@@ -206,7 +206,7 @@
 
     /// Whether it may be given new work at all.
     pub(crate) fn is_usable(&self, now: ClockMs) -> bool {
-        !self.is_down && !self.description.is_leaving && self.description.held_until <= now
+        !self.is_unreachable && !self.description.is_leaving && self.description.held_until <= now
     }
 
     pub(crate) fn begin(&mut self, now: ClockMs, class: Class) {
@@ -279,11 +279,11 @@
         now: ClockMs,
         class: Class,
         stale_ms: u64,
-        seat: EntrySeat,
+        entry_rank: EntryRank,
     ) -> u32 {
         let own = self.in_flight.total();
         let Some(reported) = self.fresh_report(now, stale_ms) else {
-            return own.saturating_mul(seat.count.max(1));
+            return own.saturating_mul(entry_rank.count.max(1));
         };
         match class {
             Class::InstantLookup => {
@@ -309,9 +309,9 @@
         now: ClockMs,
         class: Class,
         stale_ms: u64,
-        seat: EntrySeat,
+        entry_rank: EntryRank,
     ) -> u32 {
-        let estimate = self.estimate(now, class, stale_ms, seat);
+        let estimate = self.estimate(now, class, stale_ms, entry_rank);
         let reserved = self.reserved_slots();
         let lookups = self.in_flight.lookups.min(estimate);
         let drafts = estimate - lookups;
@@ -323,19 +323,25 @@
             Class::PatientDraft => {
                 let kept = reserved.saturating_sub(lookups);
                 let free = self.slots.saturating_sub(estimate + kept);
-                free.min(self.draft_allowance(now, kept, stale_ms, seat))
+                free.min(self.draft_allowance(now, kept, stale_ms, entry_rank))
             }
         }
     }
 
     /// Drafts that this entry may start before the next report, lest several entries take the
     /// same free slot: its part of the slots reported free, and those that its own drafts left.
-    fn draft_allowance(&self, now: ClockMs, kept: u32, stale_ms: u64, seat: EntrySeat) -> u32 {
+    fn draft_allowance(
+        &self,
+        now: ClockMs,
+        kept: u32,
+        stale_ms: u64,
+        entry_rank: EntryRank,
+    ) -> u32 {
         let Some(reported) = self.fresh_report(now, stale_ms) else {
             return u32::MAX;
         };
         let free = self.slots.saturating_sub(reported.total_reported() + kept);
-        let claims = seat
+        let claims = entry_rank
             .part(free, self.hash)
             .saturating_sub(reported.claimed_since);
         let left = self
--- a/crates/masticsill_routing/src/lib.rs
+++ b/crates/masticsill_routing/src/lib.rs
@@ -23,10 +23,10 @@
 
 pub use cache_view::CacheChange;
 pub use config::{PlacementPolicy, RouterConfig};
-pub use endpoint::{EndpointDescription, EntrySeat};
+pub use endpoint::{EndpointDescription, EntryRank};
 pub use limits::{LocalLimits, TokenBucket};
 pub use request::{
-    Admit, BackEndTarget, Dequeued, Placement, PrefixBlock, WorkEnd, WorkKind, WorkOutcome,
+    AdmitDecision, BackEndTarget, Dequeued, Placement, PrefixBlock, WorkEnd, WorkKind, WorkOutcome,
     WorkRequest,
 };
 pub use router::{EntryPolicy, Router};
--- a/crates/masticsill_routing/src/limits.rs
+++ b/crates/masticsill_routing/src/limits.rs
@@ -73,7 +73,7 @@
     }
 
     /// Puts back what was taken and not used.
-    pub fn give_back(&mut self, amount: u64) {
+    pub fn refund(&mut self, amount: u64) {
         self.level = (self.level + to_float(amount)).min(self.burst);
     }
 }
@@ -135,7 +135,7 @@
     /// Puts a counted request back that was refused for another reason.
     pub(crate) fn refund_request(&mut self) {
         if let Some(bucket) = &mut self.requests {
-            bucket.give_back(1);
+            bucket.refund(1);
         }
     }
 
@@ -166,7 +166,7 @@
     pub(crate) fn end(&mut self, unused_tokens: u32) {
         self.running = self.running.saturating_sub(1);
         if let Some(bucket) = &mut self.tokens {
-            bucket.give_back(unused_tokens.into());
+            bucket.refund(unused_tokens.into());
         }
     }
 
--- a/crates/masticsill_routing/src/placement.rs
+++ b/crates/masticsill_routing/src/placement.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 
 use crate::config::{PlacementPolicy, RouterConfig};
-use crate::endpoint::{Endpoint, EntrySeat};
+use crate::endpoint::{Endpoint, EntryRank};
 use crate::number::mix;
 use crate::pool::{EndpointIndex, EndpointTable, PoolMember};
 use crate::request::{PrefixBlock, WorkRequest};
@@ -53,7 +53,7 @@
     recently_freed: VecDeque<EndpointIndex>,
     next_round_robin: usize,
     /// The entries that share the endpoints.
-    pub(crate) seat: EntrySeat,
+    pub(crate) entry_rank: EntryRank,
 }
 
 impl Placer {
@@ -62,7 +62,7 @@
             holders: IndexMap::new(),
             recently_freed: VecDeque::new(),
             next_round_robin: 0,
-            seat: EntrySeat::default(),
+            entry_rank: EntryRank::default(),
         }
     }
 
@@ -79,7 +79,7 @@
             config,
             now,
             pool: table.pool(&query.request.target),
-            seat: self.seat,
+            entry_rank: self.entry_rank,
             table,
             query,
         };
@@ -142,7 +142,7 @@
     config: &'a RouterConfig,
     now: ClockMs,
     pool: &'a [PoolMember],
-    seat: EntrySeat,
+    entry_rank: EntryRank,
     table: &'a EndpointTable,
     query: PlacementQuery<'a>,
 }
@@ -160,7 +160,7 @@
 
     fn has_free_slot(&self, endpoint: &Endpoint) -> bool {
         let stale_ms = self.config.stale_report_ms;
-        endpoint.free_slots(self.now, self.query.class, stale_ms, self.seat) > 0
+        endpoint.free_slots(self.now, self.query.class, stale_ms, self.entry_rank) > 0
     }
 
     /// What it costs to run the request there, in prompt tokens; `None` where it can't run.
@@ -176,7 +176,7 @@
         let cached = known.max(expected).min(request.prompt_tokens);
         let computed = f64::from(request.prompt_tokens - cached);
         let stale_ms = self.config.stale_report_ms;
-        let estimate = endpoint.estimate(self.now, self.query.class, stale_ms, self.seat);
+        let estimate = endpoint.estimate(self.now, self.query.class, stale_ms, self.entry_rank);
         let ratio = endpoint.load_ratio(estimate);
         let is_near = endpoint.description.zone == self.config.zone;
         let zone = if is_near { 0.0 } else { OTHER_ZONE_COST_TOKENS };
--- a/crates/masticsill_routing/src/pool.rs
+++ b/crates/masticsill_routing/src/pool.rs
@@ -59,11 +59,11 @@
             return;
         };
         let index = self.index_of(node).unwrap_or_else(|| self.new_index(node));
-        let place = &mut self.endpoints[index.0];
-        if let Some(endpoint) = place {
+        let stored = &mut self.endpoints[index.0];
+        if let Some(endpoint) = stored {
             endpoint.update(description, config);
         } else {
-            *place = Some(Endpoint::new(node.clone(), description, config));
+            *stored = Some(Endpoint::new(node.clone(), description, config));
         }
         self.add_to_pools(index);
         self.update_sharing(index);
@@ -166,7 +166,7 @@
     /// Slots that drafts may always use, of all endpoints of a target that are not leaving.
     pub(crate) fn draft_slots(&self, target: &BackEndTarget) -> u32 {
         let endpoints = self.endpoints_of(target);
-        let staying = endpoints.filter(|one| !one.description.is_leaving && !one.is_down);
+        let staying = endpoints.filter(|one| !one.description.is_leaving && !one.is_unreachable);
         staying.map(Endpoint::draft_slots).sum()
     }
 
--- a/crates/masticsill_routing/src/refusals.rs
+++ b/crates/masticsill_routing/src/refusals.rs
@@ -103,7 +103,7 @@
     }
 
     pub(crate) fn estimate_wait(&self, request: &WorkRequest) -> WaitEstimate {
-        let slots = self.table.draft_slots(&request.target) / self.placer.seat.count.max(1);
+        let slots = self.table.draft_slots(&request.target) / self.placer.entry_rank.count.max(1);
         let Some(lanes) = self.lanes.get(&request.target) else {
             return WaitEstimate {
                 has_room: true,
--- a/crates/masticsill_routing/src/request.rs
+++ b/crates/masticsill_routing/src/request.rs
@@ -86,7 +86,7 @@
 
 /// The router's answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Admit {
+pub enum AdmitDecision {
     /// Start it there now.
     Start(Placement),
     /// It waits; [`crate::Router::next_queued`] tells its end of waiting.
--- a/crates/masticsill_routing/src/router.rs
+++ b/crates/masticsill_routing/src/router.rs
@@ -9,13 +9,13 @@
 
 use crate::cache_view::CacheChange;
 use crate::config::{PlacementPolicy, RouterConfig};
-use crate::endpoint::{EndpointDescription, EntrySeat};
+use crate::endpoint::{EndpointDescription, EntryRank};
 use crate::lane::Lanes;
 use crate::limits::{Limiter, LocalLimits};
 use crate::placement::{PlacementQuery, Placer};
 use crate::pool::{EndpointIndex, EndpointTable};
 use crate::request::{
-    Admit, BackEndTarget, Placement, WorkEnd, WorkKind, WorkOutcome, WorkRequest,
+    AdmitDecision, BackEndTarget, Placement, WorkEnd, WorkKind, WorkOutcome, WorkRequest,
 };
 use crate::retry_budget::RetryBudgets;
 
@@ -134,8 +134,8 @@
     }
 
     /// Tells which entries share the endpoints.
-    pub fn set_seat(&mut self, seat: EntrySeat) {
-        self.placer.seat = seat;
+    pub fn set_entry_rank(&mut self, entry_rank: EntryRank) {
+        self.placer.entry_rank = entry_rank;
     }
 
     /// Takes what membership says of an endpoint; `None` when it is gone.
@@ -148,9 +148,9 @@
     }
 
     /// Notes whether an endpoint's agent can be reached.
-    pub fn set_down(&mut self, node: &NodeId, is_down: bool) {
+    pub fn set_unreachable(&mut self, node: &NodeId, is_unreachable: bool) {
         if let Some(endpoint) = self.table.get_mut(node) {
-            endpoint.is_down = is_down;
+            endpoint.is_unreachable = is_unreachable;
         }
         self.schedule_scan_for(node);
     }
@@ -173,9 +173,9 @@
     }
 
     /// Decides on a request.
-    pub fn admit(&mut self, now: ClockMs, request: WorkRequest) -> Admit {
+    pub fn admit(&mut self, now: ClockMs, request: WorkRequest) -> AdmitDecision {
         if self.queued.contains_key(&request.id) {
-            return Admit::Queued;
+            return AdmitDecision::Queued;
         }
         let former = WorkEnd {
             outcome: WorkOutcome::Failed,
@@ -183,18 +183,18 @@
         };
         self.on_finished(now, request.id, former);
         if let Some(refusal) = self.refuse_by_limits(now, &request) {
-            return Admit::Refused(refusal);
+            return AdmitDecision::Refused(refusal);
         }
         let is_held_back = !self.may_start(now, &request) || self.must_wait(&request);
         if !is_held_back && let Some(index) = self.choose(now, &request) {
-            return Admit::Start(self.start(now, &request, index));
+            return AdmitDecision::Start(self.start(now, &request, index));
         }
         if let Some(refusal) = self.refuse_to_queue(now, &request) {
             self.refund_request(&request);
-            return Admit::Refused(refusal);
+            return AdmitDecision::Refused(refusal);
         }
         self.enqueue(now, request);
-        Admit::Queued
+        AdmitDecision::Queued
     }
 
     /// Takes over work that runs at an endpoint already; nothing is decided.
--- a/crates/masticsill_routing/src/shares.rs
+++ b/crates/masticsill_routing/src/shares.rs
@@ -227,7 +227,7 @@
     /// Asks for a share; the answers to earlier asks are void from now on.
     ///
     /// What is held beyond `wanted` is given up at once, whether or not the ask arrives.
-    pub fn ask(&mut self, now: ClockMs, wanted: u64) -> ShareRequest {
+    pub fn request(&mut self, now: ClockMs, wanted: u64) -> ShareRequest {
         self.sequence += 1;
         self.asked_at = now;
         if let Some(lease) = &mut self.held {
@@ -244,7 +244,7 @@
     }
 
     /// Takes the answer to the last ask; any other is ignored.
-    pub fn take(&mut self, grant: ShareGrant) {
+    pub fn apply(&mut self, grant: ShareGrant) {
         let is_taken = self
             .held
             .is_some_and(|lease| lease.sequence == grant.sequence);
--- a/crates/masticsill_routing/src/slot_gate.rs
+++ b/crates/masticsill_routing/src/slot_gate.rs
@@ -62,7 +62,7 @@
         self.is_shared = is_shared;
     }
 
-    /// Takes new work; [`SlotGate::pass_next`] tells when to pass it on.
+    /// Takes new work; [`SlotGate::forward_next`] tells when to pass it on.
     pub fn offer(&mut self, now: ClockMs, id: GenerationId, class: Class) {
         match class {
             Class::InstantLookup => self.lookups.push_back(id),
@@ -105,7 +105,7 @@
     }
 
     /// The next work to pass on; call it after each change until it gives `None`.
-    pub fn pass_next(&mut self) -> Option<GenerationId> {
+    pub fn forward_next(&mut self) -> Option<GenerationId> {
         for class in [Class::InstantLookup, Class::PatientDraft] {
             if !self.has_slot(class) {
                 continue;
--- a/crates/masticsill_routing/tests/class_slots.rs
+++ b/crates/masticsill_routing/tests/class_slots.rs
@@ -3,7 +3,9 @@
 mod support;
 
 use assert_matches::assert_matches;
-use masticsill_routing::{Admit, Dequeued, LocalLimits, PlacementPolicy, WorkKind, WorkOutcome};
+use masticsill_routing::{
+    AdmitDecision, Dequeued, LocalLimits, PlacementPolicy, WorkKind, WorkOutcome,
+};
 use masticsill_types::{Class, ClockMs, GenerationId, RefusalKind};
 use support::{Fleet, request, router_with, set_limits};
 
@@ -72,15 +74,15 @@
     let now = ClockMs(0);
     for id in 0..3 {
         let wanted = request(id, "fliesenwerk", Class::PatientDraft, 100);
-        assert_matches!(router.admit(now, wanted), Admit::Start(_));
+        assert_matches!(router.admit(now, wanted), AdmitDecision::Start(_));
     }
     let queued = request(10, "fliesenwerk", Class::PatientDraft, 100);
-    assert_eq!(router.admit(now, queued), Admit::Queued);
+    assert_eq!(router.admit(now, queued), AdmitDecision::Queued);
     let mut resumed = request(11, "kwaet-thang", Class::PatientDraft, 100);
     resumed.kind = WorkKind::Resume;
-    assert_eq!(router.admit(now, resumed.clone()), Admit::Queued);
+    assert_eq!(router.admit(now, resumed.clone()), AdmitDecision::Queued);
     let new = request(12, "kwaet-thang", Class::PatientDraft, 100);
-    assert_matches!(router.admit(now, new), Admit::Refused(refusal) if {
+    assert_matches!(router.admit(now, new), AdmitDecision::Refused(refusal) if {
         assert!(refusal.retry_after_ms.is_some());
         refusal.kind == RefusalKind::Overloaded
     });
--- a/crates/masticsill_routing/tests/entry_limits.rs
+++ b/crates/masticsill_routing/tests/entry_limits.rs
@@ -4,7 +4,9 @@
 
 use std::collections::VecDeque;
 
-use masticsill_routing::{Admit, Dequeued, LocalLimits, PlacementPolicy, TokenBucket, WorkOutcome};
+use masticsill_routing::{
+    AdmitDecision, Dequeued, LocalLimits, PlacementPolicy, TokenBucket, WorkOutcome,
+};
 use masticsill_types::{Class, ClockMs, GenerationId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -28,9 +30,9 @@
                 let wanted = request(step.into(), "w0", Class::PatientDraft, 20);
                 let id = wanted.id;
                 match router.admit(now, wanted) {
-                    Admit::Start(_) => running.push(id),
-                    Admit::Queued => {}
-                    Admit::Refused(_) => ends += 1,
+                    AdmitDecision::Start(_) => running.push(id),
+                    AdmitDecision::Queued => {}
+                    AdmitDecision::Refused(_) => ends += 1,
                 }
             }
             if !running.is_empty() && rng.random_bool(0.4) {
--- a/crates/masticsill_routing/tests/fair_admission.rs
+++ b/crates/masticsill_routing/tests/fair_admission.rs
@@ -4,7 +4,8 @@
 
 use assert_matches::assert_matches;
 use masticsill_routing::{
-    Admit, Dequeued, LocalLimits, PlacementPolicy, Router, RouterConfig, WorkKind, WorkOutcome,
+    AdmitDecision, Dequeued, LocalLimits, PlacementPolicy, Router, RouterConfig, WorkKind,
+    WorkOutcome,
 };
 use masticsill_types::{Class, ClockMs, GenerationId, RefusalKind, RefusedOutcome};
 use support::{Fleet, ended, node, request, router_with, set_limits};
@@ -106,7 +107,7 @@
     let mut last = 0;
     for id in 0..2_000 {
         let answer = router.admit(ClockMs(0), request(id, "w0", Class::PatientDraft, 1_000));
-        if let Admit::Refused(refusal) = answer {
+        if let AdmitDecision::Refused(refusal) = answer {
             last = refusal.retry_after_ms.unwrap();
             break;
         }
@@ -121,8 +122,8 @@
     let mut answers =
         (0..3).map(|id| idle.admit(ClockMs(0), request(id, "w0", Class::PatientDraft, 10)));
     let refusal = answers.find_map(|answer| match answer {
-        Admit::Refused(refusal) => Some(refusal),
-        Admit::Start(_) | Admit::Queued => None,
+        AdmitDecision::Refused(refusal) => Some(refusal),
+        AdmitDecision::Start(_) | AdmitDecision::Queued => None,
     });
     assert!(refusal.unwrap().retry_after_ms.unwrap() < last);
 }
@@ -142,10 +143,10 @@
     let mut feasible = request(101, "w0", Class::PatientDraft, 100);
     feasible.deadline = Some(now + 50_000);
     let router = &mut fleet.routers[0];
-    assert_matches!(router.admit(now, hopeless), Admit::Refused(refusal) if {
+    assert_matches!(router.admit(now, hopeless), AdmitDecision::Refused(refusal) if {
         refusal.kind == RefusalKind::Overloaded
     });
-    assert_eq!(router.admit(now, feasible), Admit::Queued);
+    assert_eq!(router.admit(now, feasible), AdmitDecision::Queued);
 }
 
 #[test]
@@ -153,11 +154,11 @@
     let mut router = router_with(&["w0"], 1, 2);
     for id in 0..1 {
         let answer = router.admit(ClockMs(0), request(id, "w0", Class::PatientDraft, 10));
-        assert_matches!(answer, Admit::Start(_));
+        assert_matches!(answer, AdmitDecision::Start(_));
     }
     let mut wanted = request(5, "w0", Class::PatientDraft, 10);
     wanted.deadline = Some(ClockMs(3_000));
-    assert_eq!(router.admit(ClockMs(0), wanted), Admit::Queued);
+    assert_eq!(router.admit(ClockMs(0), wanted), AdmitDecision::Queued);
     assert_eq!(router.next_queued(ClockMs(2_999)), None);
     let end = router.next_queued(ClockMs(3_000));
     assert_matches!(end, Some(Dequeued::Refused(GenerationId(5), _)));
@@ -177,9 +178,14 @@
     router.on_member_change(&node("agent-0"), Some(support::engine(2, "muc-a")));
     let heavy =
         (0..40).map(|id| router.admit(ClockMs(0), request(id, "w0", Class::PatientDraft, 10)));
-    assert_eq!(heavy.filter(|answer| *answer == Admit::Queued).count(), 10);
+    assert_eq!(
+        heavy
+            .filter(|answer| *answer == AdmitDecision::Queued)
+            .count(),
+        10
+    );
     let small = request(100, "w1", Class::PatientDraft, 10);
-    assert_eq!(router.admit(ClockMs(0), small), Admit::Queued);
+    assert_eq!(router.admit(ClockMs(0), small), AdmitDecision::Queued);
 }
 
 #[test]
@@ -225,8 +231,8 @@
             failed: node("agent-0"),
         };
         match router.admit(ClockMs(0), wanted) {
-            Admit::Start(_) | Admit::Queued => retries += 1,
-            Admit::Refused(refusal) => assert!(refusal.retry_after_ms.is_some()),
+            AdmitDecision::Start(_) | AdmitDecision::Queued => retries += 1,
+            AdmitDecision::Refused(refusal) => assert!(refusal.retry_after_ms.is_some()),
         }
     }
     assert_eq!(retries, 10);
@@ -241,7 +247,7 @@
     };
     assert_matches!(
         router.admit(ClockMs(20), wanted),
-        Admit::Start(_),
+        AdmitDecision::Start(_),
         "successes pay"
     );
 }
--- a/crates/masticsill_routing/tests/placement_choice.rs
+++ b/crates/masticsill_routing/tests/placement_choice.rs
@@ -5,8 +5,8 @@
 use assert_matches::assert_matches;
 use indexmap::IndexMap;
 use masticsill_routing::{
-    Admit, CacheChange, EndpointDescription, EntryPolicy, EntrySeat, LocalLimits, PlacementPolicy,
-    PrefixBlock, Router, WorkRequest,
+    AdmitDecision, CacheChange, EndpointDescription, EntryPolicy, EntryRank, LocalLimits,
+    PlacementPolicy, PrefixBlock, Router, WorkRequest,
 };
 use masticsill_types::{
     AdapterId, Class, ClockMs, EndpointKind, Incarnation, LoadReport, NodeId, RefusalKind,
@@ -21,8 +21,8 @@
 
 fn place(router: &mut Router, request: WorkRequest) -> Option<NodeId> {
     match router.admit(NOW, request) {
-        Admit::Start(placement) => Some(placement.node),
-        Admit::Queued | Admit::Refused(_) => None,
+        AdmitDecision::Start(placement) => Some(placement.node),
+        AdmitDecision::Queued | AdmitDecision::Refused(_) => None,
     }
 }
 
@@ -81,7 +81,7 @@
             wanted.target = masticsill_routing::BackEndTarget::Engine(target);
         }
         let answer = router.admit(NOW, wanted);
-        assert_matches!(answer, Admit::Refused(refusal) if {
+        assert_matches!(answer, AdmitDecision::Refused(refusal) if {
             assert!(refusal.retry_after_ms.is_some(), "{name}");
             refusal.kind == RefusalKind::NoEndpoint
         }, "{name}");
@@ -118,7 +118,7 @@
 #[test]
 fn a_down_a_tried_and_a_far_endpoint_are_passed_over() {
     let mut router = router_with(&["fliesenwerk"], 3, 50);
-    router.set_down(&node("agent-0"), true);
+    router.set_unreachable(&node("agent-0"), true);
     for id in 0..40 {
         let mut wanted = draft(id);
         wanted.tried = vec![node("agent-1")];
@@ -139,7 +139,7 @@
 #[test]
 fn a_new_life_is_placed_afresh() {
     let mut router = router_with(&["fliesenwerk"], 1, 8);
-    router.set_down(&node("agent-0"), true);
+    router.set_unreachable(&node("agent-0"), true);
     assert_eq!(place(&mut router, draft(1)), None);
     let reborn = EndpointDescription {
         incarnation: Incarnation(2),
@@ -207,7 +207,7 @@
         let mut wanted = draft(1);
         wanted.prompt_tokens = 4_000;
         wanted.prefix = chain(1);
-        assert_matches!(router.admit(NOW, wanted), Admit::Start(placement) => placement.cached_tokens)
+        assert_matches!(router.admit(NOW, wanted), AdmitDecision::Start(placement) => placement.cached_tokens)
     };
     let known = expected(&[stored(1, 1_000), stored(2, 1_001)]);
     let after_gap = expected(&[stored(1, 1_000), stored(2, 1_001), stored(9, 77)]);
@@ -269,9 +269,9 @@
 fn entries_divide_the_slots_that_a_report_shows_free() {
     for running in 0..16 {
         let mut started = 0;
-        for place in 0..3 {
+        for rank in 0..3 {
             let mut router = router_with(&["fliesenwerk"], 1, 16);
-            router.set_seat(EntrySeat { count: 3, place });
+            router.set_entry_rank(EntryRank { count: 3, rank });
             let load = LoadReport {
                 running,
                 ..LoadReport::default()
--- a/crates/masticsill_routing/tests/share_leases.rs
+++ b/crates/masticsill_routing/tests/share_leases.rs
@@ -40,7 +40,7 @@
             now = now + rng.random_range(1..60);
             for (index, client) in clients.iter_mut().enumerate() {
                 if rng.random_bool(0.05) {
-                    let ask = client.ask(now, rng.random_range(0..limit * 2));
+                    let ask = client.request(now, rng.random_range(0..limit * 2));
                     let copies = [0, 1, 1, 1, 2][rng.random_range(0..5)];
                     for _ in 0..copies {
                         let at = now + delay_ms(&mut rng);
@@ -68,7 +68,7 @@
                             mail.push((at, Message::Answer(index, grant)));
                         }
                     }
-                    Message::Answer(index, grant) => clients[index].take(grant),
+                    Message::Answer(index, grant) => clients[index].apply(grant),
                 }
             }
             let all = clients.iter().chain(&former);
@@ -88,8 +88,8 @@
     for _ in 0..20 {
         now = now + 300;
         for (client, want) in clients.iter_mut().zip(wants) {
-            let ask = client.ask(now, *want);
-            client.take(ledger.grant(now, &ask).unwrap());
+            let ask = client.request(now, *want);
+            client.apply(ledger.grant(now, &ask).unwrap());
         }
     }
     now.0
@@ -121,9 +121,9 @@
 fn a_restarted_holder_waits_one_lease() {
     let mut ledger = ShareLedger::new(ClockMs(0), 100, LEASE_MS);
     let mut one = client(0, 1);
-    let ask = one.ask(ClockMs(LEASE_MS - 1), 50);
+    let ask = one.request(ClockMs(LEASE_MS - 1), 50);
     assert_eq!(ledger.grant(ClockMs(LEASE_MS - 1), &ask).unwrap().units, 0);
-    let ask = one.ask(ClockMs(LEASE_MS), 50);
+    let ask = one.request(ClockMs(LEASE_MS), 50);
     assert_eq!(ledger.grant(ClockMs(LEASE_MS), &ask).unwrap().units, 100);
 }
 
@@ -132,9 +132,9 @@
     let mut ledger = ShareLedger::new(ClockMs(0), 100, LEASE_MS);
     let mut one = client(0, 1);
     let asked_at = ClockMs(5_000);
-    let ask = one.ask(asked_at, 50);
+    let ask = one.request(asked_at, 50);
     let grant = ledger.grant(ClockMs(5_400), &ask).unwrap();
-    one.take(grant);
+    one.apply(grant);
     assert!(one.units(asked_at + (LEASE_MS - 100)) > 0);
     assert_eq!(one.units(asked_at + LEASE_MS), 0, "counted from the ask");
 }
--- a/crates/masticsill_routing/tests/slot_gate.rs
+++ b/crates/masticsill_routing/tests/slot_gate.rs
@@ -11,7 +11,7 @@
     for id in ids {
         gate.offer(NOW, GenerationId(id), class);
     }
-    std::iter::from_fn(|| gate.pass_next()).count()
+    std::iter::from_fn(|| gate.forward_next()).count()
 }
 
 #[test]
@@ -60,7 +60,7 @@
             if !running.is_empty() && rng.random_bool(0.9) {
                 gate.remove(running.swap_remove(rng.random_range(0..running.len())));
             }
-            while let Some(id) = gate.pass_next() {
+            while let Some(id) = gate.forward_next() {
                 assert!(!running.contains(&id));
                 running.push(id);
                 passed += 1;
--- a/crates/masticsill_routing/tests/support/mod.rs
+++ b/crates/masticsill_routing/tests/support/mod.rs
@@ -5,9 +5,9 @@
 
 use indexmap::{IndexMap, IndexSet};
 use masticsill_routing::{
-    Admit, BackEndTarget, Dequeued, EndpointDescription, EntryPolicy, EntrySeat, LocalLimits,
-    Placement, PlacementPolicy, PrefixBlock, Router, RouterConfig, SlotGate, WorkEnd, WorkKind,
-    WorkOutcome, WorkRequest,
+    AdmitDecision, BackEndTarget, Dequeued, EndpointDescription, EntryPolicy, EntryRank,
+    LocalLimits, Placement, PlacementPolicy, PrefixBlock, Router, RouterConfig, SlotGate, WorkEnd,
+    WorkKind, WorkOutcome, WorkRequest,
 };
 use masticsill_types::{
     Class, ClockMs, EndpointKind, EntryId, GenerationId, Incarnation, LoadReport, ModelId,
@@ -153,14 +153,14 @@
     }
 
     fn next_job(&mut self) -> Option<Job> {
-        let place = if let Some(gate) = &mut self.gate {
-            let id = gate.pass_next()?;
+        let position = if let Some(gate) = &mut self.gate {
+            let id = gate.forward_next()?;
             self.waiting.iter().position(|job| job.id == id)?
         } else {
             let urgent = |job: &Job| job.class == Class::InstantLookup;
             self.waiting.iter().position(urgent).unwrap_or(0)
         };
-        self.waiting.remove(place)
+        self.waiting.remove(position)
     }
 
     fn begin_next(&mut self, now: ClockMs, recomputed: &mut u64) {
@@ -234,8 +234,8 @@
 
     pub(crate) fn add_engine(&mut self, name: &str, slots: u32, at: &str) {
         let count = u32::try_from(self.routers.len()).unwrap();
-        for (place, router) in (0..).zip(&mut self.routers) {
-            router.set_seat(EntrySeat { count, place });
+        for (rank, router) in (0..).zip(&mut self.routers) {
+            router.set_entry_rank(EntryRank { count, rank });
             router.on_member_change(&node(name), Some(engine(slots, at)));
         }
         let engine = Engine {
@@ -285,9 +285,9 @@
         let id = request.id;
         self.requests.insert(id, (request.clone(), tokens));
         match self.routers[entry].admit(self.now, request) {
-            Admit::Start(placement) => self.start(entry, id, &placement),
-            Admit::Queued => {}
-            Admit::Refused(refusal) => {
+            AdmitDecision::Start(placement) => self.start(entry, id, &placement),
+            AdmitDecision::Queued => {}
+            AdmitDecision::Refused(refusal) => {
                 self.tally.refused.insert(id, (self.now, refusal));
             }
         }
--- a/crates/masticsill_session/src/book.rs
+++ b/crates/masticsill_session/src/book.rs
@@ -224,7 +224,7 @@
 
     /// Moves every stream away from an agent that can't be reached or stayed silent.
     pub fn agent_lost(&mut self, now: ClockMs, agent: &NodeId) {
-        self.router.set_down(agent, true);
+        self.router.set_unreachable(agent, true);
         self.life_ended(now, agent);
     }
 
@@ -242,7 +242,7 @@
 
     /// Lets an agent take new work again.
     pub fn agent_reached(&mut self, agent: &NodeId) {
-        self.router.set_down(agent, false);
+        self.router.set_unreachable(agent, false);
     }
 
     /// Does what time asks for: full sinks, callers gone, sessions without an endpoint.
--- a/crates/masticsill_session/src/placing.rs
+++ b/crates/masticsill_session/src/placing.rs
@@ -1,6 +1,8 @@
 //! How attempts and calls find their endpoints: admission, waiting and moving on.
 
-use masticsill_routing::{Admit, BackEndTarget, Dequeued, WorkEnd, WorkOutcome, WorkRequest};
+use masticsill_routing::{
+    AdmitDecision, BackEndTarget, Dequeued, WorkEnd, WorkOutcome, WorkRequest,
+};
 use masticsill_types::{ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
 
 use crate::book::{Action, RETRY_AFTER_MS, SessionBook};
@@ -17,7 +19,7 @@
 impl SessionBook {
     /// Asks for a place for a plain call. A queued call is answered by [`Action::CallPlaced`],
     /// and each that has a place ends with [`SessionBook::end_call`].
-    pub fn admit_call(&mut self, now: ClockMs, request: WorkRequest) -> Admit {
+    pub fn admit_call(&mut self, now: ClockMs, request: WorkRequest) -> AdmitDecision {
         self.router.admit(now, request)
     }
 
@@ -46,12 +48,12 @@
         session.retry_at = now + RETRY_INTERVAL_MS;
         session.is_parked = false;
         match self.router.admit(now, describe_work(session)) {
-            Admit::Start(placement) => {
+            AdmitDecision::Start(placement) => {
                 session.is_admitted = true;
                 self.start(id, placement.node);
             }
-            Admit::Queued => session.is_admitted = true,
-            Admit::Refused(refusal) => {
+            AdmitDecision::Queued => session.is_admitted = true,
+            AdmitDecision::Refused(refusal) => {
                 if refusal.kind == RefusalKind::NoEndpoint && session.may_park() {
                     session.is_parked = true;
                     session.unserved_since.get_or_insert(now);
