--- a/crates/masticsill_routing/examples/decision_time.rs
+++ b/crates/masticsill_routing/examples/decision_time.rs
@@ -1,7 +1,8 @@
-//! Measures the time of a decision, on arrival and from the queues, and the router's memory at the size of letter 1: 1,800
-//! replicas of 35 models and 2,500 workspaces.
+//! Measures the time of a router's decisions, on arrival and from the queues, and its memory with
+//! 1,800 replicas of 35 models and 2,500 workspaces.
 //!
-//! `decision_time [--one-model]`: with the flag all replicas serve one model, the worst case.
+//! Runs without arguments, once with 35 models and once with all replicas serving one model, which
+//! is the worst case.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -82,7 +83,7 @@
     wanted
 }
 
-/// Load reports of this many running requests at every endpoint.
+/// Delivers a load report with `running` requests for every endpoint.
 fn report_all(router: &mut Router, now: ClockMs, running: u32) {
     for index in 0..REPLICAS {
         let load = LoadReport {
@@ -107,9 +108,9 @@
         }
         let wanted = next_request(id, models, &mut rng);
         let name = wanted.id;
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let answer = router.admit(now, wanted);
-        times.push(u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX));
+        times.push(u64::try_from(began_at.elapsed().as_nanos()).unwrap_or(u64::MAX));
         match answer {
             AdmitDecision::Start(_) => {
                 started += 1;
@@ -122,9 +123,9 @@
             let done = running.swap_remove(rng.random_range(0..running.len()));
             router.on_finished(now, done, ended(WorkOutcome::Completed, 100));
         }
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let dequeued = router.next_queued(now);
-        times.push(u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX));
+        times.push(u64::try_from(began_at.elapsed().as_nanos()).unwrap_or(u64::MAX));
         if let Some(Dequeued::Start(id, _)) = dequeued {
             running.push(id);
         }
--- a/crates/masticsill_routing/examples/policy_comparison.rs
+++ b/crates/masticsill_routing/examples/policy_comparison.rs
@@ -1,7 +1,8 @@
-//! Compares the placement policies in one run: prompts computed again, lookups beside saturating
-//! drafts, goodput under overload, and a zone's loss.
+//! Compares the placement policies in one run by prompt tokens computed, latency of lookups while
+//! drafts saturate the engines, goodput under overload, and lookups missed when a zone is lost.
 //!
-//! Small engines on a virtual clock, with late load reports and a prefix cache each; three entries.
+//! Three entries place requests at small engines on a virtual clock. Load reports are delayed, and
+//! each engine has a prefix cache.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -12,55 +13,57 @@
 use rand::{Rng, SeedableRng};
 use support::{Fleet, entry_id, request, router, set_limits};
 
-/// A policy, and whether agents hold back what their engine has no slot for.
+/// A policy, and whether agents queue the requests for which their engine has no slot.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Variant {
     is_gated: bool,
     name: &'static str,
     policy: PlacementPolicy,
 }
 
-const WAYS: [Way; 4] = [
-    Way {
+const VARIANTS: [Variant; 4] = [
+    Variant {
         is_gated: true,
         name: "affinity, agents' gate",
         policy: PlacementPolicy::Affinity,
     },
-    Way {
+    Variant {
         is_gated: false,
         name: "affinity, no gate",
         policy: PlacementPolicy::Affinity,
     },
-    Way {
+    Variant {
         is_gated: false,
         name: "least connections",
         policy: PlacementPolicy::LeastConnections,
     },
-    Way {
+    Variant {
         is_gated: false,
         name: "round robin",
         policy: PlacementPolicy::RoundRobin,
     },
 ];
-/// Prefixes that an engine's cache holds: all engines together hold a third of those in use, or
-/// all of them once.
+/// Capacity of an engine's cache in prefixes. The caches of all engines together hold a third of
+/// the prefixes in use.
 const SMALL_CACHE: usize = 40;
+/// Capacity of an engine's cache in prefixes. The caches of all engines together hold each prefix
+/// in use once.
 const LARGE_CACHE: usize = 125;
 const ENTRIES: usize = 3;
 const ENGINES: usize = 24;
 const SLOTS: u32 = 16;
 const ZONES: [&str; 3] = ["muc-a", "muc-b", "fs-c"];
 
-fn fleet(way: Way, cache_capacity: usize) -> Fleet {
+fn fleet(variant: Variant, cache_capacity: usize) -> Fleet {
     let routers = (0..ENTRIES).map(|index| {
-        let mut router = router(way.policy, index as u64);
+        let mut router = router(variant.policy, index as u64);
         for workspace in ["w0", "w1"] {
             set_limits(&mut router, ClockMs(0), workspace, LocalLimits::default());
         }
         router
     });
     let mut fleet = Fleet::new(routers.collect(), 500);
-    fleet.are_gated = way.is_gated;
+    fleet.are_gated = variant.is_gated;
     fleet.cache_capacity = cache_capacity;
     for index in 0..ENGINES {
         fleet.add_engine(&format!("agent-{index}"), SLOTS, ZONES[index % ZONES.len()]);
@@ -68,7 +71,8 @@
     fleet
 }
 
-/// A prompt of 3,200 tokens: a plan that many callers work on, then the caller's own question.
+/// A request with a prompt of 3,200 tokens: a plan that many callers share, then the caller's own
+/// question.
 fn plan_request(id: u128, rng: &mut StdRng) -> WorkRequest {
     let plan = rng.random_range(0..600_u64);
     let turn = rng.random_range(0..4_u64);
@@ -87,10 +91,10 @@
     wanted
 }
 
-/// Prompt tokens computed a request at half load.
-fn recomputed(way: Way, cache_capacity: usize) -> u64 {
+/// Prompt tokens computed per request at half load.
+fn computed_tokens(variant: Variant, cache_capacity: usize) -> u64 {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut fleet = fleet(way, cache_capacity);
+    let mut fleet = fleet(variant, cache_capacity);
     let mut id = 0;
     for _ in 0..12_000 {
         if rng.random_bool(0.5) {
@@ -102,13 +106,13 @@
     }
     fleet.run_until_idle(600_000);
     fleet.assert_none_lost();
-    fleet.tally.recomputed / fleet.tally.done.len() as u64
+    fleet.tally.computed_tokens / fleet.tally.done.len() as u64
 }
 
-/// The 99th percentile of lookups' times, with or without drafts that fill every slot.
-fn lookup_p99_ms(way: Way, has_drafts: bool) -> u64 {
+/// The 99th percentile of the latency of lookups, with or without drafts that fill every slot.
+fn lookup_p99_ms(variant: Variant, has_drafts: bool) -> u64 {
     let mut rng = StdRng::seed_from_u64(2);
-    let mut fleet = fleet(way, SMALL_CACHE);
+    let mut fleet = fleet(variant, SMALL_CACHE);
     let mut lookups = Vec::new();
     let mut id = 0;
     for tick in 0..6_000 {
@@ -137,11 +141,11 @@
     times[times.len() * 99 / 100]
 }
 
-/// Drafts answered within a caller's patience of 20 s, in percent of what the slots can do,
-/// while twice that is offered.
-fn goodput_percent(way: Way, is_shared: bool) -> usize {
+/// Drafts completed within the callers' timeout of 20 s, in percent of the capacity, while the
+/// offered load is twice the capacity.
+fn goodput_percent(variant: Variant, is_shared: bool) -> usize {
     let mut rng = StdRng::seed_from_u64(3);
-    let mut fleet = fleet(way, SMALL_CACHE);
+    let mut fleet = fleet(variant, SMALL_CACHE);
     fleet.set_shared(is_shared);
     if !is_shared {
         for router in &mut fleet.routers {
@@ -152,7 +156,7 @@
     }
     let mut offered = Vec::new();
     let mut id = 0;
-    // A draft takes 2.02 s; 384 slots serve 190 a second, and 380 are offered.
+    // A draft takes 2.02 s, so 384 slots serve 190 drafts per second; 380 are offered.
     for _ in 0..12_000 {
         for _ in 0..2 {
             if rng.random_bool(0.95) {
@@ -165,18 +169,19 @@
         }
         fleet.tick();
     }
-    let good = offered.iter().filter(|(id, at)| {
+    let on_time = offered.iter().filter(|(id, at)| {
         let done = fleet.tally.done.get(id);
         done.is_some_and(|(end, _)| end.since(*at) <= 20_000)
     });
     let possible = 60_000 * (ENGINES * SLOTS as usize) / 2_020;
-    good.count() * 100 / possible
+    on_time.count() * 100 / possible
 }
 
-/// Lookups refused or later than 2 s while one of three zones is lost at 60% load.
-fn lookups_missed_in_zone_loss(way: Way) -> (usize, usize) {
+/// Lookups that are refused or take longer than 2 s when one of three zones is lost at 60% load,
+/// and the number of all lookups.
+fn lookups_missed_in_zone_loss(variant: Variant) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(4);
-    let mut fleet = fleet(way, SMALL_CACHE);
+    let mut fleet = fleet(variant, SMALL_CACHE);
     let mut lookups = Vec::new();
     let mut id = 0;
     for tick in 0..6_000 {
@@ -211,18 +216,18 @@
         "way                     prompt tokens computed, small/large caches  \
          lookup p99 idle/busy ms  goodput at 2x, unshared/shared %  lookups missed in a zone's loss"
     );
-    for way in WAYS {
-        let small = recomputed(way, SMALL_CACHE);
-        let large = recomputed(way, LARGE_CACHE);
-        let idle = lookup_p99_ms(way, false);
-        let busy = lookup_p99_ms(way, true);
-        let goodput = goodput_percent(way, false);
-        let shared = goodput_percent(way, true);
-        let (missed, lookups) = lookups_missed_in_zone_loss(way);
+    for variant in VARIANTS {
+        let small = computed_tokens(variant, SMALL_CACHE);
+        let large = computed_tokens(variant, LARGE_CACHE);
+        let idle = lookup_p99_ms(variant, false);
+        let busy = lookup_p99_ms(variant, true);
+        let goodput = goodput_percent(variant, false);
+        let shared = goodput_percent(variant, true);
+        let (missed, lookups) = lookups_missed_in_zone_loss(variant);
         println!(
             "{:22}  {small:30} / {large:10}  {idle:10} / {busy:9}  {goodput:18} / {shared:10}  \
              {missed} of {lookups}",
-            way.name
+            variant.name
         );
     }
 }
--- a/crates/masticsill_routing/examples/share_comparison.rs
+++ b/crates/masticsill_routing/examples/share_comparison.rs
@@ -1,13 +1,13 @@
-//! Compares ways to hold one limit across entries under skewed demand, on a virtual clock.
+//! Compares schemes that enforce one limit across entries under skewed demand, on a virtual clock.
 //!
-//! - equal split: each entry may use its part, whatever it needs;
-//! - leased shares: as `ShareLedger` and `ShareClient`, with lost messages;
-//! - counted shares: the per-access scheme of Gärtner and Pagnia (1999), with each entry's count
-//!   of a phase as its share of the next, and moves from entries that refused nothing to entries
-//!   that refused work. A lost move message loses or doubles units.
+//! - equal split: each entry may use an equal part of the limit, whatever its demand;
+//! - leased shares: [`ShareLedger`] and [`ShareClient`], with lost messages;
+//! - counted shares: the per-access scheme of Gärtner and Pagnia (1999). Each entry's count in a
+//!   phase is its share of the next phase, and units are transferred from entries that refused
+//!   nothing to entries that refused work. A lost transfer message loses or duplicates units.
 //!
-//! Goodput is the part of the work admitted that an ideal limiter would admit; the overshoot is
-//! the most that was admitted in any second over the limit.
+//! Goodput is the admitted work in percent of what an ideal limiter would admit. The overshoot is
+//! the largest excess over the limit in any second.
 
 use masticsill_routing::{ShareClient, ShareLedger};
 use masticsill_types::{ClockMs, Incarnation, NodeId};
@@ -18,17 +18,17 @@
 const LIMIT: u64 = 600;
 const SECONDS: u64 = 300;
 const LEASE_MS: u64 = 2_000;
-/// Asks a lease.
-const RENEWALS: u64 = 4;
+/// Share requests that an entry sends in the time of one lease.
+const REQUESTS_PER_LEASE: u64 = 4;
 
-/// How demand is spread over the entries.
+/// Distribution of the demand over the entries.
 #[derive(Clone, Copy, Debug)]
 enum Demand {
-    /// All entries the same, at the limit together.
+    /// All entries have the same demand, together exactly the limit.
     Even,
-    /// One entry takes 80%, and another one every 20 s.
+    /// One entry demands 80% of the limit; every 20 s it is another one.
     Skewed,
-    /// Each second at random.
+    /// Each entry's demand is random and changes every second.
     Random,
 }
 
@@ -49,14 +49,15 @@
     wanted
 }
 
-/// A way to hold the limit: tells each entry's part of a slice of half a second.
-trait Shares {
+/// A scheme that enforces the limit. `parts` returns the rate that each entry may use in the next
+/// slice of half a second.
+trait LimitScheme {
     fn parts(&mut self, now: ClockMs, wanted: [u64; ENTRIES], rng: &mut StdRng) -> [u64; ENTRIES];
 }
 
 struct EqualSplit;
 
-impl Shares for EqualSplit {
+impl LimitScheme for EqualSplit {
     fn parts(&mut self, _: ClockMs, _: [u64; ENTRIES], _: &mut StdRng) -> [u64; ENTRIES] {
         [LIMIT / ENTRIES as u64; ENTRIES]
     }
@@ -69,13 +70,13 @@
     loss: f64,
 }
 
-impl Shares for Leased {
+impl LimitScheme for Leased {
     fn parts(&mut self, now: ClockMs, wanted: [u64; ENTRIES], rng: &mut StdRng) -> [u64; ENTRIES] {
         for (index, client) in self.clients.iter_mut().enumerate() {
-            let ask = client.request(now, wanted[index]);
-            let is_asked = !self.is_cut[index] && !rng.random_bool(self.loss);
-            let grant = if is_asked {
-                self.ledger.grant(now, &ask)
+            let request = client.request(now, wanted[index]);
+            let is_received = !self.is_cut[index] && !rng.random_bool(self.loss);
+            let grant = if is_received {
+                self.ledger.grant(now, &request)
             } else {
                 None
             };
@@ -99,25 +100,25 @@
     is_cut: [bool; ENTRIES],
 }
 
-impl Shares for Counted {
+impl LimitScheme for Counted {
     fn parts(&mut self, _: ClockMs, wanted: [u64; ENTRIES], rng: &mut StdRng) -> [u64; ENTRIES] {
-        // The phase's end: surplus is moved to the entry that lacks most, one message each way.
-        for giver in 0..ENTRIES {
-            let surplus = self.parts[giver].saturating_sub(wanted[giver]);
+        // At the end of a phase, surplus is transferred to the entry with the largest deficit.
+        for donor in 0..ENTRIES {
+            let surplus = self.parts[donor].saturating_sub(wanted[donor]);
             let lacks = |index: &usize| wanted[*index].saturating_sub(self.parts[*index]);
-            let Some(taker) = (0..ENTRIES).max_by_key(lacks) else {
+            let Some(receiver) = (0..ENTRIES).max_by_key(lacks) else {
                 continue;
             };
-            let moved = surplus.min(lacks(&taker));
-            if moved == 0 || self.is_cut[giver] || self.is_cut[taker] {
+            let moved = surplus.min(lacks(&receiver));
+            if moved == 0 || self.is_cut[donor] || self.is_cut[receiver] {
                 continue;
             }
-            // Two messages: the giver's order to lower, and the taker's to raise.
+            // Two messages: one lowers the donor's part, one raises the receiver's.
             if !rng.random_bool(self.loss) {
-                self.parts[giver] -= moved;
+                self.parts[donor] -= moved;
             }
             if !rng.random_bool(self.loss) {
-                self.parts[taker] += moved;
+                self.parts[receiver] += moved;
             }
         }
         self.parts
@@ -125,10 +126,10 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "figures are small")]
-fn run(name: &str, kind: Demand, shares: &mut dyn Shares) {
+fn run(name: &str, kind: Demand, shares: &mut dyn LimitScheme) {
     let mut rng = StdRng::seed_from_u64(5);
     let (mut admitted, mut possible, mut overshoot) = (0, 0, 0);
-    let slice_ms = LEASE_MS / RENEWALS;
+    let slice_ms = LEASE_MS / REQUESTS_PER_LEASE;
     let mut wanted = demand(kind, 0, &mut rng);
     for slice in 0..SECONDS * 1_000 / slice_ms {
         let now = ClockMs(LEASE_MS + slice * slice_ms);
--- a/crates/masticsill_routing/src/cache_view.rs
+++ b/crates/masticsill_routing/src/cache_view.rs
@@ -1,17 +1,18 @@
-//! What is known of an engine's prefix cache from late events with gaps.
+//! A view of an engine's prefix cache, built from events that are delayed and may be lost.
 
 use indexmap::IndexMap;
 
+/// Prefixes recorded for one engine.
 const MAX_PREFIXES_PER_ENGINE: usize = 512;
 
-/// One change of an engine's prefix cache.
+/// One change to an engine's prefix cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CacheChange {
-    /// Whether the prefix was stored, or dropped.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub is_stored: bool,
     /// Hash of the prefix.
     pub prefix_hash: u64,
-    /// Position in the engine's sequence of events; a jump is a gap.
+    /// Sequence number of the event. A jump means that events were lost.
     pub sequence: u64,
 }
 
@@ -23,16 +24,18 @@
     Yes,
 }
 
-/// The prefixes that an engine said it stored.
+/// The prefixes that an engine reported as stored, and those sent to it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CacheView {
-    /// Raised by each gap; what was known before it is only likely afterwards.
+    /// Incremented on each gap in the sequence. A prefix recorded in an earlier epoch may have been
+    /// evicted since.
     epoch: u32,
     last_sequence: Option<u64>,
     stored: IndexMap<u64, u32>,
 }
 
 impl CacheView {
+    /// Applies a change; one that is not newer than the last is ignored.
     pub(crate) fn apply(&mut self, change: CacheChange) {
         let is_repeated = self
             .last_sequence
@@ -55,7 +58,8 @@
         }
     }
 
-    /// Notes that work with this prefix was sent there; its event is still to come.
+    /// Records that a request with this prefix was sent to the engine, whose event has not arrived
+    /// yet. The prefix counts as one of an earlier epoch until it does.
     pub(crate) fn note_sent(&mut self, prefix_hash: u64) {
         if !self.stored.contains_key(&prefix_hash) {
             self.store(prefix_hash, self.epoch.wrapping_sub(1));
@@ -70,7 +74,8 @@
         }
     }
 
-    /// Whether this very prefix was stored or sent there, so that unknown means likely.
+    /// Whether this prefix was reported as stored or sent to the engine. If so,
+    /// [`CachePresence::Unknown`] means that it is probably cached.
     pub(crate) fn is_listed(&self, prefix_hash: u64) -> bool {
         self.stored.contains_key(&prefix_hash)
     }
--- a/crates/masticsill_routing/src/config.rs
+++ b/crates/masticsill_routing/src/config.rs
@@ -1,40 +1,42 @@
-//! Numbers that shape the router's decisions.
+//! Settings of the router.
 
 use masticsill_types::{Class, ZoneId};
 
 /// How an endpoint is chosen.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub enum PlacementPolicy {
-    /// By prefix, free slots and zone, with slots reserved for lookups and fair queues.
+    /// By cached prefix, free slots and zone, with slots reserved for lookups and fair queueing
+    /// among workspaces.
     #[default]
     Affinity,
-    /// The one with the fewest requests of this entry; a baseline that never holds work back.
+    /// The endpoint with the fewest requests of this entry. A baseline for comparison that does not
+    /// check for free slots.
     LeastConnections,
-    /// Each in turn; a baseline that never holds work back.
+    /// Each endpoint in turn. A baseline for comparison that does not check for free slots.
     RoundRobin,
 }
 
-/// Numbers that shape the router's decisions.
+/// Settings of the router.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouterConfig {
-    /// How long a draft may wait.
+    /// Longest time that a draft may be queued, in milliseconds.
     pub max_draft_wait_ms: u64,
-    /// How long a lookup may wait.
+    /// Longest time that a lookup may be queued, in milliseconds.
     pub max_lookup_wait_ms: u64,
     /// How an endpoint is chosen.
     pub policy: PlacementPolicy,
-    /// Requests of one class that may wait for one model.
+    /// Requests of one class that may be queued for one model.
     pub queue_length: usize,
-    /// Requests that a plain service instance is given at once.
+    /// Concurrent requests that an instance of a plain service is given.
     pub service_slots: u32,
-    /// Age after which a load report says nothing any more.
+    /// Age from which a load report is no longer used, in milliseconds.
     pub stale_report_ms: u64,
     /// This node's availability zone.
     pub zone: ZoneId,
 }
 
 impl RouterConfig {
-    /// The usual numbers, for a node in `zone`.
+    /// The default settings, for a node in `zone`.
     #[must_use]
     pub fn in_zone(zone: ZoneId) -> Self {
         Self {
--- a/crates/masticsill_routing/src/endpoint.rs
+++ b/crates/masticsill_routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as this entry sees it.
+//! The state of one endpoint as known to this entry.
 
 use std::collections::VecDeque;
 
@@ -10,30 +10,31 @@
 use crate::request::{BackEndTarget, PrefixBlock};
 use crate::slot_gate::reserved_slots;
 
-/// What a likely prefix is worth, in hundredths of a known one.
+/// Percentage of a prefix's tokens that count as cached while its caching is not confirmed.
 const UNCONFIRMED_CACHED_PERCENT: u32 = 60;
-/// Reports that lag more than this are not corrected by what was done since.
+/// How long own starts and ends are kept to correct load reports. A report that lags more is not
+/// corrected by the earlier ones.
 const MAX_REPORT_LAG_MS: u64 = 10_000;
-/// How long a slot that own work left is this entry's to fill again; later, a report may have
-/// shown it to others.
+/// How long this entry may reuse a slot that its own draft freed. After that, a load report may
+/// have shown the slot as free to the other entries.
 const FREED_SLOT_HOLD_MS: u64 = 50;
 
-/// An endpoint as membership describes it.
+/// An endpoint as described by the membership.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndpointDescription {
-    /// Held back until then, because it died often lately.
+    /// No new work is placed there before this time, because the endpoint has failed repeatedly.
     pub held_until: ClockMs,
-    /// The agent's life.
+    /// The incarnation of its agent.
     pub incarnation: Incarnation,
-    /// Whether it takes nothing new.
+    /// Whether it is leaving and accepts no new work.
     pub is_leaving: bool,
-    /// What stands behind the agent.
+    /// What the agent serves: an engine or a plain service.
     pub kind: EndpointKind,
     /// Its availability zone.
     pub zone: ZoneId,
 }
 
-/// Requests of this entry by class.
+/// Requests of this entry in flight, by class.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InFlight {
     pub(crate) drafts: u32,
@@ -53,11 +54,11 @@
     }
 }
 
-/// A load report and what this entry did since it was true.
+/// A load report, corrected by this entry's starts and ends since the time that it describes.
 #[derive(Clone, Copy, Debug)]
 struct CorrectedReport {
     as_of: ClockMs,
-    /// Own drafts started since, on slots that the report may show to others as free.
+    /// Own drafts started since then on slots that the report may show as free to other entries.
     claimed_since: u32,
     ended_since: InFlight,
     load: LoadReport,
@@ -65,46 +66,45 @@
 }
 
 impl CorrectedReport {
+    /// Requests of all entries that the report counts, running and waiting.
     fn total_reported(&self) -> u32 {
         self.load.running + self.load.waiting
     }
 
-    fn add(&mut self, event: OwnEvent) {
+    fn add(&mut self, event: Event) {
         match event.kind {
-            OwnEventKind::Claim | OwnEventKind::Reuse => {
-                *self.started_since.of_mut(event.class) += 1
-            }
-            OwnEventKind::End => *self.ended_since.of_mut(event.class) += 1,
+            EventKind::Claim | EventKind::Reuse => *self.started_since.of_mut(event.class) += 1,
+            EventKind::End => *self.ended_since.of_mut(event.class) += 1,
         }
-        if event.kind == OwnEventKind::Claim && event.class == Class::PatientDraft {
+        if event.kind == EventKind::Claim && event.class == Class::PatientDraft {
             self.claimed_since += 1;
         }
     }
 }
 
-/// A start or an end of own work.
+/// A start or an end of one of this entry's requests.
 #[derive(Clone, Copy, Debug)]
-struct OwnEvent {
+struct Event {
     at: ClockMs,
     class: Class,
-    kind: OwnEventKind,
+    kind: EventKind,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum OwnEventKind {
-    /// A start on a slot that own work left just before.
+enum EventKind {
+    /// A start on a slot that an own draft freed within [`FREED_SLOT_HOLD_MS`].
     Reuse,
     /// Any other start.
     Claim,
     End,
 }
 
-/// The entries that share the endpoints.
+/// The number of entries that share the endpoints, and this entry's rank among them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EntryRank {
-    /// Entries, this one included.
+    /// Number of entries, this one included.
     pub count: u32,
-    /// This entry's place among them, from zero; no two entries have the same.
+    /// This entry's rank among them, from zero. No two entries have the same rank.
     pub rank: u32,
 }
 
@@ -115,9 +115,9 @@
 }
 
 impl EntryRank {
-    /// This entry's part of some free slots of an endpoint, so that all entries together take
-    /// no more. What does not divide goes to entries chosen by the endpoint's hash.
-    fn part(self, free: u32, endpoint_hash: u64) -> u32 {
+    /// This entry's share of the free slots of an endpoint; the shares of all entries add up to
+    /// `free`. The hash of the endpoint decides which entries get the remainder of the division.
+    fn share_of(self, free: u32, endpoint_hash: u64) -> u32 {
         let count = self.count.max(1);
         let first = mix(endpoint_hash, 0) % u64::from(count);
         let rank = (u64::from(self.rank) + first) % u64::from(count);
@@ -131,15 +131,16 @@
     pub(crate) description: EndpointDescription,
     pub(crate) hash: u64,
     pub(crate) in_flight: InFlight,
-    /// Whether the agent could not be reached.
+    /// Whether the agent can't be reached.
     pub(crate) is_unreachable: bool,
-    /// Whether entries of both classes use it.
+    /// Whether lookup entries use it, so that it reserves slots for each class.
     pub(crate) is_shared: bool,
     pub(crate) node: NodeId,
-    /// When own drafts left slots that were not filled again yet.
+    /// Times at which own drafts freed slots that are not reused yet, oldest first.
     freed_at: VecDeque<ClockMs>,
-    /// Own starts and ends, newest last, to be counted against a report that is late.
-    recent: VecDeque<OwnEvent>,
+    /// Own starts and ends, newest last. They correct the next load report, which describes an
+    /// earlier time.
+    recent: VecDeque<Event>,
     reported: Option<CorrectedReport>,
     pub(crate) slots: u32,
 }
@@ -166,7 +167,8 @@
         }
     }
 
-    /// Takes a new description. A new life forgets what the old one reported.
+    /// Applies a new description. If the incarnation changed, all that the former one reported is
+    /// discarded.
     pub(crate) fn update(&mut self, description: EndpointDescription, config: &RouterConfig) {
         if description.incarnation != self.description.incarnation {
             self.cache = CacheView::default();
@@ -179,7 +181,7 @@
         self.description = description;
     }
 
-    /// What requests can find here.
+    /// The targets that this endpoint serves.
     pub(crate) fn targets(&self) -> Vec<BackEndTarget> {
         match &self.description.kind {
             EndpointKind::Engine { loaded, .. } => {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Whether it may be given new work at all.
+    /// Whether new work may be placed here, whatever its load.
     pub(crate) fn is_usable(&self, now: ClockMs) -> bool {
         !self.is_unreachable && !self.description.is_leaving && self.description.held_until <= now
     }
@@ -214,9 +216,9 @@
         self.evict_freed(now);
         let is_reuse = class == Class::PatientDraft && self.freed_at.pop_front().is_some();
         let kind = if is_reuse {
-            OwnEventKind::Reuse
+            EventKind::Reuse
         } else {
-            OwnEventKind::Claim
+            EventKind::Claim
         };
         self.note(now, class, kind);
     }
@@ -228,7 +230,7 @@
         if class == Class::PatientDraft {
             self.freed_at.push_back(now);
         }
-        self.note(now, class, OwnEventKind::End);
+        self.note(now, class, EventKind::End);
     }
 
     fn evict_freed(&mut self, now: ClockMs) {
@@ -236,19 +238,19 @@
             .retain(|left| now.since(*left) <= FREED_SLOT_HOLD_MS);
     }
 
-    fn note(&mut self, at: ClockMs, class: Class, kind: OwnEventKind) {
+    fn note(&mut self, at: ClockMs, class: Class, kind: EventKind) {
         let oldest = at.before(MAX_REPORT_LAG_MS);
         while self.recent.front().is_some_and(|event| event.at < oldest) {
             self.recent.pop_front();
         }
-        let event = OwnEvent { at, class, kind };
+        let event = Event { at, class, kind };
         self.recent.push_back(event);
         if let Some(reported) = &mut self.reported {
             reported.add(event);
         }
     }
 
-    /// Takes a report; one that is older than the last says nothing new.
+    /// Applies a load report; one that describes an earlier time than the last is ignored.
     pub(crate) fn report(&mut self, now: ClockMs, load: LoadReport) {
         let as_of = now.before(load.age_ms);
         if self.reported.is_some_and(|reported| reported.as_of > as_of) {
@@ -268,12 +270,12 @@
         self.reported = Some(reported);
     }
 
-    /// Requests in the way of a class at the endpoint, all entries together, as well as can be
-    /// told.
+    /// Estimates the requests of all entries that compete with a new request of a class.
     ///
-    /// A fresh report counts everybody; own starts and ends since are added. Without one, the
-    /// other entries are taken to do as much as this one. Lookups go before waiting drafts, so
-    /// only what runs is in their way.
+    /// A fresh load report counts the requests of all entries and is corrected by own starts and
+    /// ends since. Without a fresh report, the other entries are assumed to have as many requests
+    /// as this one. The engine starts lookups before waiting drafts, so for lookups only running
+    /// requests count.
     pub(crate) fn estimate(
         &self,
         now: ClockMs,
@@ -303,7 +305,7 @@
         (now.since(reported.as_of) <= stale_ms).then_some(reported)
     }
 
-    /// Slots that a class may still use.
+    /// Slots in which this entry may start more requests of a class.
     pub(crate) fn free_slots(
         &self,
         now: ClockMs,
@@ -328,8 +330,9 @@
         }
     }
 
-    /// Drafts that this entry may start before the next report, lest several entries take the
-    /// same free slot: its part of the slots reported free, and those that its own drafts left.
+    /// Drafts that this entry may start before the next load report: its share of the slots
+    /// reported free, and the slots that its own drafts freed. Without this limit, several entries
+    /// would take the same free slot.
     fn draft_allowance(
         &self,
         now: ClockMs,
@@ -342,7 +345,7 @@
         };
         let free = self.slots.saturating_sub(reported.total_reported() + kept);
         let claims = entry_rank
-            .part(free, self.hash)
+            .share_of(free, self.hash)
             .saturating_sub(reported.claimed_since);
         let left = self
             .freed_at
@@ -351,12 +354,12 @@
         claims + u32::try_from(left.count()).unwrap_or(u32::MAX)
     }
 
-    /// Slots beside those kept for lookups.
+    /// Slots that are not reserved for lookups.
     pub(crate) fn draft_slots(&self) -> u32 {
         self.slots - self.reserved_slots()
     }
 
-    /// Slots that each class always finds free of the other, where both are served.
+    /// Slots that each class finds free of the other's requests, if both classes use the endpoint.
     fn reserved_slots(&self) -> u32 {
         match &self.description.kind {
             EndpointKind::Engine { .. } if self.is_shared => reserved_slots(self.slots),
@@ -364,7 +367,7 @@
         }
     }
 
-    /// Tokens of a prompt that are expected to be cached here.
+    /// Estimated number of the prompt's tokens that are cached here.
     pub(crate) fn cached_tokens(&self, prefix: &[PrefixBlock]) -> u32 {
         for block in prefix.iter().rev() {
             match self.cache.presence(block.hash) {
@@ -378,7 +381,7 @@
         0
     }
 
-    /// The part of the slots in use, from zero.
+    /// Estimated requests divided by slots: zero when idle, one when full.
     pub(crate) fn load_ratio(&self, estimate: u32) -> f64 {
         to_float(u64::from(estimate)) / to_float(u64::from(self.slots.max(1)))
     }
--- a/crates/masticsill_routing/src/fair_queue.rs
+++ b/crates/masticsill_routing/src/fair_queue.rs
@@ -1,9 +1,10 @@
-//! Requests that wait for one model in one class, fairly among workspaces.
+//! A fair queue among workspaces for the requests of one class for one target.
 //!
-//! Start-time fair queueing: each workspace has a tag, raised by the cost of each request that it
-//! starts; the lowest tag is served first, and a workspace that was idle begins at the tag of the
-//! one served last, so that it earns no credit. A workspace may fill half of the room that is
-//! left, so a large one never shuts the others out.
+//! Start-time fair queueing: each workspace is a flow with a tag, which is raised by the cost of
+//! each request that it starts. The flow with the lowest tag is served first. A flow that was idle
+//! starts at the virtual time, the tag of the flow served last, so that it earns no credit while
+//! idle. A workspace may queue another request only while it has fewer requests queued than there
+//! are free places, so a large one never fills the queue alone.
 
 use std::collections::VecDeque;
 
@@ -12,18 +13,18 @@
 
 use crate::request::WorkRequest;
 
-/// What came of trying to start a request.
+/// The result of trying to start a queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum StartAttempt<T> {
-    /// It starts, with this.
+    /// The request starts; the value says where.
     Started(T),
-    /// It can't start now; others may.
+    /// The request can't start now, but others in the queue may.
     Skipped,
-    /// Nothing in this queue can start now.
+    /// No request in this queue can start now.
     Stopped,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub(crate) expires_at: ClockMs,
@@ -37,16 +38,16 @@
     waiting: VecDeque<Waiting>,
 }
 
-/// What is ahead of a new request.
+/// The work ahead of a new request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkAhead {
-    /// Cost that is served before it, as well as can be told.
+    /// Estimated cost that is served before it.
     pub(crate) cost: u64,
-    /// Whether there is room for it.
+    /// Whether its workspace may queue another request.
     pub(crate) has_room: bool,
 }
 
-/// The waiting requests of one class for one model.
+/// The queued requests of one class for one target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
     cost: u64,
@@ -61,8 +62,8 @@
         self.length == 0
     }
 
-    /// What would be ahead of a new request: its workspace's own, and of each other workspace as
-    /// much as that one may have in the same time.
+    /// Estimates the work ahead of a new request: all queued requests of its workspace, and of each
+    /// other workspace at most as much as this one's, since both are served at the same rate.
     pub(crate) fn ahead(&self, request: &WorkRequest, capacity: usize) -> WorkAhead {
         let flow = self.flows.get(&request.workspace);
         let own_length = flow.map_or(0, |flow| flow.waiting.len());
@@ -99,7 +100,8 @@
         flow.waiting.push_back(waiting);
     }
 
-    /// Takes the first request in order that `try_start` can start, and what it gave.
+    /// Tries the first request of each flow in the order of service. Removes and returns the first
+    /// one that `try_start` starts, with the value that it returned.
     pub(crate) fn start_next<T>(
         &mut self,
         mut try_start: impl FnMut(&WorkRequest) -> StartAttempt<T>,
@@ -120,7 +122,7 @@
         None
     }
 
-    /// Tags and places of the workspaces with waiting work.
+    /// Tags and indices of the flows with queued requests.
     fn backlogged_flows(&self) -> impl Iterator<Item = (u64, usize)> {
         let flows = self.flows.values().enumerate();
         let busy = flows.filter(|(_, flow)| !flow.waiting.is_empty());
@@ -139,7 +141,9 @@
 
     fn head(&self, index: usize) -> &WorkRequest {
         let head = self.flows[index].waiting.front();
-        &head.expect("only flows with work are listed").request
+        &head
+            .expect("only flows with queued requests are listed")
+            .request
     }
 
     fn take_head(&mut self, index: usize) -> WorkRequest {
@@ -147,7 +151,7 @@
         let waiting = flow
             .waiting
             .pop_front()
-            .expect("only flows with work are listed");
+            .expect("only flows with queued requests are listed");
         let cost = waiting.request.cost();
         self.virtual_time = self.virtual_time.max(flow.tag);
         flow.tag += cost;
@@ -158,7 +162,7 @@
         waiting.request
     }
 
-    /// Takes out a request that is no longer wanted.
+    /// Removes a request that its caller cancelled. Returns whether it was queued.
     pub(crate) fn withdraw(&mut self, workspace: &WorkspaceId, id: GenerationId) -> bool {
         let Some(flow) = self.flows.get_mut(workspace) else {
             return false;
@@ -170,7 +174,7 @@
         let removed = flow
             .waiting
             .remove(position)
-            .expect("the place was just found");
+            .expect("the position was just found");
         let cost = removed.request.cost();
         flow.cost -= cost;
         self.cost -= cost;
@@ -178,7 +182,7 @@
         true
     }
 
-    /// Takes out one request whose wait is over.
+    /// Removes and returns one request whose queueing time is over.
     pub(crate) fn expire_next(&mut self, now: ClockMs) -> Option<WorkRequest> {
         if self.next_expiry.is_none_or(|next| next > now) {
             return None;
@@ -193,7 +197,8 @@
         Some(request)
     }
 
-    /// Forgets workspaces that wait for nothing and have no turn to make up.
+    /// Evicts flows without queued requests whose tag isn't above the virtual time: a new flow
+    /// would start at the same tag.
     fn evict_idle_flows(&mut self) {
         let virtual_time = self.virtual_time;
         let is_kept = |flow: &Flow| !flow.waiting.is_empty() || flow.tag > virtual_time;
--- a/crates/masticsill_routing/src/lane.rs
+++ b/crates/masticsill_routing/src/lane.rs
@@ -1,4 +1,4 @@
-//! The waiting work of one class for one model, and how fast that class is served.
+//! Queues of one class for one target, with a measured service rate.
 
 use std::collections::VecDeque;
 
@@ -8,19 +8,21 @@
 use crate::number::{MovingAverage, to_count, to_float};
 use crate::request::WorkRequest;
 
-/// Speed of a slot before anything was measured, in tokens a millisecond.
+/// Service rate of a slot before any was measured, in units of [`WorkRequest::cost`] (generated
+/// tokens) per millisecond.
 const INITIAL_SPEED_COST_PER_MS: f64 = 0.03;
+/// Upper bound of estimated times.
 const MAX_ESTIMATE_MS: u64 = 3_600_000;
 
-/// The waiting work of one class for one model.
+/// The queued requests of one class for one target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lane {
-    /// New work.
+    /// New and retried requests.
     pub(crate) queue: FairQueue,
-    /// Generations to be continued; they go first.
+    /// Generations to be resumed. They start before new requests.
     pub(crate) resumes: VecDeque<Waiting>,
     resumes_cost: u64,
-    /// Cost that one slot serves in a millisecond.
+    /// Cost served by one slot per millisecond.
     speed: MovingAverage,
 }
 
@@ -34,15 +36,16 @@
         self.resumes.push_back(waiting);
     }
 
-    /// Takes the first resume that `try_start` can start, and what it gave.
+    /// Removes and returns the first resume that `try_start` starts, with the value that it
+    /// returned.
     pub(crate) fn start_resume<T>(
         &mut self,
         mut try_start: impl FnMut(&WorkRequest) -> StartAttempt<T>,
     ) -> Option<(WorkRequest, T)> {
-        for position in 0..self.resumes.len() {
-            match try_start(&self.resumes[position].request) {
+        for index in 0..self.resumes.len() {
+            match try_start(&self.resumes[index].request) {
                 StartAttempt::Started(started) => {
-                    return Some((self.remove_resume(position), started));
+                    return Some((self.remove_resume(index), started));
                 }
                 StartAttempt::Skipped => {}
                 StartAttempt::Stopped => return None,
@@ -51,41 +54,42 @@
         None
     }
 
-    /// Takes out one resume whose wait is over.
+    /// Removes and returns one resume whose queueing time is over.
     pub(crate) fn expire_resume(&mut self, now: ClockMs) -> Option<WorkRequest> {
-        let position = self
+        let index = self
             .resumes
             .iter()
             .position(|waiting| waiting.expires_at <= now)?;
-        Some(self.remove_resume(position))
+        Some(self.remove_resume(index))
     }
 
-    /// Takes out a resume that is no longer wanted.
+    /// Removes a resume that its caller cancelled. Returns whether it was queued.
     pub(crate) fn withdraw_resume(&mut self, id: GenerationId) -> bool {
         let mut waiting = self.resumes.iter();
-        let Some(position) = waiting.position(|waiting| waiting.request.id == id) else {
+        let Some(index) = waiting.position(|waiting| waiting.request.id == id) else {
             return false;
         };
-        self.remove_resume(position);
+        self.remove_resume(index);
         true
     }
 
-    fn remove_resume(&mut self, position: usize) -> WorkRequest {
+    fn remove_resume(&mut self, index: usize) -> WorkRequest {
         let waiting = self
             .resumes
-            .remove(position)
-            .expect("the place was just found");
+            .remove(index)
+            .expect("the index was just found");
         self.resumes_cost -= waiting.request.cost();
         waiting.request
     }
 
-    /// Notes that work of this cost took this long.
+    /// Records that a request of this cost took this long.
     pub(crate) fn record_service(&mut self, cost: u64, duration_ms: u64) {
         self.speed
             .add(to_float(cost) / to_float(duration_ms.max(1)));
     }
 
-    /// Milliseconds that work ahead takes on so many slots, the waiting resumes included.
+    /// Estimates the milliseconds that `slots` slots need for the cost ahead and the queued
+    /// resumes.
     pub(crate) fn wait_ms(&self, cost_ahead: u64, slots: u32) -> u64 {
         let speed = self.speed.get().unwrap_or(INITIAL_SPEED_COST_PER_MS) * f64::from(slots.max(1));
         to_count(
@@ -94,18 +98,19 @@
         )
     }
 
-    /// Milliseconds that work of this cost takes in a slot, once that was measured.
+    /// Estimates the milliseconds that a request of this cost takes in one slot; `None` before any
+    /// was measured.
     pub(crate) fn service_ms(&self, cost: u64) -> Option<u64> {
         let speed = self.speed.get()?;
         Some(to_count(to_float(cost) / speed, MAX_ESTIMATE_MS))
     }
 }
 
-/// Both classes' lanes for one model.
+/// The lanes of both classes for one target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lanes {
     pub(crate) drafts: Lane,
-    /// Whether something happened that may let waiting work start.
+    /// Whether something happened since the last scan that may allow a queued request to start.
     pub(crate) needs_scan: bool,
     pub(crate) lookups: Lane,
 }
--- a/crates/masticsill_routing/src/lib.rs
+++ b/crates/masticsill_routing/src/lib.rs
@@ -1,8 +1,8 @@
 //! Placement, classes, limits, shares, admission and retry budgets.
 //!
-//! [`Router`] decides for one entry which endpoint gets which request, who waits, who is refused
-//! and who is tried again. [`ShareLedger`] and [`ShareClient`] hold a limit across all entries by
-//! leased shares. Pure logic: no sockets, threads or wall clock.
+//! [`Router`] decides for one entry which endpoint gets which request, and which requests are
+//! queued, refused or retried. [`ShareLedger`] and [`ShareClient`] enforce one limit across all
+//! entries by leased shares. Pure logic: no sockets, threads or wall clock.
 
 mod cache_view;
 mod config;
--- a/crates/masticsill_routing/src/limits.rs
+++ b/crates/masticsill_routing/src/limits.rs
@@ -4,13 +4,15 @@
 
 use crate::number::{to_count, to_float};
 
-/// What a bucket may hold, in milliseconds of its rate.
+/// Capacity of a bucket, in milliseconds of its rate.
 const BURST_MS: u64 = 1_000;
-/// Sums of floats may fall short of a whole by this much.
+/// Rounding errors may leave a sum of floats this much below the whole number that it stands for.
 const ROUNDING_TOLERANCE_TOKENS: f64 = 1e-9;
+/// Longest wait that [`TokenBucket::check`] returns.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// A token bucket. A withdrawal may leave it in debt, which is worked off before the next.
+/// A token bucket. Taking more than it holds leaves it in debt, and nothing more may be taken until
+/// it is refilled.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     burst: f64,
@@ -20,8 +22,9 @@
 }
 
 impl TokenBucket {
-    /// A bucket that gains thousandths of a token at `milli_per_s` and holds a second's worth,
-    /// at least one token. It starts with one token, so that a restart admits no burst.
+    /// A bucket that gains `milli_per_s` thousandths of a token per second and holds what it gains
+    /// in a second, at least one token. It starts with one token, so that a restart admits no
+    /// burst.
     #[must_use]
     pub fn new(now: ClockMs, milli_per_s: u64) -> Self {
         let per_s = to_float(milli_per_s) / 1_000.0;
@@ -33,8 +36,8 @@
         }
     }
 
-    /// Changes the rate. A raised rate does not fill the bucket, so a changed share never admits
-    /// a burst.
+    /// Changes the rate, in thousandths of a token per second. A higher rate doesn't fill the
+    /// bucket, so a changed share never admits a burst.
     pub fn set_rate(&mut self, now: ClockMs, milli_per_s: u64) {
         self.refill(now);
         let changed = Self::new(now, milli_per_s);
@@ -49,11 +52,11 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether something may be taken now; otherwise the milliseconds until it may.
+    /// Checks whether the bucket holds at least one token.
     ///
     /// # Errors
     ///
-    /// The wait, at most a minute.
+    /// The time until it does, in milliseconds, at most a minute.
     pub fn check(&mut self, now: ClockMs) -> Result<(), u64> {
         self.refill(now);
         if self.per_s <= 0.0 {
@@ -67,31 +70,31 @@
         Err(to_count(wait_ms, MAX_WAIT_MS).max(1))
     }
 
-    /// Takes an amount that was checked.
+    /// Takes tokens. Call [`TokenBucket::check`] first; `amount` may exceed what the bucket holds.
     pub fn take(&mut self, amount: u64) {
         self.level -= to_float(amount);
     }
 
-    /// Puts back what was taken and not used.
+    /// Puts back tokens that were taken and not used.
     pub fn refund(&mut self, amount: u64) {
         self.level = (self.level + to_float(amount)).min(self.burst);
     }
 }
 
-/// What the callers of a catalogue entry may consume at this node; an absent number sets no limit.
+/// The limits of a catalogue entry at this node; `None` sets no limit.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LocalLimits {
-    /// Requests running at the same time.
+    /// Requests that may run concurrently.
     pub concurrent: Option<u32>,
-    /// Requests waiting.
+    /// Requests that may be queued.
     pub queue_length: Option<u32>,
-    /// Thousandths of a request admitted per second.
+    /// Rate of admitted requests, in thousandths of a request per second.
     pub requests_milli_per_s: Option<u64>,
-    /// Thousandths of a token generated per second.
+    /// Rate of generated tokens, in thousandths of a token per second.
     pub tokens_milli_per_s: Option<u64>,
 }
 
-/// Keeps a catalogue entry's work within its limits at this node.
+/// Enforces the limits of a catalogue entry at this node.
 #[derive(Clone, Debug)]
 pub(crate) struct Limiter {
     concurrent: Option<u32>,
@@ -122,7 +125,8 @@
         set_bucket(&mut self.tokens, now, limits.tokens_milli_per_s);
     }
 
-    /// Counts a new request; an error tells the milliseconds until another may come.
+    /// Counts a new request against the request rate. The error is the number of milliseconds until
+    /// another may be admitted.
     pub(crate) fn admit(&mut self, now: ClockMs) -> Result<(), u64> {
         let Some(bucket) = &mut self.requests else {
             return Ok(());
@@ -132,19 +136,19 @@
         Ok(())
     }
 
-    /// Puts a counted request back that was refused for another reason.
+    /// Refunds a counted request that was refused for another reason.
     pub(crate) fn refund_request(&mut self) {
         if let Some(bucket) = &mut self.requests {
             bucket.refund(1);
         }
     }
 
-    /// Whether another request may run beside those that run.
+    /// Whether the limit of concurrent requests allows another one.
     pub(crate) fn has_concurrency_room(&self) -> bool {
         self.concurrent.is_none_or(|limit| self.running < limit)
     }
 
-    /// Whether a request may start now.
+    /// Whether the limits of concurrent requests and of generated tokens allow a request to start.
     pub(crate) fn may_start(&mut self, now: ClockMs) -> bool {
         let has_concurrency_room = self.has_concurrency_room();
         let has_tokens = match &mut self.tokens {
@@ -154,7 +158,7 @@
         has_concurrency_room && has_tokens
     }
 
-    /// Notes a start, charging all tokens that it may generate.
+    /// Counts a started request and charges all tokens that it may generate.
     pub(crate) fn start(&mut self, max_tokens: u32) {
         self.running += 1;
         if let Some(bucket) = &mut self.tokens {
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Notes an end, and gives back the tokens that were not generated.
+    /// Counts an ended request and refunds the tokens that it didn't generate.
     pub(crate) fn end(&mut self, unused_tokens: u32) {
         self.running = self.running.saturating_sub(1);
         if let Some(bucket) = &mut self.tokens {
--- a/crates/masticsill_routing/src/number.rs
+++ b/crates/masticsill_routing/src/number.rs
@@ -1,12 +1,12 @@
-//! Conversions and mixing of numbers.
+//! Number conversions, hash mixing and a moving average.
 
-/// A count as a float. Counts here stay far below 2^52, so nothing is lost.
+/// Converts a count to a float. Counts in this crate stay far below 2^52, so the result is exact.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
 pub(crate) fn to_float(count: u64) -> f64 {
     count as f64
 }
 
-/// A float that is not negative as a count, rounded up and bounded by `most`.
+/// Converts a non-negative float to a count, rounded up and at most `most`.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -17,7 +17,7 @@
     bounded as u64
 }
 
-/// Mixes two numbers into one that looks random; the same in every process.
+/// Mixes two numbers into a well-distributed hash that is the same in every process.
 pub(crate) fn mix(one: u64, other: u64) -> u64 {
     let mut mixed = one ^ other.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -25,26 +25,28 @@
     mixed ^ (mixed >> 31)
 }
 
-/// A hash of text; the same in every process.
+/// Hashes a string; the result is the same in every process.
 pub(crate) fn hash_text(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         mix(hash, u64::from(byte))
     })
 }
 
-/// A running average that forgets with each sample.
+/// An exponentially weighted moving average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MovingAverage {
     value: Option<f64>,
 }
 
 impl MovingAverage {
-    const SAMPLE_WEIGHT: f64 = 0.1;
+    /// Weight of a new sample.
+    const ALPHA: f64 = 0.1;
 
     pub(crate) fn add(&mut self, sample: f64) {
-        self.value = Some(self.value.map_or(sample, |value| {
-            value + (sample - value) * Self::SAMPLE_WEIGHT
-        }));
+        self.value = Some(
+            self.value
+                .map_or(sample, |value| value + (sample - value) * Self::ALPHA),
+        );
     }
 
     pub(crate) fn get(&self) -> Option<f64> {
--- a/crates/masticsill_routing/src/placement.rs
+++ b/crates/masticsill_routing/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets a request.
+//! The choice of an endpoint for a request.
 
 use std::collections::VecDeque;
 
@@ -13,28 +13,30 @@
 use crate::pool::{EndpointIndex, EndpointTable, PoolMember};
 use crate::request::{PrefixBlock, WorkRequest};
 
-/// Random candidates; the better of two avoids herding on stale reports.
+/// Random candidates. Choosing the better of two keeps entries from converging on the same endpoint
+/// while load reports are stale.
 const RANDOM_CANDIDATES: usize = 2;
-/// Tries to find those among endpoints without a free slot.
+/// Random draws to find these candidates, since endpoints without a free slot are skipped.
 const MAX_RANDOM_TRIES: usize = 8;
-/// Endpoints searched one by one when the random tries found none.
+/// Endpoints scanned one by one if the random draws found none.
 const MAX_SCANNED_ENDPOINTS: usize = 256;
-/// Candidates by own work that ended there.
+/// Candidates at which own work ended last.
 const MAX_FREED_CANDIDATES: usize = 4;
-/// Candidates by rendezvous hash of the prefix.
+/// Candidates that rank highest for the prefix by rendezvous hashing.
 const RENDEZVOUS_CANDIDATES: usize = 2;
-/// Part of the first prefix that is taken to be cached at the endpoint that ranks highest for it,
-/// since every entry sends it there.
+/// Percentage of the first prefix's tokens that are assumed to be cached at the endpoint that ranks
+/// highest for it, since every entry sends the prefix there.
 const RENDEZVOUS_CACHED_PERCENT: u32 = 60;
-/// What a full endpoint costs beside an empty one, in prompt tokens to be computed again.
+/// Additional cost of a full endpoint compared with an idle one, in prompt tokens to be computed.
 const FULL_LOAD_COST_TOKENS: f64 = 4_000.0;
-/// What another zone costs, in prompt tokens.
+/// Additional cost of an endpoint in another zone, in prompt tokens to be computed.
 const OTHER_ZONE_COST_TOKENS: f64 = 50.0;
-/// Endpoints remembered for one prefix, and prefixes remembered.
+/// Endpoints recorded for one prefix.
 const MAX_HOLDERS_PER_PREFIX: usize = 3;
+/// Prefixes recorded.
 const MAX_PREFIXES: usize = 65_536;
 
-/// What is asked of the placement.
+/// A request to be placed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementQuery<'a> {
     /// The class whose slots may be used.
@@ -45,14 +47,14 @@
     pub(crate) zones: &'a [ZoneId],
 }
 
-/// Chooses endpoints, and remembers which prefixes went where.
+/// Chooses endpoints and records which prefixes were sent to which endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Placer {
     holders: IndexMap<u64, Vec<EndpointIndex>>,
-    /// Endpoints where own work ended last; a slot there may be filled again at once.
+    /// Endpoints where own work ended last, oldest first. This entry may reuse the freed slots.
     recently_freed: VecDeque<EndpointIndex>,
     next_round_robin: usize,
-    /// The entries that share the endpoints.
+    /// This entry's rank among the entries that share the endpoints.
     pub(crate) entry_rank: EntryRank,
 }
 
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Chooses an endpoint with a free slot.
+    /// Chooses an endpoint; `None` if none may be used. The policy [`PlacementPolicy::Affinity`]
+    /// requires a free slot.
     pub(crate) fn choose(
         &mut self,
         now: ClockMs,
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Notes an endpoint where own work ended.
+    /// Records an endpoint where own work ended.
     pub(crate) fn note_freed_slot(&mut self, index: EndpointIndex) {
         if self.recently_freed.len() == MAX_FREED_CANDIDATES {
             self.recently_freed.pop_front();
@@ -101,7 +104,7 @@
         self.recently_freed.push_back(index);
     }
 
-    /// Notes where a prompt's prefixes went.
+    /// Records the endpoint to which a prompt was sent, for each of its prefixes.
     pub(crate) fn remember(&mut self, prefix: &[PrefixBlock], index: EndpointIndex) {
         for block in prefix {
             if self.holders.len() >= MAX_PREFIXES {
@@ -163,9 +166,10 @@
         endpoint.free_slots(self.now, self.query.class, stale_ms, self.entry_rank) > 0
     }
 
-    /// What it costs to run the request there, in prompt tokens; `None` where it can't run.
+    /// The cost of running the request at an endpoint, in prompt tokens to be computed; `None` if
+    /// it can't run there.
     ///
-    /// `expected` tokens are taken to be cached even when nothing is known of them.
+    /// At least `expected` tokens are assumed to be cached, even if the cache view has none.
     fn cost(&self, index: EndpointIndex, expected: u32) -> Option<f64> {
         let endpoint = self.allowed(index)?;
         if !self.has_free_slot(endpoint) {
@@ -183,7 +187,7 @@
         Some(computed + ratio * ratio * FULL_LOAD_COST_TOKENS + zone)
     }
 
-    /// Random endpoints with a free slot.
+    /// Random endpoints with a free slot. If the random draws find none, scans the pool for one.
     fn random_candidates(&self, rng: &mut StdRng) -> Vec<EndpointIndex> {
         let mut chosen =
             Vec::with_capacity(RANDOM_CANDIDATES + RENDEZVOUS_CANDIDATES + MAX_HOLDERS_PER_PREFIX);
@@ -213,7 +217,8 @@
         chosen
     }
 
-    /// The endpoints that rank highest for a prefix, whatever entry asks.
+    /// The endpoints that rank highest for a prefix by rendezvous hashing; every entry gets the
+    /// same ranking.
     fn by_rendezvous(&self, prefix_hash: u64) -> Vec<EndpointIndex> {
         let mut best: [Option<(u64, EndpointIndex)>; RENDEZVOUS_CANDIDATES] =
             [None; RENDEZVOUS_CANDIDATES];
@@ -232,7 +237,7 @@
         best.iter().flatten().map(|(_, index)| *index).collect()
     }
 
-    /// Those of some endpoints that serve the request.
+    /// Those of the given endpoints that serve the request's target.
     fn filter_serving(&self, indices: &VecDeque<EndpointIndex>) -> Vec<EndpointIndex> {
         let target = &self.query.request.target;
         let endpoints = indices.iter().filter(|index| {
--- a/crates/masticsill_routing/src/pool.rs
+++ b/crates/masticsill_routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! Every endpoint, and which of them serve what.
+//! The table of endpoints and the pools of those that serve each target.
 
 use indexmap::IndexMap;
 use masticsill_types::{Class, ClockMs, NodeId};
@@ -7,23 +7,24 @@
 use crate::endpoint::{Endpoint, EndpointDescription};
 use crate::request::BackEndTarget;
 
-/// Where an endpoint lies in the table; stays the same while the endpoint is known.
+/// Position of an endpoint in the table. It doesn't change while the endpoint is known; after that
+/// it may be given to another.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct EndpointIndex(usize);
 
-/// An endpoint of a pool and the hash that ranks it for a prefix.
+/// An endpoint of a pool, with the hash that ranks it for a prefix.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolMember {
     pub(crate) hash: u64,
     pub(crate) index: EndpointIndex,
 }
 
-/// Every endpoint, and which of them serve what.
+/// The table of endpoints and the pools of those that serve each target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Option<Endpoint>>,
     indices: IndexMap<NodeId, EndpointIndex>,
-    /// Catalogue entries of the lookup class that use each target.
+    /// Number of catalogue entries of the lookup class that use each target.
     lookup_entries: IndexMap<BackEndTarget, u32>,
     pools: IndexMap<BackEndTarget, Vec<PoolMember>>,
     vacant: Vec<EndpointIndex>,
@@ -43,7 +44,7 @@
         self.endpoints[index.0].as_mut()
     }
 
-    /// Takes a description, or the end of an endpoint.
+    /// Adds or updates an endpoint, or removes it if `description` is `None`.
     pub(crate) fn update(
         &mut self,
         node: &NodeId,
@@ -69,7 +70,8 @@
         self.update_sharing(index);
     }
 
-    /// Counts a catalogue entry; endpoints that lookups use keep slots for each class.
+    /// Counts a catalogue entry. Endpoints of a target that lookups use reserve slots for each
+    /// class.
     pub(crate) fn add_entry(&mut self, class: Class, target: &BackEndTarget) {
         if class != Class::InstantLookup {
             return;
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Ends the count of a catalogue entry.
+    /// Stops counting a catalogue entry.
     pub(crate) fn remove_entry(&mut self, class: Class, target: &BackEndTarget) {
         if class != Class::InstantLookup {
             return;
@@ -147,7 +149,7 @@
         }
     }
 
-    /// What requests can find at an endpoint.
+    /// The targets that an endpoint serves.
     pub(crate) fn targets_of(&self, node: &NodeId) -> Vec<BackEndTarget> {
         let endpoint = self.index_of(node).and_then(|index| self.at(index));
         endpoint.map(Endpoint::targets).unwrap_or_default()
@@ -163,14 +165,16 @@
         pool.filter_map(|member| self.at(member.index))
     }
 
-    /// Slots that drafts may always use, of all endpoints of a target that are not leaving.
+    /// Slots that are not reserved for lookups, of all endpoints of a target that are reachable and
+    /// not leaving.
     pub(crate) fn draft_slots(&self, target: &BackEndTarget) -> u32 {
         let endpoints = self.endpoints_of(target);
         let staying = endpoints.filter(|one| !one.description.is_leaving && !one.is_unreachable);
         staying.map(Endpoint::draft_slots).sum()
     }
 
-    /// When the first endpoint of a target that is held back may be used again.
+    /// The earliest end of a hold-down among the endpoints of a target, `None` if none is held
+    /// down.
     pub(crate) fn next_hold_down_end(
         &self,
         now: ClockMs,
--- a/crates/masticsill_routing/src/queueing.rs
+++ b/crates/masticsill_routing/src/queueing.rs
@@ -1,4 +1,4 @@
-//! Waiting work: how it is queued, and how its wait ends.
+//! Queued requests: how they enter the queues and how they leave them.
 
 use masticsill_types::{Class, ClockMs, GenerationId, NodeId};
 
@@ -8,12 +8,13 @@
 use crate::request::{Dequeued, WorkKind, WorkRequest};
 use crate::router::{Queued, Router};
 
-/// Queues are looked through again after this time even when nothing happened.
+/// The queues are scanned after this time even if no event occurred, since token buckets refill and
+/// hold-downs end without one.
 const QUEUE_RESCAN_INTERVAL_MS: u64 = 50;
 
 impl Router {
-    /// The next end of a wait. Call it after each event until it gives `None`, and again within
-    /// a few tens of milliseconds.
+    /// The next request that leaves a queue. Call it after each event until it returns `None`, and
+    /// again every few tens of milliseconds.
     pub fn next_queued(&mut self, now: ClockMs) -> Option<Dequeued> {
         if self.queued.is_empty() {
             return None;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Marks the lanes of an endpoint's targets for another look.
+    /// Marks the lanes of an endpoint's targets for a scan.
     pub(crate) fn schedule_scan_for(&mut self, node: &NodeId) {
         for target in self.table.targets_of(node) {
             if let Some(lanes) = self.lanes.get_mut(&target) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Takes out a request that its caller no longer wants. Returns whether it was queued.
+    /// Removes a request that its caller cancelled. Returns whether it was queued.
     pub fn withdraw(&mut self, id: GenerationId) -> bool {
         let Some(queued) = self.queued.get(&id).cloned() else {
             return false;
@@ -142,7 +143,8 @@
             })
     }
 
-    /// Starts the first request of a lane that can start, resumes first.
+    /// Removes the first request of a lane that can start and returns it with its endpoint. Resumes
+    /// are tried first.
     pub(crate) fn start_in_lane(
         &mut self,
         now: ClockMs,
@@ -153,7 +155,7 @@
         if lanes.is_idle() {
             return None;
         }
-        // The lane is taken out so that its requests can be tried against the rest.
+        // The lane is moved out of `self` because `try_start` borrows the rest of the router.
         let mut taken = std::mem::take(lanes.of_mut(class));
         let started = taken
             .start_resume(|request| self.try_start(now, request))
--- a/crates/masticsill_routing/src/refusals.rs
+++ b/crates/masticsill_routing/src/refusals.rs
@@ -1,22 +1,24 @@
-//! Why a request is refused, and when its caller is told to come back.
+//! Reasons to refuse a request, and the time after which its caller may retry.
 
 use masticsill_types::{Class, ClockMs, EntryId, Refusal, RefusalKind};
 
 use crate::request::{WorkKind, WorkRequest};
 use crate::router::Router;
 
-/// Refusals ask callers to come back within these bounds.
+/// Bounds of the retry time that refusals return.
 const MIN_RETRY_AFTER_MS: u64 = 250;
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
-/// When to come back while no endpoint serves the model.
+/// Retry time while no endpoint serves the target.
 const NO_ENDPOINT_RETRY_AFTER_MS: u64 = 2_000;
-/// When to come back once a retry budget is used up.
+/// Retry time when a retry budget is used up.
 const RETRY_BUDGET_RETRY_AFTER_MS: u64 = 1_000;
-/// Waits are estimates: work is only queued when this part of the longest wait is left over.
+/// The wait is an estimate, so a request is queued only if the estimate is below the longest wait
+/// by a margin: the longest wait divided by this.
 const WAIT_MARGIN_DIVISOR: u64 = 10;
 
 impl Router {
-    /// Refusals that need no look at endpoints or queues.
+    /// Refuses requests of unknown catalogue entries and those beyond the request rate or the retry
+    /// budgets, without regard to endpoints and queues. Resumes pass.
     pub(crate) fn refuse_by_limits(
         &mut self,
         now: ClockMs,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Why a request that can't start now may not wait either.
+    /// Reasons not to queue a request that can't start now. Resumes are always queued.
     pub(crate) fn refuse_to_queue(
         &mut self,
         now: ClockMs,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// A refusal with the time until the work that is ahead now will be done.
+    /// A refusal whose retry time is the estimated time until the work ahead is done.
     pub(crate) fn overloaded(&self, request: &WorkRequest, reason: &str) -> Refusal {
         let wait = self.estimate_wait(request);
         Refusal::not_run(RefusalKind::Overloaded, reason)
@@ -136,15 +138,15 @@
     }
 
     pub(crate) fn no_endpoint(&self, now: ClockMs, request: &WorkRequest) -> Refusal {
-        let held = self.table.next_hold_down_end(now, &request.target);
-        let retry_after_ms = held.map_or(NO_ENDPOINT_RETRY_AFTER_MS, |end| end.since(now));
+        let usable_at = self.table.next_hold_down_end(now, &request.target);
+        let retry_after_ms = usable_at.map_or(NO_ENDPOINT_RETRY_AFTER_MS, |end| end.since(now));
         let detail = format!("no endpoint serves `{}` now", request.catalogue_entry);
         Refusal::not_run(RefusalKind::NoEndpoint, detail)
             .retry_after(clamp_retry_after(retry_after_ms))
     }
 }
 
-/// What waiting would mean for a request.
+/// Estimates for a request if it were queued.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitEstimate {
     has_room: bool,
--- a/crates/masticsill_routing/src/request.rs
+++ b/crates/masticsill_routing/src/request.rs
@@ -1,10 +1,10 @@
-//! What callers of the router say and hear.
+//! Requests to the router and its answers.
 
 use masticsill_types::{
     Class, ClockMs, EntryId, GenerationId, ModelId, ModelTarget, NodeId, Refusal, WorkspaceId,
 };
 
-/// What a request needs an endpoint to have.
+/// What a request needs an endpoint to serve.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum BackEndTarget {
     /// An engine with exactly this model, version and adapter loaded.
@@ -13,61 +13,62 @@
     PlainService(ModelId),
 }
 
-/// One step of a prompt's chain of prefixes.
+/// One prefix of a prompt. The prefixes of a prompt form a chain that ends at block boundaries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PrefixBlock {
-    /// Hash of the prompt up to the block's end.
+    /// Hash of the prompt up to the end of the block.
     pub hash: u64,
-    /// Tokens of the prompt up to the block's end.
+    /// Tokens of the prompt up to the end of the block.
     pub tokens: u32,
 }
 
-/// Why a request comes to the router.
+/// Whether a request is new, resumed or retried.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkKind {
-    /// For the first time.
+    /// A request that was not admitted before.
     New,
-    /// A generation that was admitted before continues on another endpoint.
+    /// A generation that was admitted before and continues on another endpoint.
     ///
-    /// It goes before new work and is not counted against limits again.
+    /// It starts before new requests and is not counted against the request and token rates again.
     Resume,
-    /// Work that did not run at an endpoint is to be tried at another; budgets bound this.
+    /// A request that did not run at one endpoint and is tried at another, within the retry
+    /// budgets.
     Retry {
         /// The endpoint that failed.
         failed: NodeId,
     },
 }
 
-/// A request for a place.
+/// A request to be placed at an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkRequest {
     /// The catalogue entry that the caller named.
     pub catalogue_entry: EntryId,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// The latest useful end.
+    /// Time by which the request must be complete to be of use to the caller.
     pub deadline: Option<ClockMs>,
-    /// The request's identity; it names the work in every later call.
+    /// Identifies the request in every later call.
     pub id: GenerationId,
-    /// Why it comes.
+    /// Whether it is new, resumed or retried.
     pub kind: WorkKind,
-    /// Tokens to generate at most; zero for calls of plain services.
+    /// Maximum number of tokens to generate; zero for calls of plain services.
     pub max_tokens: u32,
     /// The prompt's prefixes, shortest first; empty when unknown.
     pub prefix: Vec<PrefixBlock>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// What it needs.
+    /// What it needs an endpoint to serve.
     pub target: BackEndTarget,
-    /// Endpoints not to use.
+    /// Endpoints that were tried already and are not used again.
     pub tried: Vec<NodeId>,
-    /// Owner of the catalogue entry.
+    /// Workspace that owns the catalogue entry.
     pub workspace: WorkspaceId,
 }
 
 impl WorkRequest {
-    /// What the request costs in turns and time, in generated tokens; eight tokens of a prompt
-    /// cost as much as one that is generated.
+    /// Cost of the request for fair queueing and wait estimates, in generated tokens. Eight prompt
+    /// tokens cost as much as one generated token.
     #[must_use]
     pub fn cost(&self) -> u64 {
         let prompt = u64::from(self.prompt_tokens) / 8;
@@ -78,48 +79,48 @@
 /// The endpoint chosen for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Placement {
-    /// Tokens of the prompt that the endpoint is expected to have cached.
+    /// Tokens of the prompt that are expected to be cached at the endpoint.
     pub cached_tokens: u32,
-    /// The endpoint's agent.
+    /// Node of the endpoint's agent.
     pub node: NodeId,
 }
 
-/// The router's answer to a request.
+/// The decision on a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AdmitDecision {
-    /// Start it there now.
+    /// Start it at this endpoint now.
     Start(Placement),
-    /// It waits; [`crate::Router::next_queued`] tells its end of waiting.
+    /// It is queued; [`crate::Router::next_queued`] returns it once it starts or is refused.
     Queued,
-    /// It is refused and not run.
+    /// It is refused and doesn't run.
     Refused(Refusal),
 }
 
-/// The end of a request's wait.
+/// A request that leaves the queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Dequeued {
-    /// Start it there now.
+    /// Start it at this endpoint now.
     Start(GenerationId, Placement),
-    /// It is refused and not run.
+    /// It is refused and doesn't run.
     Refused(GenerationId, Refusal),
 }
 
-/// How work ended at its endpoint.
+/// How a started request ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum WorkOutcome {
-    /// It was cancelled, or moved away by a planned stop.
+    /// It was cancelled, or moved to another endpoint because of a planned stop.
     Cancelled,
-    /// It was answered.
+    /// It was completed.
     Completed,
-    /// The endpoint failed it.
+    /// It failed because of the endpoint.
     Failed,
 }
 
-/// The end of started work.
+/// The end of a started request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct WorkEnd {
     /// How it ended.
     pub outcome: WorkOutcome,
-    /// Tokens generated since it was started.
+    /// Tokens generated since its start.
     pub tokens: u32,
 }
--- a/crates/masticsill_routing/src/retry_budget.rs
+++ b/crates/masticsill_routing/src/retry_budget.rs
@@ -1,14 +1,15 @@
-//! Retries are paid for by successes, so that failures don't multiply the load.
+//! Retry budgets: retries are limited to a fraction of the successful requests, so that failures
+//! don't multiply the load.
 
 use indexmap::IndexMap;
 use masticsill_types::{NodeId, WorkspaceId};
 
-/// Successes that pay for one retry.
+/// Successful requests that earn one retry.
 const SUCCESSES_PER_RETRY: u32 = 10;
-/// Retries that may be saved up; a new budget starts full.
+/// Retries that a budget holds at most. A new budget starts full.
 const MAX_SAVED_RETRIES: u32 = 10;
 
-/// Tokens saved by successes, in tenths of a retry.
+/// The budget of one workspace or endpoint, in tenths of a retry.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
     saved: u32,
@@ -36,7 +37,7 @@
     }
 }
 
-/// The budgets of all workspaces and endpoints.
+/// The retry budgets of all workspaces and endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryBudgets {
     endpoints: IndexMap<NodeId, Budget>,
@@ -44,7 +45,8 @@
 }
 
 impl RetryBudgets {
-    /// Notes an answer of an endpoint to a workspace.
+    /// Credits a successful request to the workspace and the endpoint. A budget that was never
+    /// charged is full and isn't stored.
     pub(crate) fn earn(&mut self, workspace: &WorkspaceId, node: &NodeId) {
         if let Some(budget) = self.workspaces.get_mut(workspace) {
             budget.earn();
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Pays for a retry of work that failed at an endpoint. Returns whether both could.
+    /// Charges a retry of a request that failed at the endpoint `failed` to the workspace and to
+    /// that endpoint. Charges neither and returns `false` when either budget is used up.
     pub(crate) fn pay(&mut self, workspace: &WorkspaceId, failed: &NodeId) -> bool {
         let workspace = self.workspaces.entry(workspace.clone()).or_default();
         let endpoint = self.endpoints.entry(failed.clone()).or_default();
@@ -66,7 +69,7 @@
         true
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Removes the budget of an endpoint that is gone.
     pub(crate) fn remove(&mut self, node: &NodeId) {
         self.endpoints.swap_remove(node);
     }
--- a/crates/masticsill_routing/src/router.rs
+++ b/crates/masticsill_routing/src/router.rs
@@ -19,16 +19,16 @@
 };
 use crate::retry_budget::RetryBudgets;
 
-/// What the router needs to know of a catalogue entry.
+/// The part of a catalogue entry that the router uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntryPolicy {
-    /// Its class.
+    /// Class of its requests.
     pub class: Class,
-    /// What its callers may consume at this node.
+    /// Limits at this node.
     pub limits: LocalLimits,
-    /// What its requests need.
+    /// What its requests need an endpoint to serve.
     pub target: BackEndTarget,
-    /// Zones allowed; empty allows all.
+    /// Zones in which its requests may run; empty allows all.
     pub zones: Vec<ZoneId>,
 }
 
@@ -61,15 +61,16 @@
     pub(crate) workspace: WorkspaceId,
 }
 
-/// Decides which endpoint gets which request, who waits and who is refused.
+/// Decides which endpoint gets which request, and which requests are queued or refused.
 ///
-/// Each request given to [`Router::admit`] is started, refused or queued. A queued one is later
-/// started or refused by [`Router::next_queued`], unless it is withdrawn. Each started one ends
-/// with [`Router::on_finished`].
+/// Each request passed to [`Router::admit`] is started, refused or queued. A queued request is
+/// later started or refused by [`Router::next_queued`], unless it is cancelled with
+/// [`Router::withdraw`]. The end of each started request must be reported with
+/// [`Router::on_finished`].
 #[derive(Clone, Debug)]
 pub struct Router {
     pub(crate) config: RouterConfig,
-    /// Queued work whose catalogue entry is gone, to be refused.
+    /// Queued requests whose catalogue entry was removed, to be refused.
     pub(crate) dropped: Vec<GenerationId>,
     pub(crate) entries: IndexMap<EntryId, EntryState>,
     pub(crate) lanes: IndexMap<BackEndTarget, Lanes>,
@@ -83,7 +84,8 @@
 }
 
 impl Router {
-    /// A router without endpoints and catalogue entries. `seed` is its randomness.
+    /// A router without endpoints and catalogue entries. `seed` initializes its random number
+    /// generator.
     #[must_use]
     pub fn new(config: RouterConfig, seed: u64) -> Self {
         Self {
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Sets a catalogue entry's policy, or changes it and keeps what is counted.
+    /// Adds a catalogue entry or changes its policy. A changed one keeps its counts and the levels
+    /// of its token buckets.
     pub fn set_entry(&mut self, now: ClockMs, id: &EntryId, policy: EntryPolicy) {
         self.schedule_scan_of_all();
         let limiter = match self.entries.swap_remove(id) {
@@ -122,7 +125,8 @@
         self.entries.insert(id.clone(), entry);
     }
 
-    /// Forgets a catalogue entry: new and queued work is refused. What was admitted goes on.
+    /// Removes a catalogue entry: new and queued requests are refused. Running generations and
+    /// queued resumes go on.
     pub fn remove_entry(&mut self, id: &EntryId) {
         self.schedule_scan_of_all();
         if let Some(former) = self.entries.swap_remove(id) {
@@ -133,12 +137,12 @@
         self.dropped.extend(waiting.map(|(id, _)| *id));
     }
 
-    /// Tells which entries share the endpoints.
+    /// Sets this entry's rank among the entries that share the endpoints.
     pub fn set_entry_rank(&mut self, entry_rank: EntryRank) {
         self.placer.entry_rank = entry_rank;
     }
 
-    /// Takes what membership says of an endpoint; `None` when it is gone.
+    /// Applies an endpoint's description from the membership; `None` when the endpoint is gone.
     pub fn on_member_change(&mut self, node: &NodeId, description: Option<EndpointDescription>) {
         if description.is_none() {
             self.retry_budgets.remove(node);
@@ -147,7 +151,7 @@
         self.schedule_scan_for(node);
     }
 
-    /// Notes whether an endpoint's agent can be reached.
+    /// Sets whether an endpoint's agent can't be reached. An unreachable endpoint gets no new work.
     pub fn set_unreachable(&mut self, node: &NodeId, is_unreachable: bool) {
         if let Some(endpoint) = self.table.get_mut(node) {
             endpoint.is_unreachable = is_unreachable;
@@ -155,7 +159,7 @@
         self.schedule_scan_for(node);
     }
 
-    /// Takes an endpoint's load report.
+    /// Applies an endpoint's load report.
     pub fn on_load_report(&mut self, now: ClockMs, node: &NodeId, load: LoadReport) {
         if let Some(endpoint) = self.table.get_mut(node) {
             endpoint.report(now, load);
@@ -163,7 +167,7 @@
         self.schedule_scan_for(node);
     }
 
-    /// Takes changes of an engine's prefix cache.
+    /// Applies changes to an engine's prefix cache.
     pub fn on_cache_changes(&mut self, node: &NodeId, changes: &[CacheChange]) {
         if let Some(endpoint) = self.table.get_mut(node) {
             for change in changes {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Decides on a request.
+    /// Decides whether a request starts now, is queued or is refused.
     pub fn admit(&mut self, now: ClockMs, request: WorkRequest) -> AdmitDecision {
         if self.queued.contains_key(&request.id) {
             return AdmitDecision::Queued;
@@ -197,14 +201,16 @@
         AdmitDecision::Queued
     }
 
-    /// Takes over work that runs at an endpoint already; nothing is decided.
+    /// Records a request that runs at an endpoint already, without any decision. Ignored if the
+    /// endpoint is unknown.
     pub fn adopt(&mut self, now: ClockMs, request: &WorkRequest, node: &NodeId) {
         if let Some(index) = self.table.index_of(node) {
             self.start(now, request, index);
         }
     }
 
-    /// Whether any endpoint may now be given work of a catalogue entry, free or not.
+    /// Whether any endpoint accepts requests of a catalogue entry now, whether or not it has a free
+    /// slot.
     #[must_use]
     pub fn can_serve(&self, now: ClockMs, entry: &EntryId, target: &BackEndTarget) -> bool {
         let zones = self.zones_of(entry);
@@ -215,7 +221,7 @@
         })
     }
 
-    /// Notes the end of started work; an unknown id is ignored.
+    /// Records the end of a started request; an unknown id is ignored.
     pub fn on_finished(&mut self, now: ClockMs, id: GenerationId, end: WorkEnd) {
         let Some(running) = self.running.swap_remove(&id) else {
             return;
@@ -242,20 +248,21 @@
         self.schedule_scan_for(&running.node);
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn queued_count(&self) -> usize {
         self.queued.len()
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Whether the limits let a request start now. A generation that goes on needs a place, and
-    /// no tokens: they were counted when it was admitted.
+    /// Whether the limits of its catalogue entry let a request start now. A resumed generation must
+    /// be within the limit of concurrent requests, but not within the token rate: its tokens were
+    /// charged when it was admitted.
     pub(crate) fn may_start(&mut self, now: ClockMs, request: &WorkRequest) -> bool {
         let entry = self.entries.get_mut(&request.catalogue_entry);
         match (entry, &request.kind) {
@@ -265,13 +272,13 @@
         }
     }
 
-    /// Zones allowed to a catalogue entry; empty allows all.
+    /// Zones in which a catalogue entry's requests may run; empty allows all.
     pub(crate) fn zones_of(&self, entry: &EntryId) -> &[ZoneId] {
         let entry = self.entries.get(entry);
         entry.map_or(&[], |entry| entry.zones.as_slice())
     }
 
-    /// Whether others wait for the same and go first.
+    /// Whether queued requests for the same target and class go first.
     pub(crate) fn must_wait(&self, request: &WorkRequest) -> bool {
         let Some(lanes) = self.lanes.get(&request.target) else {
             return false;
--- a/crates/masticsill_routing/src/shares.rs
+++ b/crates/masticsill_routing/src/shares.rs
@@ -1,52 +1,56 @@
-//! A limit held across entries by leased shares.
+//! A limit enforced across entries by leased shares.
 //!
-//! One holder keeps the ledger of a limit and leases parts of it to the entries. The sum of the
-//! shares that any entry may still use never exceeds the limit, whatever messages are lost,
-//! repeated or late:
+//! One process owns the ledger of a limit and leases shares of it to the entries. The sum of the
+//! shares that entries may still use never exceeds the limit, whatever messages are lost, repeated
+//! or delayed:
 //!
-//! - an entry counts a lease from when it asked, the holder from when it answered, so the entry's
-//!   right ends first;
-//! - the holder counts for each entry the greatest of the grants that the entry may hold: the one
-//!   it said it holds, and the one given since;
-//! - a holder that starts grants nothing for one lease, because it may have granted all before;
-//! - an entry that starts is another client: what its former life held is counted until it ends.
+//! - an entry counts a lease from when it sent the request, the ledger from when it granted it, so
+//!   the lease ends at the entry first;
+//! - the ledger counts for each entry the greatest of the grants that the entry may hold: the one
+//!   that its last request named, and the one granted in answer to that request;
+//! - a ledger that has just started grants nothing for one lease, because its predecessor may have
+//!   granted the whole limit;
+//! - an entry that restarts is another client: the lease of its former incarnation is counted until
+//!   it ends.
 //!
-//! Shares follow demand: each entry says how much it could use, and gets its max-min fair part.
+//! Shares follow demand: each entry states how much it could use and gets its max-min fair share.
 
 use indexmap::IndexMap;
 use masticsill_types::{ClockMs, Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// The entry's lease ends this part sooner than the holder's, for clocks that drift.
+/// The entry's lease is shortened by its length divided by this, to allow for clock drift between
+/// the entry and the ledger.
 const DRIFT_MARGIN_DIVISOR: u64 = 50;
 
-/// An entry's ask for a share.
+/// An entry's request for a share.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ShareRequest {
-    /// Sequence of the grant that the entry holds now, zero for none.
+    /// Sequence of the grant that the entry holds, zero for none.
     pub holding: u64,
-    /// The entry's life.
+    /// The incarnation of the entry.
     pub incarnation: Incarnation,
-    /// What the entry uses at most of the grant that it holds, from this ask on.
+    /// The most that the entry uses of the grant that it holds, from this request on, in the
+    /// limit's unit.
     pub keeps: u64,
     /// The entry.
     pub node: NodeId,
-    /// Rises with each ask of this life.
+    /// Rises with each request of this incarnation.
     pub sequence: u64,
     /// How much the entry could use, in the limit's unit.
     pub wanted: u64,
 }
 
-/// The holder's answer.
+/// The ledger's answer to a [`ShareRequest`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ShareGrant {
-    /// The life of the entry that asked.
+    /// The incarnation of the entry that sent the request.
     pub incarnation: Incarnation,
-    /// How long the share may be used, counted from when the entry asked.
+    /// How long the share may be used, in milliseconds from when the entry sent the request.
     pub lease_ms: u64,
-    /// Sequence of the ask.
+    /// Sequence of the request.
     pub sequence: u64,
-    /// The share.
+    /// The share, in the limit's unit.
     pub units: u64,
 }
 
@@ -78,7 +82,7 @@
     }
 }
 
-/// The holder's side of one limit.
+/// The granting side of one limit.
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
     accounts: IndexMap<(NodeId, Incarnation), Account>,
@@ -88,7 +92,8 @@
 }
 
 impl ShareLedger {
-    /// A holder that starts now. It grants nothing for one lease.
+    /// A ledger that starts at `now`. It grants nothing for one lease, because its predecessor may
+    /// have granted the whole limit.
     #[must_use]
     pub fn new(now: ClockMs, limit: u64, lease_ms: u64) -> Self {
         Self {
@@ -99,19 +104,20 @@
         }
     }
 
-    /// Changes the limit. A lowered one is reached once the leases given before have ended.
+    /// Changes the limit. A lower limit takes full effect once the leases granted before have
+    /// ended.
     pub fn set_limit(&mut self, limit: u64) {
         self.limit = limit;
     }
 
-    /// Units that entries may still use.
+    /// Sum of the shares that entries may still use.
     #[must_use]
     pub fn committed(&self, now: ClockMs) -> u64 {
         let accounts = self.accounts.values();
         accounts.map(|account| account.committed(now)).sum()
     }
 
-    /// Answers an ask; `None` for one that was overtaken by a later one.
+    /// Answers a request; `None` if a request with the same or a higher sequence came before.
     pub fn grant(&mut self, now: ClockMs, request: &ShareRequest) -> Option<ShareGrant> {
         self.evict_expired(now);
         let key = (request.node.clone(), request.incarnation);
@@ -121,7 +127,8 @@
         }
         account.last_sequence = request.sequence;
         account.wanted = request.wanted;
-        // The entry takes only the answer to its last ask: of the others it can hold but this one.
+        // The entry accepts only the answer to its last request, so of the earlier grants it can
+        // hold only the one that this request names.
         account
             .leases
             .retain(|lease| lease.sequence == request.holding);
@@ -143,7 +150,7 @@
         })
     }
 
-    /// The smaller of an entry's fair part and what the others leave.
+    /// The smaller of an entry's fair share and what the other entries' leases leave.
     fn units_for(&self, now: ClockMs, key: &(NodeId, Incarnation)) -> u64 {
         if now < self.grants_from {
             return 0;
@@ -154,9 +161,10 @@
         self.fair_share(key).min(left)
     }
 
-    /// The max-min fair part of an entry: nobody gets more than it wants, and what some leave is
-    /// shared among the others. What nobody wants is shared equally, so that an idle entry can
-    /// start at once. Units that don't divide go to those that come first by name.
+    /// The max-min fair share of an entry: no entry gets more than it wants while others want more,
+    /// and what some leave is divided among the others. Units that no entry wants are divided
+    /// equally, so that an idle entry can start at once. The remainder of a division goes to the
+    /// entries that come first by name.
     fn fair_share(&self, key: &(NodeId, Incarnation)) -> u64 {
         let own = self.accounts[key].wanted;
         let mut wants: Vec<u64> = self
@@ -178,7 +186,7 @@
         own + left / self.accounts.len() as u64
     }
 
-    /// An entry's place by name among those that want more than a part.
+    /// An entry's rank by name among those that want more than `share`.
     fn rank(&self, key: &(NodeId, Incarnation), share: u64) -> u64 {
         let wanting = self
             .accounts
@@ -198,7 +206,7 @@
 /// The entry's side of one limit.
 #[derive(Clone, Debug)]
 pub struct ShareClient {
-    asked_at: ClockMs,
+    requested_at: ClockMs,
     held: Option<Lease>,
     incarnation: Incarnation,
     node: NodeId,
@@ -210,7 +218,7 @@
     #[must_use]
     pub fn new(node: NodeId, incarnation: Incarnation) -> Self {
         Self {
-            asked_at: ClockMs::default(),
+            requested_at: ClockMs::default(),
             held: None,
             incarnation,
             node,
@@ -218,18 +226,18 @@
         }
     }
 
-    /// The share that may be used now.
+    /// The share that may be used at `now`.
     #[must_use]
     pub fn units(&self, now: ClockMs) -> u64 {
         self.held.map_or(0, |lease| lease.units_at(now))
     }
 
-    /// Asks for a share; the answers to earlier asks are void from now on.
+    /// Builds the next request for a share. Answers to earlier requests are ignored from now on.
     ///
-    /// What is held beyond `wanted` is given up at once, whether or not the ask arrives.
+    /// A held share is reduced to `wanted` at once, whether or not the request arrives.
     pub fn request(&mut self, now: ClockMs, wanted: u64) -> ShareRequest {
         self.sequence += 1;
-        self.asked_at = now;
+        self.requested_at = now;
         if let Some(lease) = &mut self.held {
             lease.units = lease.units.min(wanted);
         }
@@ -243,7 +251,7 @@
         }
     }
 
-    /// Takes the answer to the last ask; any other is ignored.
+    /// Applies the answer to the last request; any other grant, or a repeated one, is ignored.
     pub fn apply(&mut self, grant: ShareGrant) {
         let is_taken = self
             .held
@@ -254,7 +262,7 @@
         }
         let usable_ms = grant.lease_ms - grant.lease_ms / DRIFT_MARGIN_DIVISOR;
         self.held = Some(Lease {
-            ends_at: self.asked_at + usable_ms,
+            ends_at: self.requested_at + usable_ms,
             sequence: grant.sequence,
             units: grant.units,
         });
--- a/crates/masticsill_routing/src/slot_gate.rs
+++ b/crates/masticsill_routing/src/slot_gate.rs
@@ -1,21 +1,24 @@
-//! What an agent passes on to its engine, so that each class finds slots there.
+//! The gate with which an agent limits what it forwards to its engine, by class.
 //!
-//! Entries place by reports that are late, so a few of them may take the same free slot. The agent
-//! is the only way to its engine and knows what runs there: it holds the excess back itself, and
-//! the slots that are kept for lookups stay free whatever the entries believe.
+//! Entries place requests by load reports that are out of date, so several of them may choose the
+//! same free slot. All requests to an engine go through its agent, which knows what runs there: it
+//! queues the excess, and keeps the slots reserved for lookups free whatever the entries assume.
 
 use std::collections::VecDeque;
 
 use indexmap::IndexMap;
 use masticsill_types::{Class, ClockMs, GenerationId};
 
-/// The reserve follows the most lookups seen at once in a window, up to this part of the slots.
+/// The lookup reserve follows the peak of concurrent lookups in a window, up to the number of slots
+/// divided by this.
 const MAX_RESERVE_DIVISOR: u32 = 4;
+/// Length of the window in which the peak of concurrent lookups is taken.
 const PEAK_WINDOW_MS: u64 = 10_000;
-/// The part of a shared engine's slots that one class always finds free of the other.
+/// At an engine that serves both classes, each class finds at least the number of slots divided by
+/// this free of the other class's requests.
 const MIN_RESERVE_DIVISOR: u32 = 16;
 
-/// Slots that each class finds free of the other at an engine that serves both.
+/// Slots that each class finds free of the other class's requests at an engine that serves both.
 pub(crate) fn reserved_slots(slots: u32) -> u32 {
     if slots < 2 {
         return 0;
@@ -23,13 +26,13 @@
     (slots / MIN_RESERVE_DIVISOR).max(1)
 }
 
-/// The work at one engine: what was passed on, and what waits at the agent.
+/// The requests at one engine: those forwarded to it, and those queued at its agent.
 #[derive(Clone, Debug)]
 pub struct SlotGate {
     drafts: VecDeque<GenerationId>,
     is_shared: bool,
     lookups: VecDeque<GenerationId>,
-    /// The most lookups at once in the last window and in this one.
+    /// Peaks of concurrent lookups in the previous and in the current window.
     peaks: [u32; 2],
     running: IndexMap<GenerationId, Class>,
     slots: u32,
@@ -37,7 +40,8 @@
 }
 
 impl SlotGate {
-    /// A gate before an engine with so many slots.
+    /// A gate for an engine with `slots` slots, shared by both classes until
+    /// [`SlotGate::set_shared`] says otherwise.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         Self {
@@ -51,18 +55,18 @@
         }
     }
 
-    /// Takes the engine's slots as it tells them now.
+    /// Sets the number of slots that the engine reports.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// Tells whether catalogue entries of the lookup class use the engine; if not, nothing is
-    /// kept for them. A new gate takes it that they do.
+    /// Sets whether catalogue entries of the lookup class use the engine. If none does, no slots
+    /// are reserved.
     pub fn set_shared(&mut self, is_shared: bool) {
         self.is_shared = is_shared;
     }
 
-    /// Takes new work; [`SlotGate::forward_next`] tells when to pass it on.
+    /// Queues a new request; [`SlotGate::forward_next`] returns it once it may be forwarded.
     pub fn offer(&mut self, now: ClockMs, id: GenerationId, class: Class) {
         match class {
             Class::InstantLookup => self.lookups.push_back(id),
@@ -82,7 +86,8 @@
         self.peaks[1] = self.peaks[1].max(lookups);
     }
 
-    /// Slots kept for lookups: one more than came at once lately.
+    /// Slots reserved for lookups: one more than the recent peak of concurrent lookups, so that the
+    /// next one finds a slot.
     fn lookup_reserve(&self) -> u32 {
         if !self.is_shared {
             return 0;
@@ -96,7 +101,7 @@
         (peak + 1).min(most).max(least)
     }
 
-    /// Takes out work that ended at the engine or is no longer wanted.
+    /// Removes a request that ended at the engine or was cancelled.
     pub fn remove(&mut self, id: GenerationId) {
         if self.running.swap_remove(&id).is_none() {
             self.drafts.retain(|waiting| *waiting != id);
@@ -104,7 +109,8 @@
         }
     }
 
-    /// The next work to pass on; call it after each change until it gives `None`.
+    /// The next request to forward to the engine. Call it after each change until it returns
+    /// `None`.
     pub fn forward_next(&mut self) -> Option<GenerationId> {
         for class in [Class::InstantLookup, Class::PatientDraft] {
             if !self.has_slot(class) {
@@ -122,7 +128,7 @@
         None
     }
 
-    /// Work that waits at the agent.
+    /// Requests queued at the agent.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.drafts.len() + self.lookups.len()
--- a/crates/masticsill_routing/tests/class_slots.rs
+++ b/crates/masticsill_routing/tests/class_slots.rs
@@ -1,4 +1,4 @@
-//! Lookups and drafts each find slots, whatever the other does.
+//! Neither class can starve the other: each finds reserved slots, whatever the other's load.
 
 mod support;
 
@@ -50,7 +50,7 @@
             );
         }
         fleet.tick();
-        // Only once lookups are refused do they fill every slot that they may use.
+        // Lookups are refused only after they have filled every slot that they may use.
         if round == 2_000 {
             assert!(
                 fleet.tally.refused.len() > 100,
@@ -95,10 +95,10 @@
 }
 
 #[test]
-fn a_lost_zone_cuts_no_generation_and_no_lookup_fails() {
+fn zone_loss_refuses_no_generation_and_no_lookup() {
     let mut fleet = fleet(9);
     let mut id = 0;
-    // 80% of 9 × 14 draft slots.
+    // 100 drafts are 80% of 9 × 14 draft slots.
     for _ in 0..100 {
         id += 1;
         fleet.offer(0, request(id, "fliesenwerk", Class::PatientDraft, 400), 400);
--- a/crates/masticsill_routing/tests/entry_limits.rs
+++ b/crates/masticsill_routing/tests/entry_limits.rs
@@ -1,4 +1,5 @@
-//! No limit is passed, no request is lost: seeded loops over random work.
+//! Random work with fixed seeds never exceeds the limits of a catalogue entry, and every request
+//! ends exactly once.
 
 mod support;
 
@@ -13,7 +14,7 @@
 use support::{Fleet, ended, request, router, set_limits};
 
 #[test]
-fn no_more_run_at_once_than_the_limit_says() {
+fn running_requests_stay_within_the_concurrency_limit() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let limits = LocalLimits {
@@ -51,7 +52,11 @@
                     Dequeued::Refused(..) => ends += 1,
                 }
             }
-            assert!(running.len() <= 5, "{} run", running.len());
+            assert!(
+                running.len() <= 5,
+                "{} requests run at once, limit 5",
+                running.len()
+            );
             assert_eq!(router.running_count(), running.len());
         }
         assert!(ends > 1_000);
@@ -89,7 +94,7 @@
 }
 
 #[test]
-fn a_bucket_tells_when_to_come_back() {
+fn bucket_returns_the_time_until_the_next_token() {
     let mut bucket = TokenBucket::new(ClockMs(0), 2_000);
     bucket.take(1);
     assert_eq!(bucket.check(ClockMs(0)), Err(500));
@@ -132,7 +137,7 @@
 }
 
 #[test]
-fn random_work_on_random_failures_has_one_end_each() {
+fn each_request_ends_once_under_random_engine_failures() {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed);
         let routers = (0..3).map(|index| {
@@ -146,16 +151,16 @@
         for index in 0..8 {
             fleet.add_engine(&format!("agent-{index}"), 8, ["muc-a", "muc-b"][index % 2]);
         }
-        let mut next_victim = 0;
+        let mut next_killed = 0;
         for id in 0..3_000_u32 {
             let class = [Class::InstantLookup, Class::PatientDraft][rng.random_range(0..2)];
             let workspace = ["w0", "w1", "w2"][rng.random_range(0..3)];
             let tokens = rng.random_range(1..80);
             let wanted = request(id.into(), workspace, class, tokens);
             fleet.offer(rng.random_range(0..3), wanted, tokens);
-            if rng.random_bool(0.002) && next_victim < 5 {
-                fleet.kill(&format!("agent-{next_victim}"));
-                next_victim += 1;
+            if rng.random_bool(0.002) && next_killed < 5 {
+                fleet.kill(&format!("agent-{next_killed}"));
+                next_killed += 1;
             }
             fleet.tick();
         }
--- a/crates/masticsill_routing/tests/fair_admission.rs
+++ b/crates/masticsill_routing/tests/fair_admission.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is refused, and when a refused caller is told to come back.
+//! Which requests are queued or refused under load, and the retry time that refusals return.
 
 mod support;
 
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn one_heavy_workspace_does_not_push_out_nine_small_ones() {
+fn heavy_workspace_does_not_starve_nine_small_ones() {
     let mut fleet = fleet(2, 8);
     let mut id = 0;
     let mut small = Vec::new();
     for tick in 0..12_000_u32 {
-        // The heavy one alone offers several times the capacity.
+        // The heavy workspace alone offers several times the capacity.
         if tick.is_multiple_of(10) {
             id += 1;
             fleet.offer(0, request(id, "w0", Class::PatientDraft, 50), 50);
         }
-        // The nine together offer half of it.
+        // The nine small workspaces together offer half of the capacity.
         if tick.is_multiple_of(40) {
             id += 1;
             let workspace = WORKSPACES[1 + (tick as usize / 40) % 9];
@@ -62,14 +62,17 @@
         .collect();
     waits.sort_unstable();
     let median = waits[waits.len() / 2];
-    assert!(median < 5_000, "median {median} ms for 1,000 ms of work");
+    assert!(
+        median < 5_000,
+        "median latency {median} ms for requests that take 1,000 ms"
+    );
 }
 
 #[test]
-fn overload_is_refused_at_once_and_none_is_lost() {
+fn overload_is_refused_on_arrival_and_no_request_is_lost() {
     let mut fleet = fleet(2, 8);
     let mut offered = Vec::new();
-    // 14 slots for drafts, 1 s each: 14 a second are served and 40 are offered.
+    // 14 slots for drafts of 1 s each serve 14 per second; 40 are offered.
     for tick in 0..12_000_u32 {
         if tick.is_multiple_of(5) {
             let id = u128::from(tick);
@@ -83,7 +86,7 @@
     fleet.assert_none_lost();
     let done = fleet.tally.done.len();
     assert!(done * 100 >= 14 * 60 * 95, "{done} of {} possible", 14 * 60);
-    // 60 s offer 2,400 of which 840 are served and at most 1,024 wait.
+    // In 60 s 2,400 drafts are offered, of which 840 are served and at most 1,024 are queued.
     assert!(fleet.tally.refused.len() > 400);
     let mut late = 0;
     for (id, at) in offered {
@@ -97,12 +100,12 @@
     }
     assert!(
         late * 50 <= fleet.tally.refused.len(),
-        "{late} refused after waiting"
+        "{late} requests were refused after queueing"
     );
 }
 
 #[test]
-fn the_time_to_come_back_grows_with_the_backlog() {
+fn retry_after_grows_with_the_backlog() {
     let mut router = router_with(&["w0"], 1, 2);
     let mut last = 0;
     for id in 0..2_000 {
@@ -112,7 +115,7 @@
             break;
         }
     }
-    assert!(last > 20_000, "{last} ms");
+    assert!(last > 20_000, "retry time is only {last} ms");
     let mut idle = router_with(&["w0"], 1, 2);
     let limits = LocalLimits {
         queue_length: Some(0),
@@ -138,19 +141,19 @@
         fleet.tick();
     }
     let now = fleet.now;
-    let mut hopeless = request(100, "w0", Class::PatientDraft, 100);
-    hopeless.deadline = Some(now + 1_000);
+    let mut infeasible = request(100, "w0", Class::PatientDraft, 100);
+    infeasible.deadline = Some(now + 1_000);
     let mut feasible = request(101, "w0", Class::PatientDraft, 100);
     feasible.deadline = Some(now + 50_000);
     let router = &mut fleet.routers[0];
-    assert_matches!(router.admit(now, hopeless), AdmitDecision::Refused(refusal) if {
+    assert_matches!(router.admit(now, infeasible), AdmitDecision::Refused(refusal) if {
         refusal.kind == RefusalKind::Overloaded
     });
     assert_eq!(router.admit(now, feasible), AdmitDecision::Queued);
 }
 
 #[test]
-fn a_wait_that_is_over_ends_in_a_refusal() {
+fn queued_request_is_refused_at_its_deadline() {
     let mut router = router_with(&["w0"], 1, 2);
     for id in 0..1 {
         let answer = router.admit(ClockMs(0), request(id, "w0", Class::PatientDraft, 10));
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn workspaces_at_their_limit_do_not_hold_up_the_others() {
+fn workspaces_at_their_limit_do_not_block_others() {
     let names: Vec<String> = (0..100).map(|index| format!("w{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut router = router_with(&names, 4, 16);
@@ -248,6 +251,6 @@
     assert_matches!(
         router.admit(ClockMs(20), wanted),
         AdmitDecision::Start(_),
-        "successes pay"
+        "completed requests should have refilled the retry budget"
     );
 }
--- a/crates/masticsill_routing/tests/placement_choice.rs
+++ b/crates/masticsill_routing/tests/placement_choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets a request, and which never does.
+//! Which endpoint a request is placed at, and which endpoints are excluded.
 
 mod support;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_unusable_endpoint_gets_nothing() {
+fn unusable_endpoint_gets_no_request() {
     let usable = engine(8, "muc-a");
     let cases: [(&str, EndpointDescription); 4] = [
         (
@@ -42,7 +42,7 @@
             },
         ),
         (
-            "held back",
+            "held down",
             EndpointDescription {
                 held_until: NOW + 1,
                 ..usable.clone()
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_endpoint_that_begins_to_leave_gets_no_more() {
+fn leaving_endpoint_gets_no_new_request() {
     for policy in [
         PlacementPolicy::Affinity,
         PlacementPolicy::LeastConnections,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_down_a_tried_and_a_far_endpoint_are_passed_over() {
+fn unreachable_tried_and_out_of_zone_endpoints_are_skipped() {
     let mut router = router_with(&["fliesenwerk"], 3, 50);
     router.set_unreachable(&node("agent-0"), true);
     for id in 0..40 {
@@ -137,15 +137,15 @@
 }
 
 #[test]
-fn a_new_life_is_placed_afresh() {
+fn new_incarnation_counts_as_reachable() {
     let mut router = router_with(&["fliesenwerk"], 1, 8);
     router.set_unreachable(&node("agent-0"), true);
     assert_eq!(place(&mut router, draft(1)), None);
-    let reborn = EndpointDescription {
+    let restarted = EndpointDescription {
         incarnation: Incarnation(2),
         ..engine(8, "muc-a")
     };
-    router.on_member_change(&node("agent-0"), Some(reborn));
+    router.on_member_change(&node("agent-0"), Some(restarted));
     assert_eq!(place(&mut router, draft(2)), Some(node("agent-0")));
 }
 
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn one_prefix_goes_to_one_endpoint_from_every_entry() {
+fn repeated_prefix_goes_to_the_same_endpoint() {
     let mut first = router_with(&["fliesenwerk"], 20, 32);
     let mut second = router_with(&["fliesenwerk"], 20, 32);
     for seed in 1..40 {
@@ -173,7 +173,10 @@
         let one = place(&mut first, wanted.clone());
         wanted.id.0 += 1_000;
         let again = place(&mut first, wanted.clone());
-        assert_eq!(one, again, "the same entry finds its prefix again");
+        assert_eq!(
+            one, again,
+            "the same entry places a repeated prefix elsewhere"
+        );
         assert!(one.is_some() && place(&mut second, wanted).is_some());
     }
 }
@@ -207,7 +210,10 @@
         let mut wanted = draft(1);
         wanted.prompt_tokens = 4_000;
         wanted.prefix = chain(1);
-        assert_matches!(router.admit(NOW, wanted), AdmitDecision::Start(placement) => placement.cached_tokens)
+        assert_matches!(
+            router.admit(NOW, wanted),
+            AdmitDecision::Start(placement) => placement.cached_tokens
+        )
     };
     let known = expected(&[stored(1, 1_000), stored(2, 1_001)]);
     let after_gap = expected(&[stored(1, 1_000), stored(2, 1_001), stored(9, 77)]);
@@ -239,7 +245,7 @@
         for index in 0..20 {
             fleet.add_engine(&format!("agent-{index}"), 32, "muc-a");
         }
-        // One engine looks idle and all others half full, in reports that are never renewed.
+        // The reports show one engine idle and all others half full, and are never updated.
         fleet.are_reports_frozen = true;
         for router in &mut fleet.routers {
             for index in 0..20 {
@@ -255,11 +261,12 @@
             let entry = rng.random_range(0..6);
             fleet.offer(entry, request(id, "fliesenwerk", class, 1_000), 1_000);
         }
-        // 12 each would be even, 96 come when every entry fills the idle one first.
+        // An even distribution gives 12 to each engine. If every entry filled the idle engine
+        // first, that one would get 96.
         let loads = fleet.loads();
         assert!(
             loads[0] <= 36,
-            "{class}: the idle one got {} of 240",
+            "{class}: the engine reported idle got {} of 240",
             loads[0]
         );
     }
@@ -280,7 +287,7 @@
             let places = (0..20).filter_map(|id| self::place(&mut router, draft(id)));
             started += u32::try_from(places.count()).unwrap();
         }
-        // One slot is kept for lookups.
+        // One of the 16 slots is reserved for lookups.
         assert_eq!(started, 15 - running, "{running} ran before");
     }
 }
--- a/crates/masticsill_routing/tests/share_leases.rs
+++ b/crates/masticsill_routing/tests/share_leases.rs
@@ -1,4 +1,4 @@
-//! The shares of a limit never sum up to more than the limit.
+//! The shares that entries may use never add up to more than the limit.
 
 use masticsill_routing::{ShareClient, ShareGrant, ShareLedger, ShareRequest};
 use masticsill_types::{ClockMs, Incarnation, NodeId};
@@ -7,44 +7,45 @@
 
 const LEASE_MS: u64 = 2_000;
 
-fn client(index: usize, life: u64) -> ShareClient {
+fn client(index: usize, incarnation: u64) -> ShareClient {
     let node = NodeId::new(format!("entry-{index}")).unwrap();
-    ShareClient::new(node, Incarnation(life))
+    ShareClient::new(node, Incarnation(incarnation))
 }
 
 enum Message {
-    Ask(usize, ShareRequest),
-    Answer(usize, ShareGrant),
+    Request(usize, ShareRequest),
+    Grant(usize, ShareGrant),
 }
 
-/// Mostly short, sometimes most of a lease.
+/// A delivery delay: mostly short, sometimes most of a lease.
 fn delay_ms(rng: &mut StdRng) -> u64 {
     let most = if rng.random_bool(0.2) { 1_500 } else { 100 };
     rng.random_range(0..most)
 }
 
-/// Clients that restart, a holder that restarts, and messages that are lost, repeated and late.
+/// Restarts of clients and of the ledger, and lost, repeated and delayed messages must not make the
+/// sum of the usable shares exceed the limit.
 #[test]
-fn no_fault_lets_the_sum_exceed_the_limit() {
+fn sum_of_shares_stays_within_the_limit_under_faults() {
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
         let limit = rng.random_range(1..500);
         let mut now = ClockMs(0);
         let mut ledger = ShareLedger::new(now, limit, LEASE_MS);
         let mut clients: Vec<ShareClient> = (0..5).map(|index| client(index, 1)).collect();
-        // What a former life may still use: its work goes on until its lease ends.
+        // A former incarnation may use its share until its lease ends, since its requests go on.
         let mut former: Vec<ShareClient> = Vec::new();
-        let mut mail: Vec<(ClockMs, Message)> = Vec::new();
+        let mut in_transit: Vec<(ClockMs, Message)> = Vec::new();
         let mut most_usable = 0;
         for step in 0..4_000_u64 {
             now = now + rng.random_range(1..60);
             for (index, client) in clients.iter_mut().enumerate() {
                 if rng.random_bool(0.05) {
-                    let ask = client.request(now, rng.random_range(0..limit * 2));
+                    let request = client.request(now, rng.random_range(0..limit * 2));
                     let copies = [0, 1, 1, 1, 2][rng.random_range(0..5)];
                     for _ in 0..copies {
                         let at = now + delay_ms(&mut rng);
-                        mail.push((at, Message::Ask(index, ask.clone())));
+                        in_transit.push((at, Message::Request(index, request.clone())));
                     }
                 }
             }
@@ -56,19 +57,20 @@
                 let fresh = client(index, 2 + step);
                 former.push(std::mem::replace(&mut clients[index], fresh));
             }
-            let due: Vec<(ClockMs, Message)> = mail.extract_if(.., |(at, _)| *at <= now).collect();
+            let due: Vec<(ClockMs, Message)> =
+                in_transit.extract_if(.., |(at, _)| *at <= now).collect();
             for (_, message) in due {
                 match message {
-                    Message::Ask(index, ask) => {
-                        let Some(grant) = ledger.grant(now, &ask) else {
+                    Message::Request(index, request) => {
+                        let Some(grant) = ledger.grant(now, &request) else {
                             continue;
                         };
                         if rng.random_bool(0.8) {
                             let at = now + delay_ms(&mut rng);
-                            mail.push((at, Message::Answer(index, grant)));
+                            in_transit.push((at, Message::Grant(index, grant)));
                         }
                     }
-                    Message::Answer(index, grant) => clients[index].apply(grant),
+                    Message::Grant(index, grant) => clients[index].apply(grant),
                 }
             }
             let all = clients.iter().chain(&former);
@@ -83,13 +85,18 @@
     }
 }
 
-fn settle(ledger: &mut ShareLedger, clients: &mut [ShareClient], wants: &[u64], start: u64) -> u64 {
+fn run_rounds(
+    ledger: &mut ShareLedger,
+    clients: &mut [ShareClient],
+    wants: &[u64],
+    start: u64,
+) -> u64 {
     let mut now = ClockMs(start);
     for _ in 0..20 {
         now = now + 300;
         for (client, want) in clients.iter_mut().zip(wants) {
-            let ask = client.request(now, *want);
-            client.apply(ledger.grant(now, &ask).unwrap());
+            let request = client.request(now, *want);
+            client.apply(ledger.grant(now, &request).unwrap());
         }
     }
     now.0
@@ -108,7 +115,7 @@
     ];
     let mut now = LEASE_MS;
     for (wants, shares) in cases {
-        now = settle(&mut ledger, &mut clients, &wants, now);
+        now = run_rounds(&mut ledger, &mut clients, &wants, now);
         let held: Vec<u64> = clients
             .iter()
             .map(|client| client.units(ClockMs(now)))
@@ -118,23 +125,33 @@
 }
 
 #[test]
-fn a_restarted_holder_waits_one_lease() {
+fn restarted_ledger_grants_nothing_for_one_lease() {
     let mut ledger = ShareLedger::new(ClockMs(0), 100, LEASE_MS);
     let mut one = client(0, 1);
-    let ask = one.request(ClockMs(LEASE_MS - 1), 50);
-    assert_eq!(ledger.grant(ClockMs(LEASE_MS - 1), &ask).unwrap().units, 0);
-    let ask = one.request(ClockMs(LEASE_MS), 50);
-    assert_eq!(ledger.grant(ClockMs(LEASE_MS), &ask).unwrap().units, 100);
+    let request = one.request(ClockMs(LEASE_MS - 1), 50);
+    assert_eq!(
+        ledger.grant(ClockMs(LEASE_MS - 1), &request).unwrap().units,
+        0
+    );
+    let request = one.request(ClockMs(LEASE_MS), 50);
+    assert_eq!(
+        ledger.grant(ClockMs(LEASE_MS), &request).unwrap().units,
+        100
+    );
 }
 
 #[test]
-fn a_late_answer_is_worth_what_is_left_of_its_lease() {
+fn late_grant_is_valid_until_its_lease_ends() {
     let mut ledger = ShareLedger::new(ClockMs(0), 100, LEASE_MS);
     let mut one = client(0, 1);
     let asked_at = ClockMs(5_000);
-    let ask = one.request(asked_at, 50);
-    let grant = ledger.grant(ClockMs(5_400), &ask).unwrap();
+    let request = one.request(asked_at, 50);
+    let grant = ledger.grant(ClockMs(5_400), &request).unwrap();
     one.apply(grant);
     assert!(one.units(asked_at + (LEASE_MS - 100)) > 0);
-    assert_eq!(one.units(asked_at + LEASE_MS), 0, "counted from the ask");
+    assert_eq!(
+        one.units(asked_at + LEASE_MS),
+        0,
+        "the lease counts from the request, not from the grant"
+    );
 }
--- a/crates/masticsill_routing/tests/slot_gate.rs
+++ b/crates/masticsill_routing/tests/slot_gate.rs
@@ -1,4 +1,5 @@
-//! An agent passes on what its engine has slots for, and each class finds some.
+//! An agent's gate forwards no more requests than its engine has slots, and reserves slots for each
+//! class.
 
 use masticsill_routing::SlotGate;
 use masticsill_types::{Class, ClockMs, GenerationId};
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn drafts_leave_a_slot_to_lookups_and_lookups_to_drafts() {
+fn each_class_leaves_a_slot_for_the_other() {
     for (first, second) in [
         (Class::PatientDraft, Class::InstantLookup),
         (Class::InstantLookup, Class::PatientDraft),
@@ -28,14 +29,14 @@
 }
 
 #[test]
-fn nothing_is_kept_where_lookups_are_not_served() {
+fn no_slot_is_reserved_at_an_engine_without_lookups() {
     let mut gate = SlotGate::new(16);
     gate.set_shared(false);
     assert_eq!(offer(&mut gate, 0..40, Class::PatientDraft), 16);
 }
 
 #[test]
-fn the_reserve_follows_the_lookups() {
+fn lookup_reserve_follows_the_peak_of_lookups() {
     let mut gate = SlotGate::new(16);
     assert_eq!(offer(&mut gate, 100..102, Class::InstantLookup), 2);
     for id in 100..102 {
@@ -45,12 +46,12 @@
 }
 
 #[test]
-fn random_work_passes_each_once_and_never_more_than_the_slots() {
+fn random_work_is_forwarded_once_and_within_the_slots() {
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut gate = SlotGate::new(8);
         let mut running: Vec<GenerationId> = Vec::new();
-        let mut passed = 0;
+        let mut forwarded = 0;
         for step in 0..5_000_u64 {
             let now = ClockMs(step * 7);
             if step < 2_000 {
@@ -63,10 +64,10 @@
             while let Some(id) = gate.forward_next() {
                 assert!(!running.contains(&id));
                 running.push(id);
-                passed += 1;
+                forwarded += 1;
             }
             assert!(running.len() <= 8);
         }
-        assert_eq!((passed, gate.waiting()), (2_000, 0), "seed {seed}");
+        assert_eq!((forwarded, gate.waiting()), (2_000, 0), "seed {seed}");
     }
 }
--- a/crates/masticsill_routing/tests/support/mod.rs
+++ b/crates/masticsill_routing/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Builders, and a few engines on a virtual clock.
-#![allow(dead_code, reason = "each test and example uses a part")]
+//! Builders, and a simulation of engines on a virtual clock.
+#![allow(dead_code, reason = "each test and example uses a part of this module")]
 
 use std::collections::VecDeque;
 
@@ -15,8 +15,9 @@
 };
 
 pub(crate) const TICK_MS: u64 = 5;
-/// Time of a generated token and of a prompt token that is not cached, in microseconds.
+/// Time that an engine takes to generate a token.
 const TOKEN_US: u64 = 20_000;
+/// Time that an engine takes to compute a prompt token that is not cached.
 const PROMPT_TOKEN_US: u64 = 200;
 
 pub(crate) fn node(name: &str) -> NodeId {
@@ -117,12 +118,12 @@
     tokens: u32,
 }
 
-/// An engine with slots, priorities and a prefix cache.
+/// An engine with slots, priority for lookups and a prefix cache.
 struct Engine {
-    /// Prefixes that the cache holds.
+    /// Number of prefixes that the cache holds at most.
     cache_capacity: usize,
     cache: IndexSet<u64>,
-    /// The agent's gate; without one, work goes to the engine as it comes.
+    /// The agent's gate. Without one, all requests are forwarded on arrival.
     gate: Option<SlotGate>,
     is_dead: bool,
     node: NodeId,
@@ -139,7 +140,7 @@
         self.waiting.push_back(job);
     }
 
-    fn end(&mut self, now: ClockMs) -> Vec<Job> {
+    fn take_finished(&mut self, now: ClockMs) -> Vec<Job> {
         let ended: Vec<(ClockMs, Job)> = self
             .running
             .extract_if(.., |(end, _)| *end <= now)
@@ -163,14 +164,14 @@
         self.waiting.remove(position)
     }
 
-    fn begin_next(&mut self, now: ClockMs, recomputed: &mut u64) {
+    fn start_waiting(&mut self, now: ClockMs, computed_tokens: &mut u64) {
         while self.running.len() < self.slots {
             let Some(job) = self.next_job() else {
                 return;
             };
             let cached = self.use_cache(&job.prefix);
             let computed = u64::from(job.prompt_tokens - cached.min(job.prompt_tokens));
-            *recomputed += computed;
+            *computed_tokens += computed;
             let took_us = computed * PROMPT_TOKEN_US + u64::from(job.tokens) * TOKEN_US;
             self.running.push((now + took_us / 1_000, job));
         }
@@ -192,17 +193,17 @@
     }
 }
 
-/// What became of requests.
+/// Results of the requests.
 #[derive(Default)]
 pub(crate) struct Tally {
     pub(crate) done: IndexMap<GenerationId, (ClockMs, u32)>,
     pub(crate) failed: Vec<GenerationId>,
-    pub(crate) recomputed: u64,
+    pub(crate) computed_tokens: u64,
     pub(crate) refused: IndexMap<GenerationId, (ClockMs, Refusal)>,
     pub(crate) started: IndexMap<GenerationId, NodeId>,
 }
 
-/// Entries before engines whose load reports come late.
+/// Entries and engines; load reports reach the entries with a delay.
 pub(crate) struct Fleet {
     pub(crate) are_gated: bool,
     pub(crate) are_reports_frozen: bool,
@@ -251,7 +252,7 @@
         self.engines.insert(node(name), engine);
     }
 
-    /// Tells all agents whether lookups use their engines.
+    /// Sets for all agents whether lookups use their engines.
     pub(crate) fn set_shared(&mut self, is_shared: bool) {
         let gates = self
             .engines
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Kills an engine; its work comes back to its entries as resumes.
+    /// Kills an engine; the entries offer its requests again as resumes.
     pub(crate) fn kill(&mut self, name: &str) {
         for router in &mut self.routers {
             router.on_member_change(&node(name), None);
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Gives a request to an entry; it will generate so many tokens.
+    /// Offers a request that generates `tokens` tokens to an entry.
     pub(crate) fn offer(&mut self, entry: usize, request: WorkRequest, tokens: u32) {
         let id = request.id;
         self.requests.insert(id, (request.clone(), tokens));
@@ -305,23 +306,27 @@
             tokens: *tokens,
         };
         let engine = &mut self.engines[&placement.node];
-        assert!(!engine.is_dead, "{} is gone and got work", engine.node);
+        assert!(
+            !engine.is_dead,
+            "{} is dead and was given a request",
+            engine.node
+        );
         engine.take(self.now, job);
-        engine.begin_next(self.now, &mut self.tally.recomputed);
+        engine.start_waiting(self.now, &mut self.tally.computed_tokens);
     }
 
     pub(crate) fn tick(&mut self) {
         self.now = self.now + TICK_MS;
         let mut ends = Vec::new();
         for engine in self.engines.values_mut() {
-            ends.extend(engine.end(self.now));
-            engine.begin_next(self.now, &mut self.tally.recomputed);
+            ends.extend(engine.take_finished(self.now));
+            engine.start_waiting(self.now, &mut self.tally.computed_tokens);
         }
         for job in ends {
             let end = ended(WorkOutcome::Completed, job.tokens);
             self.routers[job.entry].on_finished(self.now, job.id, end);
             let twice = self.tally.done.insert(job.id, (self.now, job.tokens));
-            assert!(twice.is_none(), "answered twice");
+            assert!(twice.is_none(), "a request was completed twice");
         }
         if self.now.0.is_multiple_of(100) && !self.are_reports_frozen {
             self.send_reports();
@@ -369,12 +374,15 @@
                 || fleet.routers.iter().any(|router| router.queued_count() > 0)
         };
         while is_busy(self) {
-            assert!(self.now < end, "work is stuck");
+            assert!(
+                self.now < end,
+                "requests did not finish within {bound_ms} ms"
+            );
             self.tick();
         }
     }
 
-    /// Requests at each engine now, running and waiting.
+    /// Number of requests at each engine, running and waiting.
     pub(crate) fn loads(&self) -> Vec<usize> {
         let engines = self.engines.values();
         engines
@@ -382,12 +390,15 @@
             .collect()
     }
 
-    /// Every offered request has exactly one end.
+    /// Asserts that every offered request was either completed or refused.
     pub(crate) fn assert_none_lost(&self) {
         for id in self.requests.keys() {
             let is_done = self.tally.done.contains_key(id);
             let is_refused = self.tally.refused.contains_key(id);
-            assert!(is_done != is_refused, "{id} has no end or two");
+            assert!(
+                is_done != is_refused,
+                "{id}: done {is_done}, refused {is_refused}"
+            );
         }
     }
 }
