--- a/crates/masticsill_registry/src/gauges.rs
+++ b/crates/masticsill_registry/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Counts of endpoints by state, for the metrics of those who hold a table of them.
+//! Gauges of the number of endpoints by state, for the metrics of control replicas and relays.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::family::Family;
@@ -7,26 +7,27 @@
 
 use crate::record::EndpointState;
 
-/// What endpoints say of themselves.
+/// The label with the state that endpoints announced.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct StateLabel {
     state: &'static str,
 }
 
-/// How many endpoints there are in each state.
+/// Number of endpoints in each state.
 #[derive(Clone, Debug, Default)]
 pub struct StateGauges {
     endpoints: Family<StateLabel, Gauge>,
 }
 
 impl StateGauges {
-    /// Shows the gauges under a name.
+    /// Registers the gauges under a metric name.
     pub fn register(&self, name: &'static str, registry: &mut Registry) {
         let help = "Endpoints by what they say of themselves";
         registry.register(name, help, self.endpoints.clone());
     }
 
-    /// Counts the endpoints of each of the states.
+    /// Sets the gauge of each state in `states` to its number of occurrences in `endpoints`, the
+    /// states of all endpoints.
     pub fn update(&self, states: &[EndpointState], endpoints: &[EndpointState]) {
         for state in states {
             let count = endpoints.iter().filter(|it| *it == state).count();
--- a/crates/masticsill_registry/src/id.rs
+++ b/crates/masticsill_registry/src/id.rs
@@ -1,14 +1,15 @@
-//! Who an endpoint is: its id, and which life of that id.
+//! The identity of an endpoint: its name, and the incarnation of that name.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One life of an endpoint id, in the order of births.
+/// One incarnation of an endpoint name, ordered by start time.
 ///
-/// A process that starts again under the id of a former one knows nothing of it, and its counts
-/// begin anew. Only the birth tells the two apart. A life without a birth comes before all that
-/// have one, so that a writer may begin to tell them.
+/// A process that restarts under the same name has none of the state of the former one, and its
+/// heartbeat sequence starts again. Only the start time tells the two apart. An incarnation with an
+/// unknown start time is ordered before all with a known one, so that a sender may begin to
+/// announce its start time.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -18,12 +19,12 @@
 }
 
 impl EndpointIncarnation {
-    /// The life of an id that names no birth.
+    /// The incarnation of a name whose start time is unknown.
     pub const UNKNOWN: Self = Self {
         started_at_ms: None,
     };
 
-    /// The life that began at a time, in milliseconds of its writer's clock.
+    /// The incarnation that started at a time, in milliseconds of the endpoint's own clock.
     #[must_use]
     pub const fn started_at(started_at_ms: u64) -> Self {
         Self {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Whether a birth is known.
+    /// Whether the start time is known.
     #[must_use]
     pub fn is_known(self) -> bool {
         self.started_at_ms.is_some()
@@ -47,22 +48,23 @@
     }
 }
 
-/// One incarnation of an endpoint: whatever is known of one is of no use to another.
+/// The id of one incarnation of an endpoint. State held about one incarnation is not valid for
+/// another.
 ///
-/// A restarted endpoint has another name or, under its old name, another life. Two lives of a name
-/// are two incarnations, so connections, places, kept prompts and copies of the former one are
-/// never found for the next. It is shown by its name, by which endpoints know themselves.
+/// A restarted endpoint has another name or, under its old name, another incarnation. So
+/// connections, reservations, cached prompts and copies of a former incarnation are never found
+/// under the id of the next. Displayed as the name, which is the id that endpoints use themselves.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct EndpointId {
-    /// The id that the endpoint gives itself.
+    /// The name under which the endpoint announces itself.
     pub name: String,
-    /// Which life of it.
+    /// The incarnation of that name.
     #[serde(rename = "life")]
     pub incarnation: EndpointIncarnation,
 }
 
 impl EndpointId {
-    /// The incarnation of a name that tells no birth.
+    /// The id of an endpoint that announces no start time.
     #[must_use]
     pub fn with_unknown_incarnation(name: impl Into<String>) -> Self {
         Self {
--- a/crates/masticsill_registry/src/join.rs
+++ b/crates/masticsill_registry/src/join.rs
@@ -1,9 +1,9 @@
-//! How the words of one endpoint id are joined, whatever order they come in.
+//! The join of announcements of one endpoint name, independent of their order.
 //!
-//! Control replicas hear an endpoint late, twice and out of order, exchange what they know, and
-//! tell the entries, which hear it from several of them. All must end with the same: a join is
-//! commutative, associative and idempotent. It is the greatest life; within that life the furthest
-//! state, and beside it the newest heartbeat.
+//! Control replicas receive heartbeats late, repeatedly and out of order, exchange their records
+//! and pass them on to the entries, each of which receives them from several replicas. All must
+//! converge to the same record, so the join is commutative, associative and idempotent: it is the
+//! greatest incarnation and, within it, the furthest state combined with the newest heartbeat.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,27 @@
 
 use crate::record::Announcement;
 
-/// What a word did to what was known of its id.
+/// The effect of joining an announcement into the record of its name.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JoinOutcome {
-    /// Nothing that matters to requests is different.
+    /// Nothing changed that matters for placing requests.
     Same,
-    /// Something that matters to requests is different; the life is the same.
+    /// The state, address or slots of the known incarnation changed.
     Changed,
-    /// A newer life is in place of the one known before.
+    /// A newer incarnation replaced the known one.
     Replaced,
 }
 
-/// What orders the heartbeats of one life: the sequence, and for two with the same one whatever
-/// differs, so that all choose the same.
+/// The order of the heartbeats of one incarnation: by sequence and, for equal sequences, by all
+/// other fields, so that every process chooses the same one.
 type Recency<'a> = (u64, bool, &'a str, SocketAddr, &'a ZoneId, u32, u64, bool);
 
 impl Announcement {
-    /// Joins another word of the same name into this one.
+    /// Joins another announcement of the same name into this one.
     pub fn join(&mut self, other: &Self) -> JoinOutcome {
         debug_assert_eq!(
             self.id.name, other.id.name,
-            "words of two ids are not joined"
+            "announcements of two names must not be joined"
         );
         if other.id.incarnation < self.id.incarnation {
             return JoinOutcome::Same;
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Whether this heartbeat was sent after another one of the same name.
+    /// Whether this heartbeat is newer than another one of the same name, by incarnation and then
+    /// by sequence.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         (self.id.incarnation, self.recency()) > (other.id.incarnation, other.recency())
@@ -63,7 +64,8 @@
     fn recency(&self) -> Recency<'_> {
         (
             self.sequence,
-            // A deregistration tells the end only.
+            // A deregistration has no data but the end, so any heartbeat with the same sequence is
+            // preferred to it.
             !self.service.is_empty(),
             &self.service,
             self.address,
--- a/crates/masticsill_registry/src/lib.rs
+++ b/crates/masticsill_registry/src/lib.rs
@@ -1,25 +1,26 @@
-//! Endpoints that announce themselves by heartbeat.
+//! A registry of endpoints that announce themselves by heartbeat.
 //!
-//! A replica of an endpoint is one incarnation with an id of its own, or with a later birth under
-//! the same one. It announces itself at any control instance; the instances exchange what they
-//! heard and tell the entries. Records are joined by life, and within a life by state and sequence,
-//! so that a heartbeat which was held up behind a partition never undoes a newer one. Pure logic: no sockets, and time comes with each call.
+//! Each run of an endpoint is one incarnation: it has a name of its own, or a later start time
+//! under the same name. It sends its heartbeats to any control replica. The control replicas
+//! exchange the records and pass them on to the entries. Records are joined by incarnation, and
+//! within an incarnation by state and sequence, so that a heartbeat delayed by a partition never
+//! undoes a newer one. Pure logic: no sockets, and the time is passed to each call.
 
 mod gauges;
 mod id;
 mod join;
-mod kept;
-mod places;
+mod prompt_cache;
 mod record;
 mod registry;
+mod reservations;
 mod silence;
 mod watchers;
 
 pub use gauges::StateGauges;
 pub use id::{EndpointId, EndpointIncarnation};
 pub use join::JoinOutcome;
-pub use kept::{CacheUpdate, CachedPart, CachedTokens, PromptCacheIndex, PromptPart};
-pub use places::{EngineReservationRequest, is_zone_down};
+pub use prompt_cache::{CacheUpdate, CachedPart, CachedTokens, PromptCacheIndex, PromptPart};
 pub use record::{Announcement, EndpointRecord, EndpointState, HeartbeatAge};
 pub use registry::{Registry, RegistryTimeouts};
+pub use reservations::{EngineReservationRequest, is_zone_down};
 pub use watchers::{EndpointLoad, LoadsChange, Watcher, WatcherTable};
--- a/crates/masticsill_registry/src/record.rs
+++ b/crates/masticsill_registry/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one incarnation of an endpoint.
+//! Heartbeats and the record of one incarnation of an endpoint.
 
 use std::net::SocketAddr;
 use std::sync::LazyLock;
@@ -8,23 +8,23 @@
 
 use crate::id::EndpointId;
 
-/// The zone of an incarnation of which only the end was heard.
+/// The zone in the record of an incarnation of which only the deregistration is known.
 static UNKNOWN_ZONE: LazyLock<ZoneId> =
     LazyLock::new(|| ZoneId::new("unknown").expect("the name holds letters only"));
 
-/// What an incarnation says of itself. It only ever moves down this list.
+/// The state that an incarnation announces. It only ever moves down this list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It completes the requests in flight and accepts no new ones.
     Draining,
     /// It has ended.
     Gone,
 }
 
 impl EndpointState {
-    /// The name in logs.
+    /// The name in logs and metric labels.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -38,28 +38,29 @@
 /// A heartbeat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Announcement {
-    /// Where it serves.
+    /// Address at which it serves requests.
     pub address: SocketAddr,
-    /// How much longer it is slow after its start.
+    /// How much longer it is slow after its start, in milliseconds.
     pub cold_left_ms: u64,
     /// The incarnation.
     pub id: EndpointId,
-    /// Whether it is an engine that tells what it keeps of prompts.
+    /// Whether it is an engine that reports the content of its prompt cache.
     pub keeps_prompts: bool,
     /// Rises with each heartbeat.
     pub sequence: u64,
-    /// The service that it belongs to.
+    /// The service that it belongs to; empty in a deregistration.
     pub service: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// What it says of itself.
+    /// The state that it announces.
     pub state: EndpointState,
     /// Its availability zone.
     pub zone: ZoneId,
 }
 
 impl Announcement {
-    /// The end of an incarnation of which nothing else is known.
+    /// The announcement that an incarnation has ended, with placeholders for all other fields. Its
+    /// sequence is zero, so that any heartbeat is newer.
     pub(crate) fn deregistration(id: &EndpointId) -> Self {
         Self {
             address: SocketAddr::from(([0, 0, 0, 0], 0)),
@@ -75,19 +76,19 @@
     }
 }
 
-/// What the registry tells of an incarnation.
+/// The registry's record of an incarnation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointRecord {
-    /// The newest heartbeat, with the furthest state ever heard.
+    /// The newest heartbeat, with the furthest state ever announced.
     pub announcement: Announcement,
-    /// Whether no control instance has heard it for long.
+    /// Whether no control replica has received a heartbeat for the silence timeout.
     pub is_silent: bool,
 }
 
-/// How long ago a control instance heard an incarnation itself.
+/// The age of the newest heartbeat of an incarnation that a control replica received directly.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HeartbeatAge {
-    /// Age of the newest heartbeat.
+    /// Age of the heartbeat, in milliseconds.
     pub age_ms: u64,
     /// The incarnation.
     pub id: EndpointId,
--- a/crates/masticsill_registry/src/watchers.rs
+++ b/crates/masticsill_registry/src/watchers.rs
@@ -1,46 +1,48 @@
-//! Who follows a registry, and what each has at its endpoints.
+//! The processes that poll a registry, and the loads that they report.
 
 use indexmap::IndexMap;
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use serde::{Deserialize, Serialize};
 
 use crate::id::EndpointId;
-use crate::places::{EngineReservationRequest, PlaceBook};
+use crate::reservations::{EngineReservationRequest, EngineReservations};
 
-/// A watcher that asked for nothing in this time has gone: twice the usual wait, and an answer.
-const GONE_MS: u64 = 2_500;
+/// A watcher that has not polled for this long counts as gone: twice the usual wait of a poll, and
+/// the time for an answer.
+const WATCHER_TIMEOUT_MS: u64 = 2_500;
 
-/// Who watches.
+/// A process that polls a registry.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Watcher {
     /// An entry.
     Entry {
-        /// The process.
+        /// The entry's node.
         node: NodeId,
         /// Its availability zone.
         zone: ZoneId,
     },
-    /// Another control replica, which also learns whom this one heard.
+    /// Another control replica, which also gets the ages of the heartbeats that this one received.
     Replica(NodeId),
 }
 
-/// Requests at one endpoint.
+/// The requests of one watcher at one endpoint, or a sum over watchers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointLoad {
     /// The endpoint.
     pub id: EndpointId,
-    /// Requests that it works on.
+    /// Requests in flight.
     pub in_flight: u32,
-    /// Those of them whose prompt it still reads.
+    /// Requests in flight whose prompt it is still processing.
     pub reading: u32,
-    /// Tokens that they hold in its memory, copies at other engines included.
+    /// Tokens held in its memory, by requests in flight there and by copies of requests that run at
+    /// other engines.
     pub held_tokens: u64,
-    /// Whether it has just failed the watcher, so that it is left alone.
+    /// Whether it has just failed the watcher, so that no new requests are sent to it.
     pub is_failing: bool,
 }
 
 impl EndpointLoad {
-    /// No request at an endpoint.
+    /// The load of an endpoint without requests.
     #[must_use]
     pub fn none(id: EndpointId) -> Self {
         Self {
@@ -60,14 +62,14 @@
     }
 }
 
-/// What a watcher has acknowledged and told.
+/// The revision that a watcher has acknowledged, and the loads that it reported.
 #[derive(Clone, Debug)]
-struct Seen {
-    asked_at: ClockMs,
+struct WatcherState {
+    polled_at: ClockMs,
     loads: Vec<EndpointLoad>,
-    /// Revision of the loads at which this watcher's changed last.
+    /// Revision of the loads at which this watcher's loads last changed.
     loads_revision: u64,
-    /// Revision of the registry that it holds.
+    /// Revision of the registry that the watcher has acknowledged.
     revision: u64,
 }
 
@@ -75,12 +77,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct WatcherTable {
     loads_revision: u64,
-    places: PlaceBook,
-    watchers: IndexMap<Watcher, Seen>,
+    reservations: EngineReservations,
+    watchers: IndexMap<Watcher, WatcherState>,
 }
 
 impl WatcherTable {
-    /// Notes that a watcher asks for news; it holds a revision of the registry.
+    /// Records a poll of a watcher with the registry revision that it has acknowledged and its
+    /// loads, and evicts watchers that are gone.
     pub fn record_poll(
         &mut self,
         now: ClockMs,
@@ -89,62 +92,67 @@
         loads: &[EndpointLoad],
     ) -> LoadsChange {
         self.watchers
-            .retain(|_, seen| now.since(seen.asked_at) < GONE_MS);
-        let seen = self.watchers.entry(watcher.clone()).or_insert(Seen {
-            asked_at: now,
-            loads: Vec::new(),
-            loads_revision: 0,
-            revision,
-        });
-        seen.asked_at = now;
-        seen.revision = revision;
+            .retain(|_, state| now.since(state.polled_at) < WATCHER_TIMEOUT_MS);
+        let state = self
+            .watchers
+            .entry(watcher.clone())
+            .or_insert(WatcherState {
+                polled_at: now,
+                loads: Vec::new(),
+                loads_revision: 0,
+                revision,
+            });
+        state.polled_at = now;
+        state.revision = revision;
         self.take_loads(now, watcher, loads)
     }
 
-    /// Takes what a watcher has at the endpoints now. One that has not asked yet is passed over:
-    /// its first question brings its loads along.
+    /// Replaces the loads of a watcher. Those of a watcher that has not polled yet are ignored: its
+    /// first poll contains them.
     pub fn take_loads(
         &mut self,
         now: ClockMs,
         watcher: &Watcher,
         loads: &[EndpointLoad],
     ) -> LoadsChange {
-        let Some(seen) = self.watchers.get_mut(watcher) else {
+        let Some(state) = self.watchers.get_mut(watcher) else {
             return LoadsChange::None;
         };
-        if seen.loads == loads {
+        if state.loads == loads {
             return LoadsChange::None;
         }
-        self.places.note_loads(now, watcher, &seen.loads, loads);
+        self.reservations
+            .apply_loads(now, watcher, &state.loads, loads);
         self.loads_revision += 1;
-        seen.loads = loads.to_vec();
-        seen.loads_revision = self.loads_revision;
+        state.loads = loads.to_vec();
+        state.loads_revision = self.loads_revision;
         LoadsChange::Changed
     }
 
-    /// The revision of the newest change of any watcher's loads.
+    /// The revision of the last change of any watcher's loads.
     #[must_use]
     pub fn loads_revision(&self) -> u64 {
         self.loads_revision
     }
 
-    /// Whether the loads of others than a watcher changed after a revision.
+    /// Whether the loads of any other watcher changed after a revision of the loads.
     #[must_use]
     pub fn have_other_loads_changed(&self, watcher: &Watcher, loads_revision: u64) -> bool {
         let others = self.watchers.iter().filter(|(other, _)| *other != watcher);
         others
             .into_iter()
-            .any(|(_, seen)| seen.loads_revision > loads_revision)
+            .any(|(_, state)| state.loads_revision > loads_revision)
     }
 
-    /// Requests that the other watchers told of, by endpoint.
+    /// Sums of the loads that the other watchers reported, by endpoint.
     #[must_use]
     pub fn loads_of_others(&self, now: ClockMs, watcher: &Watcher) -> Vec<EndpointLoad> {
         let sums = self.sum_loads(now, |other| other != watcher);
         sums.into_values().collect()
     }
 
-    /// Hands out a place at one of the engines, and tells what the other watchers have there.
+    /// Reserves one of the engines for an entry. Returns the engine with the sum of the other
+    /// watchers' loads there; `None` if no engine can be reserved.
     pub fn reserve_engine(
         &mut self,
         now: ClockMs,
@@ -152,10 +160,10 @@
         engines: &[&EndpointId],
     ) -> Option<EndpointLoad> {
         let loads = self.sum_loads(now, |_| true);
-        let place = self.places.reserve(now, request, engines, &loads)?;
+        let reserved = self.reservations.reserve(now, request, engines, &loads)?;
         let mut others = self.sum_loads(now, |other| *other != request.watcher);
-        let load = others.swap_remove(&place);
-        Some(load.unwrap_or_else(|| EndpointLoad::none(place)))
+        let load = others.swap_remove(&reserved);
+        Some(load.unwrap_or_else(|| EndpointLoad::none(reserved)))
     }
 
     fn sum_loads(
@@ -163,12 +171,12 @@
         now: ClockMs,
         is_counted: impl Fn(&Watcher) -> bool,
     ) -> IndexMap<EndpointId, EndpointLoad> {
-        let is_counted = |(watcher, seen): &(&Watcher, &Seen)| {
-            is_counted(watcher) && now.since(seen.asked_at) < GONE_MS
+        let is_counted = |(watcher, state): &(&Watcher, &WatcherState)| {
+            is_counted(watcher) && now.since(state.polled_at) < WATCHER_TIMEOUT_MS
         };
         let counted = self.watchers.iter().filter(is_counted);
         let mut sums: IndexMap<EndpointId, EndpointLoad> = IndexMap::new();
-        for load in counted.flat_map(|(_, seen)| &seen.loads) {
+        for load in counted.flat_map(|(_, state)| &state.loads) {
             let sum = sums.entry(load.id.clone());
             sum.or_insert_with(|| EndpointLoad::none(load.id.clone()))
                 .add(load);
@@ -176,10 +184,11 @@
         sums
     }
 
-    /// The number of entries that watch, and the names of those in the watcher's zone, in order.
+    /// The number of entries that poll, and the sorted names of those in the watcher's zone. The
+    /// names are empty if the watcher is a control replica.
     #[must_use]
     pub fn entries(&self, watcher: &Watcher) -> (u32, Vec<NodeId>) {
-        let entries = self.watchers.keys().filter_map(|it| match it {
+        let entries = self.watchers.keys().filter_map(|watcher| match watcher {
             Watcher::Entry { node, zone } => Some((node, zone)),
             Watcher::Replica(_) => None,
         });
@@ -193,32 +202,33 @@
         (count, nearby)
     }
 
-    /// Watchers known here.
+    /// Number of known watchers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.watchers.len()
     }
 
-    /// Whether nobody watches.
+    /// Whether there are no watchers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.watchers.is_empty()
     }
 
-    /// Whether each watcher that still asks holds a revision of the registry.
+    /// Whether every watcher that still polls has acknowledged a revision of the registry.
     #[must_use]
     pub fn is_acknowledged_by_all(&self, now: ClockMs, revision: u64) -> bool {
-        let has_seen =
-            |seen: &Seen| seen.revision >= revision || now.since(seen.asked_at) >= GONE_MS;
-        self.watchers.values().all(has_seen)
+        let has_acknowledged = |state: &WatcherState| {
+            state.revision >= revision || now.since(state.polled_at) >= WATCHER_TIMEOUT_MS
+        };
+        self.watchers.values().all(has_acknowledged)
     }
 }
 
-/// What a watcher's word did to the loads.
+/// The effect of a watcher's report on its loads.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadsChange {
-    /// Others must hear of it.
+    /// The loads changed, and the other watchers must learn of it.
     Changed,
-    /// Nothing is new.
+    /// The loads are the same.
     None,
 }
--- a/crates/masticsill_registry/tests/endpoint_lives.rs
+++ b/crates/masticsill_registry/tests/endpoint_lives.rs
@@ -1,4 +1,5 @@
-//! Words of several lives of one id: late, twice, in any order and over other instances.
+//! Announcements of several incarnations of one name that arrive late, repeatedly, in any order and
+//! through other control replicas must converge to the same record.
 
 use std::net::SocketAddr;
 
@@ -27,7 +28,7 @@
     id(EndpointIncarnation::started_at(started_at_ms))
 }
 
-/// A heartbeat from the address with this last number.
+/// A heartbeat of an endpoint at the address 10.0.0.`host`.
 fn heartbeat(id: EndpointId, sequence: u64, state: EndpointState, host: u8) -> Announcement {
     Announcement {
         address: SocketAddr::from(([10, 0, 0, host], 80)),
@@ -54,8 +55,9 @@
     &registry.newest("e").unwrap().announcement
 }
 
-/// Words of up to four lives, one of them without a birth. Few values, so that they meet often.
-fn words() -> impl Strategy<Value = Announcement> {
+/// Announcements of up to five incarnations, one of them without a start time. There are few
+/// values, so that equal ones are frequent.
+fn any_announcement() -> impl Strategy<Value = Announcement> {
     let incarnation = prop_oneof![
         Just(EndpointIncarnation::UNKNOWN),
         (1_u64..4).prop_map(EndpointIncarnation::started_at),
@@ -67,25 +69,33 @@
     })
 }
 
-fn joined(words: &[Announcement]) -> Announcement {
-    let mut joined = words[0].clone();
-    for word in &words[1..] {
-        joined.join(word);
+fn joined(announcements: &[Announcement]) -> Announcement {
+    let mut joined = announcements[0].clone();
+    for announcement in &announcements[1..] {
+        joined.join(announcement);
     }
     joined
 }
 
-/// What must be known in the end, by looking at all words at once.
-fn expected(words: &[Announcement]) -> (EndpointIncarnation, EndpointState, u64) {
-    let incarnation = words.iter().map(|word| word.id.incarnation).max().unwrap();
-    let of_incarnation: Vec<_> = words
+/// The expected final record, computed from all announcements at once.
+fn expected(announcements: &[Announcement]) -> (EndpointIncarnation, EndpointState, u64) {
+    let incarnation = announcements
         .iter()
-        .filter(|word| word.id.incarnation == incarnation)
+        .map(|announcement| announcement.id.incarnation)
+        .max()
+        .unwrap();
+    let of_incarnation: Vec<_> = announcements
+        .iter()
+        .filter(|announcement| announcement.id.incarnation == incarnation)
         .collect();
-    let state = of_incarnation.iter().map(|word| word.state).max().unwrap();
+    let state = of_incarnation
+        .iter()
+        .map(|announcement| announcement.state)
+        .max()
+        .unwrap();
     let sequence = of_incarnation
         .iter()
-        .map(|word| word.sequence)
+        .map(|announcement| announcement.sequence)
         .max()
         .unwrap();
     (incarnation, state, sequence)
@@ -103,62 +113,76 @@
 
 proptest! {
     #[test]
-    fn join_is_commutative(left in words(), right in words()) {
+    fn join_is_commutative(left in any_announcement(), right in any_announcement()) {
         prop_assert_eq!(joined(&[left.clone(), right.clone()]), joined(&[right, left]));
     }
 
     #[test]
-    fn join_is_associative(first in words(), second in words(), third in words()) {
+    fn join_is_associative(
+        first in any_announcement(),
+        second in any_announcement(),
+        third in any_announcement(),
+    ) {
         let right = joined(&[second.clone(), third.clone()]);
         let left = joined(&[first.clone(), second]);
         prop_assert_eq!(joined(&[left, third]), joined(&[first, right]));
     }
 
     #[test]
-    fn join_is_idempotent(word in words(), other in words()) {
-        prop_assert_eq!(joined(&[word.clone(), word.clone()]), word.clone());
-        let both = joined(&[word, other.clone()]);
+    fn join_is_idempotent(announcement in any_announcement(), other in any_announcement()) {
+        prop_assert_eq!(
+            joined(&[announcement.clone(), announcement.clone()]),
+            announcement.clone()
+        );
+        let both = joined(&[announcement, other.clone()]);
         let mut again = both.clone();
         prop_assert_eq!(again.join(&other), JoinOutcome::Same);
         prop_assert_eq!(again, both);
     }
 
     #[test]
-    fn nothing_goes_back(words in prop::collection::vec(words(), 2..20)) {
-        let mut known_now = words[0].clone();
-        for word in &words[1..] {
-            let before = known_now.clone();
-            let joined = known_now.join(word);
-            let has_moved = (known_now.id.incarnation, known_now.state) > (before.id.incarnation, before.state);
-            let is_replaced = known_now.id.incarnation > before.id.incarnation;
-            prop_assert!(has_moved || (known_now.id.incarnation, known_now.state) == (before.id.incarnation, before.state));
+    fn join_never_moves_backwards(
+        announcements in prop::collection::vec(any_announcement(), 2..20),
+    ) {
+        let mut known_record = announcements[0].clone();
+        for announcement in &announcements[1..] {
+            let before = known_record.clone();
+            let joined = known_record.join(announcement);
+            let has_advanced = (known_record.id.incarnation, known_record.state)
+                > (before.id.incarnation, before.state);
+            let is_replaced = known_record.id.incarnation > before.id.incarnation;
+            prop_assert!(
+                has_advanced
+                    || (known_record.id.incarnation, known_record.state)
+                        == (before.id.incarnation, before.state)
+            );
             prop_assert_eq!(joined == JoinOutcome::Replaced, is_replaced);
-            prop_assert!(joined != JoinOutcome::Same || !has_moved);
+            prop_assert!(joined != JoinOutcome::Same || !has_advanced);
         }
     }
 
-    /// Three instances hear words in any order, some of them twice, exchange all they know in any
-    /// order, and a reader follows one of them: all know the same as a model that sees everything.
+    /// Three replicas receive announcements in any order, some of them twice, and exchange their
+    /// records in any order. All must end with the same record as a model that sees everything.
     #[test]
-    fn instances_agree_with_the_model(
-        words in prop::collection::vec(words(), 1..20),
+    fn replicas_converge_to_the_model(
+        announcements in prop::collection::vec(any_announcement(), 1..20),
         heard in prop::collection::vec((0_usize..3, any::<prop::sample::Index>()), 0..60),
         exchanges in prop::collection::vec((0_usize..3, 0_usize..3), 0..20),
     ) {
         let mut instances = [registry(), registry(), registry()];
-        for (instance, word) in &heard {
-            instances[*instance].announce(NOW, word.get(&words));
+        for (instance, announcement) in &heard {
+            instances[*instance].announce(NOW, announcement.get(&announcements));
         }
-        // Each word comes somewhere once at least.
-        for (position, word) in words.iter().enumerate() {
-            instances[position % 3].announce(NOW, word);
+        // Each announcement reaches at least one replica.
+        for (position, announcement) in announcements.iter().enumerate() {
+            instances[position % 3].announce(NOW, announcement);
         }
-        let whole_rounds = [(0, 1), (1, 2), (2, 0), (0, 1)];
-        for (from, to) in exchanges.into_iter().chain(whole_rounds) {
+        let full_rounds = [(0, 1), (1, 2), (2, 0), (0, 1)];
+        for (from, to) in exchanges.into_iter().chain(full_rounds) {
             let records = instances[from].changes_since(0);
             instances[to].merge(NOW, &records);
         }
-        let (incarnation, state, _) = expected(&words);
+        let (incarnation, state, _) = expected(&announcements);
         for instance in &instances {
             let (known_incarnation, known_state, _) = known(newest(instance));
             prop_assert_eq!((known_incarnation, known_state), (incarnation, state));
@@ -167,33 +191,37 @@
     }
 
     #[test]
-    fn one_instance_ends_with_the_newest_word(words in prop::collection::vec(words(), 1..20)) {
+    fn one_replica_keeps_the_newest_announcement(
+        announcements in prop::collection::vec(any_announcement(), 1..20),
+    ) {
         let mut registry = registry();
-        for word in &words {
-            registry.announce(NOW, word);
+        for announcement in &announcements {
+            registry.announce(NOW, announcement);
         }
-        prop_assert_eq!(known(newest(&registry)), expected(&words));
+        prop_assert_eq!(known(newest(&registry)), expected(&announcements));
     }
 
     #[test]
-    fn readers_hear_of_each_change(words in prop::collection::vec(words(), 1..20)) {
-        let (mut told, mut reader) = (registry(), registry());
+    fn readers_receive_each_change(
+        announcements in prop::collection::vec(any_announcement(), 1..20),
+    ) {
+        let (mut source, mut reader) = (registry(), registry());
         let mut seen = 0;
-        for word in &words {
-            told.announce(NOW, word);
-            let changes = told.changes_since(seen);
-            seen = told.revision();
+        for announcement in &announcements {
+            source.announce(NOW, announcement);
+            let changes = source.changes_since(seen);
+            seen = source.revision();
             reader.merge(NOW, &changes);
-            let (incarnation, state, _) = known(newest(&told));
+            let (incarnation, state, _) = known(newest(&source));
             let (read_incarnation, read_state, _) = known(newest(&reader));
             prop_assert_eq!((read_incarnation, read_state), (incarnation, state));
-            prop_assert_eq!(newest(&reader).address, newest(&told).address);
+            prop_assert_eq!(newest(&reader).address, newest(&source).address);
         }
     }
 }
 
 #[test]
-fn a_newer_life_begins_anew() {
+fn newer_incarnation_replaces_the_former_one() {
     let mut registry = registry();
     registry.announce(NOW, &ready(started(1), 90));
     registry.deregister(NOW, &started(1));
@@ -203,7 +231,7 @@
 }
 
 #[test]
-fn a_late_word_of_a_former_life_changes_nothing() {
+fn late_announcement_of_a_former_incarnation_changes_nothing() {
     let mut registry = registry();
     registry.announce(NOW, &ready(started(2), 1));
     let revision = registry.revision();
@@ -215,7 +243,7 @@
 }
 
 #[test]
-fn a_late_word_of_a_former_life_is_no_sign_of_life() {
+fn late_announcement_of_a_former_incarnation_does_not_prevent_silence() {
     let mut registry = registry();
     registry.announce(ClockMs(0), &ready(started(2), 1));
     registry.announce(ClockMs(4_900), &ready(started(1), 50));
@@ -229,7 +257,7 @@
 }
 
 #[test]
-fn a_newer_life_is_not_silent_as_its_former_one() {
+fn newer_incarnation_of_a_silent_one_is_not_silent() {
     let mut registry = registry();
     registry.announce(ClockMs(0), &ready(started(1), 1));
     registry.update_silence(ClockMs(5_000), true);
@@ -241,7 +269,7 @@
 }
 
 #[test]
-fn a_deregistration_without_a_birth_ends_the_known_life() {
+fn deregistration_without_start_time_ends_the_known_incarnation() {
     let mut registry = registry();
     registry.announce(NOW, &ready(started(2), 1));
     assert!(registry.deregister(NOW, &EndpointId::with_unknown_incarnation("e")));
--- a/crates/masticsill_registry/tests/handed_places.rs
+++ b/crates/masticsill_registry/tests/handed_places.rs
@@ -1,4 +1,5 @@
-//! Places at engines that are handed out one by one.
+//! Reservations of engines: an engine is reserved for one entry at a time, until the start is
+//! reported or the lease expires.
 
 use masticsill_registry::{
     EndpointId, EndpointLoad, EngineReservationRequest, Watcher, WatcherTable,
@@ -34,137 +35,147 @@
     }
 }
 
-/// The replica of a zone, its engines and two entries.
+/// The control replica of a zone, its engines and two entries.
 struct Zone {
-    book: WatcherTable,
+    table: WatcherTable,
     engines: Vec<EndpointId>,
 }
 
 impl Zone {
     fn new(engines: &[&str]) -> Self {
-        let mut book = WatcherTable::default();
+        let mut table = WatcherTable::default();
         for name in ["one", "two"] {
-            book.record_poll(NOW, &entry(name), 1, &[]);
+            table.record_poll(NOW, &entry(name), 1, &[]);
         }
         let engines = engines.iter().map(|name| id(name)).collect();
-        Self { book, engines }
+        Self { table, engines }
     }
 
-    fn tell(&mut self, now: ClockMs, name: &str, loads: &[EndpointLoad]) {
-        self.book.record_poll(now, &entry(name), 1, loads);
+    fn poll(&mut self, now: ClockMs, name: &str, loads: &[EndpointLoad]) {
+        self.table.record_poll(now, &entry(name), 1, loads);
     }
 
-    fn ask_but(&mut self, now: ClockMs, name: &str, avoided: &[&str]) -> Option<EndpointLoad> {
+    fn reserve_avoiding(
+        &mut self,
+        now: ClockMs,
+        name: &str,
+        avoided: &[&str],
+    ) -> Option<EndpointLoad> {
         let request = EngineReservationRequest {
             avoided: avoided.iter().map(|name| id(name)).collect(),
             service: "s".to_owned(),
             watcher: entry(name),
         };
         let engines: Vec<&EndpointId> = self.engines.iter().collect();
-        self.book.reserve_engine(now, &request, &engines)
+        self.table.reserve_engine(now, &request, &engines)
     }
 
-    fn ask(&mut self, now: ClockMs, name: &str) -> Option<String> {
-        let place = self.ask_but(now, name, &[]);
-        place.map(|load| load.id.name)
+    fn reserve(&mut self, now: ClockMs, name: &str) -> Option<String> {
+        let reserved = self.reserve_avoiding(now, name, &[]);
+        reserved.map(|load| load.id.name)
     }
 }
 
 #[test]
-fn one_idle_engine_goes_to_one_entry() {
+fn one_idle_engine_is_reserved_for_one_entry() {
     let mut zone = Zone::new(&["e1"]);
-    assert_eq!(zone.ask(NOW, "one").as_deref(), Some("e1"));
-    assert_eq!(zone.ask(NOW, "two"), None);
-    assert_eq!(zone.ask(NOW, "one"), None);
+    assert_eq!(zone.reserve(NOW, "one").as_deref(), Some("e1"));
+    assert_eq!(zone.reserve(NOW, "two"), None);
+    assert_eq!(zone.reserve(NOW, "one"), None);
 }
 
 #[test]
-fn idlest_engine_goes_first() {
+fn least_loaded_engine_is_reserved_first() {
     let mut zone = Zone::new(&["e1", "e2", "e3"]);
-    zone.tell(NOW, "one", &[load("e1", 2, 0), load("e2", 1, 1)]);
-    zone.tell(NOW, "two", &[load("e3", 1, 0)]);
-    assert_eq!(zone.ask(NOW, "one").as_deref(), Some("e3"));
-    assert_eq!(zone.ask(NOW, "one").as_deref(), Some("e1"));
-    assert_eq!(zone.ask(NOW, "one"), None);
+    zone.poll(NOW, "one", &[load("e1", 2, 0), load("e2", 1, 1)]);
+    zone.poll(NOW, "two", &[load("e3", 1, 0)]);
+    assert_eq!(zone.reserve(NOW, "one").as_deref(), Some("e3"));
+    assert_eq!(zone.reserve(NOW, "one").as_deref(), Some("e1"));
+    assert_eq!(zone.reserve(NOW, "one"), None);
 }
 
 #[test]
-fn entries_are_told_what_the_others_have() {
+fn reservation_returns_the_loads_of_other_entries() {
     let mut zone = Zone::new(&["e1"]);
-    zone.tell(NOW, "one", &[load("e1", 2, 0)]);
-    zone.tell(NOW, "two", &[load("e1", 3, 0)]);
-    assert_eq!(zone.ask_but(NOW, "one", &[]), Some(load("e1", 3, 0)));
+    zone.poll(NOW, "one", &[load("e1", 2, 0)]);
+    zone.poll(NOW, "two", &[load("e1", 3, 0)]);
+    assert_eq!(
+        zone.reserve_avoiding(NOW, "one", &[]),
+        Some(load("e1", 3, 0))
+    );
 }
 
 #[test]
-fn unwanted_engines_are_left_out() {
+fn avoided_engines_are_not_reserved() {
     let mut zone = Zone::new(&["e1", "e2"]);
-    let place = zone.ask_but(NOW, "one", &["e1"]);
-    assert_eq!(place.unwrap().id, id("e2"));
+    let reserved = zone.reserve_avoiding(NOW, "one", &["e1"]);
+    assert_eq!(reserved.unwrap().id, id("e2"));
 }
 
 #[test]
-fn places_of_a_lost_entry_run_out() {
+fn reservation_of_a_lost_entry_expires() {
     let mut zone = Zone::new(&["e1"]);
-    zone.ask(NOW, "one");
-    assert_eq!(zone.ask(NOW + 149, "two"), None);
-    assert_eq!(zone.ask(NOW + 150, "two").as_deref(), Some("e1"));
+    zone.reserve(NOW, "one");
+    assert_eq!(zone.reserve(NOW + 149, "two"), None);
+    assert_eq!(zone.reserve(NOW + 150, "two").as_deref(), Some("e1"));
 }
 
 #[test]
-fn word_of_the_start_takes_the_place() {
+fn reported_start_ends_the_reservation() {
     let mut zone = Zone::new(&["e1"]);
-    zone.ask(NOW, "one");
-    zone.tell(NOW + 10, "one", &[load("e1", 1, 1)]);
-    assert_eq!(zone.ask(NOW + 20, "two"), None);
-    // Its prompt was short: the engine is free again before the place would have run out.
-    zone.tell(NOW + 30, "one", &[load("e1", 1, 0)]);
-    assert_eq!(zone.ask(NOW + 40, "two").as_deref(), Some("e1"));
+    zone.reserve(NOW, "one");
+    zone.poll(NOW + 10, "one", &[load("e1", 1, 1)]);
+    assert_eq!(zone.reserve(NOW + 20, "two"), None);
+    // The prompt was processed quickly: the engine is free again before the lease would have
+    // expired.
+    zone.poll(NOW + 30, "one", &[load("e1", 1, 0)]);
+    assert_eq!(zone.reserve(NOW + 40, "two").as_deref(), Some("e1"));
 }
 
 #[test]
-fn word_of_another_start_leaves_the_place() {
+fn start_at_another_engine_keeps_the_reservation() {
     let mut zone = Zone::new(&["e1", "e2"]);
-    zone.ask(NOW, "one");
-    zone.tell(NOW + 10, "one", &[load("e2", 1, 1)]);
-    assert_eq!(zone.ask(NOW + 20, "two"), None);
+    zone.reserve(NOW, "one");
+    zone.poll(NOW + 10, "one", &[load("e2", 1, 1)]);
+    assert_eq!(zone.reserve(NOW + 20, "two"), None);
 }
 
-/// Two replicas that both hand out places know both of what entries told, and neither's places.
+/// Two replicas that both reserve engines know the loads that entries reported, but not each
+/// other's reservations.
 #[test]
-fn second_replica_avoids_what_it_was_told() {
+fn second_replica_avoids_engines_with_reported_loads() {
     let (mut first, mut second) = (Zone::new(&["e1", "e2"]), Zone::new(&["e1", "e2"]));
-    let place = first.ask(NOW, "one").unwrap();
+    let reserved = first.reserve(NOW, "one").unwrap();
     for zone in [&mut first, &mut second] {
-        zone.tell(NOW + 10, "one", &[load(&place, 1, 1)]);
+        zone.poll(NOW + 10, "one", &[load(&reserved, 1, 1)]);
     }
-    let other = second.ask(NOW + 20, "two").unwrap();
-    assert_ne!(place, other);
+    let other = second.reserve(NOW + 20, "two").unwrap();
+    assert_ne!(reserved, other);
 }
 
 #[test]
-fn engines_that_failed_get_no_place() {
+fn failed_engines_are_not_reserved() {
     let mut zone = Zone::new(&["e1", "e2"]);
-    zone.tell(NOW, "one", &[failing("e1")]);
-    zone.tell(NOW + 5, "one", &[]);
-    assert_eq!(zone.ask(NOW + 10, "two").as_deref(), Some("e2"));
-    assert_eq!(zone.ask(NOW + 10, "two"), None);
-    assert_eq!(zone.ask(NOW + 1_000, "two").as_deref(), Some("e1"));
+    zone.poll(NOW, "one", &[failing("e1")]);
+    zone.poll(NOW + 5, "one", &[]);
+    assert_eq!(zone.reserve(NOW + 10, "two").as_deref(), Some("e2"));
+    assert_eq!(zone.reserve(NOW + 10, "two"), None);
+    assert_eq!(zone.reserve(NOW + 1_000, "two").as_deref(), Some("e1"));
 }
 
 #[test]
-fn zone_that_is_down_hands_out_nothing() {
+fn no_engine_is_reserved_in_a_zone_that_is_down() {
     let mut zone = Zone::new(&["e1", "e2", "e3", "e4", "e5"]);
     let failing = ["e1", "e2", "e3"].map(failing);
-    zone.tell(NOW, "one", &failing);
-    assert_eq!(zone.ask(NOW + 10, "two"), None);
-    zone.tell(NOW + 20, "one", &[]);
-    assert_eq!(zone.ask(NOW + 900, "two"), None);
-    assert!(zone.ask(NOW + 1_000, "two").is_some());
+    zone.poll(NOW, "one", &failing);
+    assert_eq!(zone.reserve(NOW + 10, "two"), None);
+    zone.poll(NOW + 20, "one", &[]);
+    assert_eq!(zone.reserve(NOW + 900, "two"), None);
+    assert!(zone.reserve(NOW + 1_000, "two").is_some());
 }
 
 #[test]
-fn few_failures_among_many_leave_the_zone_up() {
+fn few_failures_among_many_engines_do_not_mark_the_zone_down() {
     let names: Vec<String> = (0..40).map(|engine| format!("e{engine}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut zone = Zone::new(&names);
@@ -172,26 +183,28 @@
     for load in loads.iter_mut().take(3) {
         load.is_failing = true;
     }
-    zone.tell(NOW, "one", &loads);
-    assert_eq!(zone.ask(NOW + 10, "two").as_deref(), Some("e3"));
+    zone.poll(NOW, "one", &loads);
+    assert_eq!(zone.reserve(NOW + 10, "two").as_deref(), Some("e3"));
 }
 
 proptest! {
-    /// Whoever asks, and whenever: while a place is kept and its start was not told, nobody else
-    /// gets it, and no engine that reads a prompt is handed out.
+    /// Whichever entry asks at whatever time: while an engine's reservation is valid and its start
+    /// was not reported, it is not reserved again, and a free engine is always reserved.
     #[test]
-    fn places_are_never_given_twice(steps in proptest::collection::vec((0..2_usize, 0..60_u64), 1..60)) {
+    fn engine_is_never_reserved_twice(
+        steps in proptest::collection::vec((0..2_usize, 0..60_u64), 1..60),
+    ) {
         let mut zone = Zone::new(&["e1", "e2", "e3", "e4"]);
-        let mut kept: Vec<(String, ClockMs)> = Vec::new();
+        let mut leased: Vec<(String, ClockMs)> = Vec::new();
         let mut now = NOW;
         for (who, pause_ms) in steps {
             now = now + pause_ms;
-            kept.retain(|(_, until)| now < *until);
-            if let Some(place) = zone.ask(now, ["one", "two"][who]) {
-                prop_assert!(kept.iter().all(|(name, _)| *name != place));
-                kept.push((place, now + 150));
+            leased.retain(|(_, until)| now < *until);
+            if let Some(reserved) = zone.reserve(now, ["one", "two"][who]) {
+                prop_assert!(leased.iter().all(|(name, _)| *name != reserved));
+                leased.push((reserved, now + 150));
             } else {
-                prop_assert_eq!(kept.len(), 4);
+                prop_assert_eq!(leased.len(), 4);
             }
         }
     }
--- a/crates/masticsill_registry/tests/heartbeats.rs
+++ b/crates/masticsill_registry/tests/heartbeats.rs
@@ -1,11 +1,11 @@
-//! Heartbeats that come late, twice, out of order and through other instances.
+//! Heartbeats that arrive late, repeatedly, out of order and through other control replicas.
 
 use masticsill_registry::{
     Announcement, EndpointId, EndpointState, HeartbeatAge, Registry, RegistryTimeouts,
 };
 use masticsill_types::{ClockMs, ZoneId};
 
-const PERIODS: RegistryTimeouts = RegistryTimeouts {
+const TIMEOUTS: RegistryTimeouts = RegistryTimeouts {
     forget_ms: 60_000,
     silence_ms: 5_000,
 };
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_late_heartbeat_does_not_undo_draining() {
-    let mut registry = Registry::new(PERIODS);
+    let mut registry = Registry::new(TIMEOUTS);
     let now = ClockMs(1_000);
     assert!(registry.announce(now, &heartbeat("e", 1, EndpointState::Ready)));
     assert!(registry.announce(now, &heartbeat("e", 3, EndpointState::Draining)));
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn an_incarnation_that_has_ended_never_comes_back() {
-    let mut registry = Registry::new(PERIODS);
+fn ended_incarnation_never_becomes_ready_again() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     assert!(registry.deregister(ClockMs(1), &id("e")));
     assert!(!registry.deregister(ClockMs(1), &id("e")));
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_incarnation_reaches_those_who_know_it() {
-    let mut restarted = Registry::new(PERIODS);
+fn deregistration_of_an_unknown_incarnation_reaches_readers() {
+    let mut restarted = Registry::new(TIMEOUTS);
     assert!(restarted.deregister(ClockMs(0), &id("e")));
-    let mut reader = Registry::new(PERIODS);
+    let mut reader = Registry::new(TIMEOUTS);
     reader.announce(ClockMs(0), &heartbeat("e", 7, EndpointState::Ready));
     assert!(reader.merge(ClockMs(1), &restarted.changes_since(0)));
     assert_eq!(state_of(&reader, "e"), EndpointState::Gone);
 }
 
 #[test]
-fn readers_get_what_changed_since_their_revision() {
-    let mut registry = Registry::new(PERIODS);
+fn readers_get_changes_since_their_revision() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     let seen = registry.revision();
     registry.announce(ClockMs(1), &heartbeat("e", 2, EndpointState::Ready));
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn what_another_instance_hears_is_not_silent() {
-    let mut registry = Registry::new(PERIODS);
+fn heartbeat_at_another_replica_prevents_silence() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     registry.announce(ClockMs(0), &heartbeat("f", 1, EndpointState::Ready));
     let heard = HeartbeatAge {
@@ -100,16 +100,16 @@
 }
 
 #[test]
-fn an_instance_that_is_cut_off_declares_nobody_lost() {
-    let mut registry = Registry::new(PERIODS);
+fn partitioned_replica_marks_no_endpoint_silent() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     assert!(!registry.update_silence(ClockMs(50_000), false));
     assert!(!registry.get(&id("e")).unwrap().is_silent);
 }
 
 #[test]
-fn a_held_up_heartbeat_is_no_sign_of_life() {
-    let mut registry = Registry::new(PERIODS);
+fn delayed_heartbeat_does_not_prevent_silence() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 5, EndpointState::Ready));
     registry.announce(ClockMs(4_900), &heartbeat("e", 4, EndpointState::Ready));
     registry.update_silence(ClockMs(5_000), true);
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn joining_records_in_any_order_gives_the_same() {
-    let beats = [
+fn joining_heartbeats_in_any_order_gives_the_same_record() {
+    let heartbeats = [
         heartbeat("e", 1, EndpointState::Ready),
         heartbeat("e", 2, EndpointState::Draining),
         heartbeat("e", 3, EndpointState::Ready),
     ];
     let mut results = Vec::new();
     for order in [[0, 1, 2], [2, 1, 0], [1, 0, 2], [2, 0, 1]] {
-        let mut registry = Registry::new(PERIODS);
+        let mut registry = Registry::new(TIMEOUTS);
         for position in order {
-            registry.announce(ClockMs(0), &beats[position]);
+            registry.announce(ClockMs(0), &heartbeats[position]);
         }
         results.push(registry.get(&id("e")).unwrap().clone());
     }
@@ -136,8 +136,8 @@
 }
 
 #[test]
-fn what_is_long_past_is_forgotten() {
-    let mut registry = Registry::new(PERIODS);
+fn ended_incarnation_is_evicted_after_the_retention_period() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     registry.deregister(ClockMs(1), &id("e"));
     registry.update_silence(ClockMs(59_000), true);
@@ -154,10 +154,11 @@
         .collect()
 }
 
-/// An endpoint that crashed and began anew: its former life counts as lost after seconds only.
+/// After a crash and restart under another name, the former incarnation counts as silent only after
+/// seconds, although its address belongs to the new one.
 #[test]
-fn only_the_life_heard_last_at_an_address_takes_requests() {
-    let mut registry = Registry::new(PERIODS);
+fn only_the_newest_incarnation_at_an_address_gets_requests() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("former", 9, EndpointState::Ready));
     assert_eq!(ready_endpoints(&registry), ["former"]);
     registry.announce(ClockMs(1_500), &heartbeat("later", 1, EndpointState::Ready));
@@ -170,8 +171,8 @@
 }
 
 #[test]
-fn silent_endpoints_take_no_requests() {
-    let mut registry = Registry::new(PERIODS);
+fn silent_endpoints_get_no_requests() {
+    let mut registry = Registry::new(TIMEOUTS);
     registry.announce(ClockMs(0), &heartbeat("e", 1, EndpointState::Ready));
     registry.update_silence(ClockMs(5_000), true);
     assert!(ready_endpoints(&registry).is_empty());
--- a/crates/masticsill_registry/tests/watcher_loads.rs
+++ b/crates/masticsill_registry/tests/watcher_loads.rs
@@ -1,4 +1,4 @@
-//! What watchers have at the endpoints, and who must hear of a change.
+//! The loads that watchers report, and which watchers must learn of a change.
 
 use masticsill_registry::{EndpointId, EndpointLoad, LoadsChange, Watcher, WatcherTable};
 use masticsill_types::{ClockMs, NodeId, ZoneId};
@@ -22,72 +22,72 @@
     }
 }
 
-fn book() -> WatcherTable {
-    let mut book = WatcherTable::default();
-    book.record_poll(NOW, &entry("one"), 1, &[]);
-    book.record_poll(NOW, &entry("two"), 1, &[]);
-    book
+fn table() -> WatcherTable {
+    let mut table = WatcherTable::default();
+    table.record_poll(NOW, &entry("one"), 1, &[]);
+    table.record_poll(NOW, &entry("two"), 1, &[]);
+    table
 }
 
 #[test]
-fn a_changed_load_is_news_for_the_others_only() {
-    let mut book = book();
-    let before = book.loads_revision();
+fn changed_load_is_reported_to_other_watchers_only() {
+    let mut table = table();
+    let before = table.loads_revision();
     assert_eq!(
-        book.take_loads(NOW, &entry("one"), &[load(1, 1)]),
+        table.take_loads(NOW, &entry("one"), &[load(1, 1)]),
         LoadsChange::Changed
     );
-    assert!(book.have_other_loads_changed(&entry("two"), before));
-    assert!(!book.have_other_loads_changed(&entry("one"), before));
-    assert!(!book.have_other_loads_changed(&entry("two"), book.loads_revision()));
-    assert_eq!(book.loads_of_others(NOW, &entry("two")), [load(1, 1)]);
-    assert!(book.loads_of_others(NOW, &entry("one")).is_empty());
+    assert!(table.have_other_loads_changed(&entry("two"), before));
+    assert!(!table.have_other_loads_changed(&entry("one"), before));
+    assert!(!table.have_other_loads_changed(&entry("two"), table.loads_revision()));
+    assert_eq!(table.loads_of_others(NOW, &entry("two")), [load(1, 1)]);
+    assert!(table.loads_of_others(NOW, &entry("one")).is_empty());
 }
 
 #[test]
-fn the_same_loads_again_are_no_news() {
-    let mut book = book();
-    book.take_loads(NOW, &entry("one"), &[load(1, 1)]);
-    let again = book.take_loads(NOW, &entry("one"), &[load(1, 1)]);
+fn repeated_loads_are_no_change() {
+    let mut table = table();
+    table.take_loads(NOW, &entry("one"), &[load(1, 1)]);
+    let again = table.take_loads(NOW, &entry("one"), &[load(1, 1)]);
     assert_eq!(again, LoadsChange::None);
-    let asked = book.record_poll(NOW, &entry("one"), 2, &[load(1, 1)]);
-    assert_eq!(asked, LoadsChange::None);
+    let polled = table.record_poll(NOW, &entry("one"), 2, &[load(1, 1)]);
+    assert_eq!(polled, LoadsChange::None);
 }
 
 #[test]
 fn loads_of_several_watchers_are_added_up() {
-    let mut book = book();
-    book.record_poll(NOW, &entry("three"), 1, &[load(2, 0)]);
-    book.take_loads(NOW, &entry("one"), &[load(3, 1)]);
-    assert_eq!(book.loads_of_others(NOW, &entry("two")), [load(5, 1)]);
+    let mut table = table();
+    table.record_poll(NOW, &entry("three"), 1, &[load(2, 0)]);
+    table.take_loads(NOW, &entry("one"), &[load(3, 1)]);
+    assert_eq!(table.loads_of_others(NOW, &entry("two")), [load(5, 1)]);
 }
 
 #[test]
 fn a_watcher_that_is_gone_has_no_loads() {
-    let mut book = book();
-    book.take_loads(NOW, &entry("one"), &[load(1, 0)]);
+    let mut table = table();
+    table.take_loads(NOW, &entry("one"), &[load(1, 0)]);
     let later = NOW + 10_000;
-    book.record_poll(later, &entry("two"), 1, &[]);
-    assert!(book.loads_of_others(later, &entry("two")).is_empty());
-    assert_eq!(book.entries(&entry("two")).0, 1);
-    // It asks again, and brings them along.
+    table.record_poll(later, &entry("two"), 1, &[]);
+    assert!(table.loads_of_others(later, &entry("two")).is_empty());
+    assert_eq!(table.entries(&entry("two")).0, 1);
+    // Its loads count again only with its next poll.
     assert_eq!(
-        book.take_loads(NOW, &entry("one"), &[load(1, 0)]),
+        table.take_loads(NOW, &entry("one"), &[load(1, 0)]),
         LoadsChange::None
     );
-    let back = book.record_poll(later, &entry("one"), 1, &[load(1, 0)]);
+    let back = table.record_poll(later, &entry("one"), 1, &[load(1, 0)]);
     assert_eq!(back, LoadsChange::Changed);
 }
 
 #[test]
-fn a_revision_is_seen_once_every_watcher_that_asks_holds_it() {
-    let mut book = book();
-    book.record_poll(NOW, &entry("one"), 7, &[]);
-    assert!(!book.is_acknowledged_by_all(NOW, 7));
-    book.record_poll(NOW, &entry("two"), 7, &[]);
-    assert!(book.is_acknowledged_by_all(NOW, 7));
-    // One that has gone holds nobody up.
-    book.record_poll(NOW + 2_400, &entry("one"), 8, &[]);
-    assert!(!book.is_acknowledged_by_all(NOW + 2_400, 8));
-    assert!(book.is_acknowledged_by_all(NOW + 2_600, 8));
+fn revision_is_acknowledged_once_every_polling_watcher_has_it() {
+    let mut table = table();
+    table.record_poll(NOW, &entry("one"), 7, &[]);
+    assert!(!table.is_acknowledged_by_all(NOW, 7));
+    table.record_poll(NOW, &entry("two"), 7, &[]);
+    assert!(table.is_acknowledged_by_all(NOW, 7));
+    // A watcher that is gone is not waited for.
+    table.record_poll(NOW + 2_400, &entry("one"), 8, &[]);
+    assert!(!table.is_acknowledged_by_all(NOW + 2_400, 8));
+    assert!(table.is_acknowledged_by_all(NOW + 2_600, 8));
 }
