--- a/crates/masticsill_registry/src/id.rs
+++ b/crates/masticsill_registry/src/id.rs
@@ -53,7 +53,7 @@
 ///
 /// A restarted endpoint has another name or, under its old name, another incarnation. So
 /// connections, reservations, cached prompts and copies of a former incarnation are never found
-/// under the id of the next. Displayed as the name, which is the id that endpoints use themselves.
+/// under the id of the next. Displayed as the name, by which endpoints identify themselves.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct EndpointId {
     /// The name under which the endpoint announces itself.
--- a/crates/masticsill_registry/src/join.rs
+++ b/crates/masticsill_registry/src/join.rs
@@ -23,7 +23,8 @@
 }
 
 /// The order of the heartbeats of one incarnation: by sequence and, for equal sequences, by all
-/// other fields, so that every process chooses the same one.
+/// other fields but the state, so that every process chooses the same one. States are joined
+/// separately.
 type Recency<'a> = (u64, bool, &'a str, SocketAddr, &'a ZoneId, u32, u64, bool);
 
 impl Announcement {
--- a/crates/masticsill_routing/src/fair_queue.rs
+++ b/crates/masticsill_routing/src/fair_queue.rs
@@ -197,7 +197,7 @@
         Some(request)
     }
 
-    /// Evicts flows without queued requests whose tag isn't above the virtual time: a new flow
+    /// Once many flows are idle, evicts those whose tag isn't above the virtual time: a new flow
     /// would start at the same tag.
     fn evict_idle_flows(&mut self) {
         let virtual_time = self.virtual_time;
--- a/crates/masticsill_routing/src/refusals.rs
+++ b/crates/masticsill_routing/src/refusals.rs
@@ -5,10 +5,11 @@
 use crate::request::{WorkKind, WorkRequest};
 use crate::router::Router;
 
-/// Bounds of the retry time that refusals return.
+/// Shortest retry time that a refusal returns.
 const MIN_RETRY_AFTER_MS: u64 = 250;
+/// Longest retry time that a refusal returns.
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
-/// Retry time while no endpoint serves the target.
+/// Retry time while no endpoint serves the target and none is held down.
 const NO_ENDPOINT_RETRY_AFTER_MS: u64 = 2_000;
 /// Retry time when a retry budget is used up.
 const RETRY_BUDGET_RETRY_AFTER_MS: u64 = 1_000;
--- a/crates/masticsill_routing/src/request.rs
+++ b/crates/masticsill_routing/src/request.rs
@@ -29,7 +29,8 @@
     New,
     /// A generation that was admitted before and continues on another endpoint.
     ///
-    /// It starts before new requests and is not counted against the request and token rates again.
+    /// It starts before new requests, isn't counted against the request rate again and doesn't wait
+    /// for the token rate.
     Resume,
     /// A request that did not run at one endpoint and is tried at another, within the retry
     /// budgets.
--- a/crates/masticsill_routing/src/router.rs
+++ b/crates/masticsill_routing/src/router.rs
@@ -19,7 +19,7 @@
 };
 use crate::retry_budget::RetryBudgets;
 
-/// The part of a catalogue entry that the router uses.
+/// The properties of a catalogue entry that the router uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntryPolicy {
     /// Class of its requests.
