--- a/crates/masticsill_bench/src/entry.rs
+++ b/crates/masticsill_bench/src/entry.rs
@@ -134,7 +134,7 @@
 }
 
 pub(crate) fn endpoint_id(endpoint: usize) -> EndpointId {
-    EndpointId::unnamed_life(format!("engine-{endpoint:03}"))
+    EndpointId::with_unknown_incarnation(format!("engine-{endpoint:03}"))
 }
 
 /// The zone of an entry's or an endpoint's number.
--- a/crates/masticsill_dispatch/src/endpoints.rs
+++ b/crates/masticsill_dispatch/src/endpoints.rs
@@ -5,7 +5,8 @@
 
 use indexmap::IndexMap;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, Joined, Life,
+    Announcement, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord, EndpointState,
+    JoinOutcome,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 
@@ -36,7 +37,7 @@
     endpoints: IndexMap<EndpointId, Endpoint>,
     last_order: u64,
     /// The newest incarnation of each name.
-    newest_incarnations: IndexMap<String, Life>,
+    newest_incarnations: IndexMap<String, EndpointIncarnation>,
     /// When the other entries' loads in each zone were last reported.
     loads_reported_at: IndexMap<ZoneId, ClockMs>,
 }
@@ -69,9 +70,9 @@
         known.note_liveness(from, record.is_silent);
         let state = known.announcement.state;
         match known.announcement.join(announcement) {
-            Joined::Same => false,
+            JoinOutcome::Same => false,
             // A previous incarnation is a separate table entry, since its id differs.
-            Joined::Changed | Joined::Reborn => state != known.announcement.state,
+            JoinOutcome::Changed | JoinOutcome::Replaced => state != known.announcement.state,
         }
     }
 
@@ -80,7 +81,7 @@
     #[must_use]
     pub fn is_superseded(&self, id: &EndpointId) -> bool {
         let newest = self.newest_incarnations.get(&id.name);
-        newest.is_some_and(|newest| id.life < *newest)
+        newest.is_some_and(|newest| id.incarnation < *newest)
     }
 
     /// Records the newest incarnation of a name. Marks the previously known one as gone and returns
@@ -89,14 +90,14 @@
     /// The previous incarnation stays in the table with the requests that this entry still has
     /// there, so that these aren't counted at its successor.
     fn end_previous_incarnation(&mut self, newest: &EndpointId) -> Option<EndpointId> {
-        let life = self
+        let incarnation = self
             .newest_incarnations
-            .insert(newest.name.clone(), newest.life)?;
-        if life == newest.life {
+            .insert(newest.name.clone(), newest.incarnation)?;
+        if incarnation == newest.incarnation {
             return None;
         }
         let previous = EndpointId {
-            life,
+            incarnation,
             name: newest.name.clone(),
         };
         let endpoint = self.endpoints.get_mut(&previous)?;
@@ -138,12 +139,12 @@
                 !is_dropped
             });
             let endpoints = &self.endpoints;
-            let is_known = |name: &String, life: Life| {
+            let is_known = |name: &String, incarnation: EndpointIncarnation| {
                 let name = name.clone();
-                endpoints.contains_key(&EndpointId { life, name })
+                endpoints.contains_key(&EndpointId { incarnation, name })
             };
             self.newest_incarnations
-                .retain(|name, life| is_known(name, *life));
+                .retain(|name, incarnation| is_known(name, *incarnation));
         }
     }
 
--- a/crates/masticsill_dispatch/src/placement.rs
+++ b/crates/masticsill_dispatch/src/placement.rs
@@ -4,7 +4,7 @@
 //! is chosen.
 
 use indexmap::IndexMap;
-use masticsill_registry::{EndpointId, KeptTokens, is_zone_down};
+use masticsill_registry::{CachedTokens, EndpointId, is_zone_down};
 use masticsill_types::{ClockMs, ZoneId};
 
 use crate::endpoint::Endpoint;
@@ -57,7 +57,7 @@
     /// Endpoints that the request has already been sent to.
     pub excluded: &'a [EndpointId],
     /// Engines that have a prefix of the prompt cached.
-    pub cached: &'a [KeptTokens],
+    pub cached: &'a [CachedTokens],
     /// A zone to avoid, for a copy of a run that is to survive the loss of that zone.
     pub not_in_zone: Option<&'a ZoneId>,
     /// The endpoint at which a control replica has reserved capacity for the request.
--- a/crates/masticsill_dispatch/src/service_queue.rs
+++ b/crates/masticsill_dispatch/src/service_queue.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use indexmap::IndexMap;
-use masticsill_registry::{EndpointId, KeptTokens};
+use masticsill_registry::{CachedTokens, EndpointId};
 use masticsill_types::ClockMs;
 
 use crate::capacity::Contention;
@@ -53,7 +53,7 @@
     /// Endpoints that the request has already been sent to.
     pub excluded: Vec<EndpointId>,
     /// Engines that have a prefix of the prompt cached.
-    pub cached: Vec<KeptTokens>,
+    pub cached: Vec<CachedTokens>,
     /// The engine at which a control replica has just reserved capacity for the request.
     pub reserved_endpoint: Option<EndpointId>,
     /// The name of the service.
--- a/crates/masticsill_dispatch/tests/endpoint_lives.rs
+++ b/crates/masticsill_dispatch/tests/endpoint_lives.rs
@@ -2,7 +2,8 @@
 
 use masticsill_dispatch::{EndpointTable, PlacementRequest, ZoneShare, choose};
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens, Life,
+    Announcement, CachedTokens, EndpointId, EndpointIncarnation, EndpointLoad, EndpointRecord,
+    EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
@@ -25,7 +26,7 @@
 
 fn id_started_at(name: &str, born_ms: u64) -> EndpointId {
     EndpointId {
-        life: Life::born_at(born_ms),
+        incarnation: EndpointIncarnation::started_at(born_ms),
         name: name.to_owned(),
     }
 }
@@ -55,7 +56,7 @@
     table.merge(&control(0), &[record])
 }
 
-fn chosen(table: &EndpointTable, cached: &[KeptTokens]) -> Option<(EndpointId, u64)> {
+fn chosen(table: &EndpointTable, cached: &[CachedTokens]) -> Option<(EndpointId, u64)> {
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
@@ -72,11 +73,14 @@
 
 /// Reports of a few incarnations of two names. Each name has its own port.
 fn reports() -> impl Strategy<Value = EndpointRecord> {
-    let life = prop_oneof![Just(Life::UNNAMED), (1_u64..4).prop_map(Life::born_at),];
+    let incarnation = prop_oneof![
+        Just(EndpointIncarnation::UNKNOWN),
+        (1_u64..4).prop_map(EndpointIncarnation::started_at),
+    ];
     let state = prop::sample::select(&STATES);
-    (0..NAMES.len(), life, state).prop_map(|(name, life, state)| {
+    (0..NAMES.len(), incarnation, state).prop_map(|(name, incarnation, state)| {
         let id = EndpointId {
-            life,
+            incarnation,
             name: NAMES[name].to_owned(),
         };
         let port = if name == 0 { 80 } else { 81 };
@@ -85,12 +89,15 @@
 }
 
 /// The newest incarnation of a name and its most advanced state, computed from all reports at once.
-fn expected(reports: &[EndpointRecord], name: &str) -> Option<(Life, EndpointState)> {
+fn expected(
+    reports: &[EndpointRecord],
+    name: &str,
+) -> Option<(EndpointIncarnation, EndpointState)> {
     let reports = reports.iter().map(|it| &it.announcement);
     let of_name: Vec<_> = reports.filter(|it| it.id.name == name).collect();
-    let life = of_name.iter().map(|it| it.id.life).max()?;
-    let of_life = of_name.iter().filter(|it| it.id.life == life);
-    Some((life, of_life.map(|it| it.state).max()?))
+    let incarnation = of_name.iter().map(|it| it.id.incarnation).max()?;
+    let of_incarnation = of_name.iter().filter(|it| it.id.incarnation == incarnation);
+    Some((incarnation, of_incarnation.map(|it| it.state).max()?))
 }
 
 proptest! {
@@ -110,16 +117,16 @@
             let known: Vec<_> = table.iter().filter(|it| it.announcement.id.name == name).collect();
             let ready_endpoints: Vec<_> = known.iter().filter(|it| it.is_ready()).collect();
             match expected(&reports, name) {
-                Some((life, EndpointState::Ready)) => {
+                Some((incarnation, EndpointState::Ready)) => {
                     prop_assert_eq!(ready_endpoints.len(), 1);
-                    prop_assert_eq!(ready_endpoints[0].announcement.id.life, life);
+                    prop_assert_eq!(ready_endpoints[0].announcement.id.incarnation, incarnation);
                 }
                 _ => prop_assert!(ready_endpoints.is_empty()),
             }
-            let newest = expected(&reports, name).map(|(life, _)| life);
+            let newest = expected(&reports, name).map(|(incarnation, _)| incarnation);
             let is_current_or_superseded = known.iter().all(|it| {
                 let id = &it.announcement.id;
-                Some(id.life) == newest || table.is_superseded(id)
+                Some(id.incarnation) == newest || table.is_superseded(id)
             });
             prop_assert!(is_current_or_superseded);
         }
@@ -159,7 +166,7 @@
     assert!(merge_report(&mut table, ready(id_started_at("e", 1))).is_empty());
     let gone = record(id_started_at("e", 1), EndpointState::Gone, 80);
     assert!(merge_report(&mut table, gone).is_empty());
-    assert!(merge_report(&mut table, ready(EndpointId::unnamed_life("e"))).is_empty());
+    assert!(merge_report(&mut table, ready(EndpointId::with_unknown_incarnation("e"))).is_empty());
     assert_eq!(chosen(&table, &[]), Some((id_started_at("e", 2), 0)));
 }
 
@@ -190,7 +197,7 @@
 fn cached_prompts_of_former_incarnation_are_ignored() {
     let mut table = EndpointTable::default();
     merge_report(&mut table, ready(id_started_at("e", 2)));
-    let cached = |born_ms| KeptTokens {
+    let cached = |born_ms| CachedTokens {
         endpoint: id_started_at("e", born_ms),
         tokens: 8_000,
     };
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -6,7 +6,7 @@
     PriorWaitEstimator, Requirements, Terms, Ticket, WaitOutcome, Work, ZoneShare,
 };
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EndpointRecord, EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
 const SERVICE: &str = "engines";
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 fn zone() -> ZoneId {
@@ -161,7 +161,7 @@
 #[test]
 fn cached_prompt_needs_no_idle_engine() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let cached = KeptTokens {
+    let cached = CachedTokens {
         endpoint: id("e1"),
         tokens: 7_900,
     };
--- a/crates/masticsill_dispatch/tests/placement_choice.rs
+++ b/crates/masticsill_dispatch/tests/placement_choice.rs
@@ -4,7 +4,7 @@
     EndpointTable, Failure, PlacementRequest, ZoneShare, choose, choose_holder,
 };
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EndpointRecord, EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use rand::{Rng, SeedableRng};
@@ -17,7 +17,7 @@
 }
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 /// The record of an endpoint in the zone named by the first letter of `name`.
@@ -103,7 +103,7 @@
     assert_eq!(chosen(&table).as_deref(), Some("a1"));
 }
 
-fn chosen_with_cached(table: &EndpointTable, cached: &[KeptTokens]) -> Option<String> {
+fn chosen_with_cached(table: &EndpointTable, cached: &[CachedTokens]) -> Option<String> {
     let wanted = PlacementRequest {
         closed: &[],
         excluded: &[],
@@ -120,7 +120,7 @@
 #[test]
 fn cached_prompt_outweighs_load_and_zone_but_no_failure() {
     let mut table = table(&["a1", "b1"]);
-    let cached = [KeptTokens {
+    let cached = [CachedTokens {
         endpoint: id("b1"),
         tokens: 8_000,
     }];
@@ -134,7 +134,7 @@
 #[test]
 fn short_cached_prefix_does_not_outweigh_load() {
     let mut table = table(&["a1", "a2"]);
-    let cached = [KeptTokens {
+    let cached = [CachedTokens {
         endpoint: id("a2"),
         tokens: 300,
     }];
--- a/crates/masticsill_relay/src/engine_reservation.rs
+++ b/crates/masticsill_relay/src/engine_reservation.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use indexmap::IndexSet;
-use masticsill_registry::{EndpointId, PlaceRequest};
+use masticsill_registry::{EndpointId, EngineReservationRequest};
 use masticsill_types::ZoneId;
 use rand::seq::SliceRandom;
 use tokio::time::{Instant, timeout_at};
@@ -28,7 +28,7 @@
     let bound = Instant::now() + CONTROL_QUERY_TIMEOUT;
     let near = own_zone_replica(relay).filter(|_| !relay.is_suspect(service, &relay.config.zone));
     for (replica, zone) in near.into_iter().chain(other_zone_replicas(relay, service)) {
-        let asked = PlaceRequest {
+        let asked = EngineReservationRequest {
             avoided: relay.unusable_endpoints(service, &zone, retry_state),
             service: service.clone(),
             watcher: relay.watcher(),
--- a/crates/masticsill_relay/src/metrics.rs
+++ b/crates/masticsill_relay/src/metrics.rs
@@ -196,7 +196,7 @@
             EndpointState::Gone,
         ];
         let states: Vec<EndpointState> = table.iter().map(|it| it.announcement.state).collect();
-        self.endpoints.follow(&shown, &states);
+        self.endpoints.update(&shown, &states);
         let limited = table
             .iter()
             .filter(|it| it.concurrency.is_limited())
--- a/crates/masticsill_routing/src/cache_view.rs
+++ b/crates/masticsill_routing/src/cache_view.rs
@@ -1,39 +1,42 @@
-//! What is known of an engine's prefix cache from late events with gaps.
+//! A view of an engine's prefix cache, built from events that are delayed and may be lost.
 
 use indexmap::IndexMap;
 
-const KEPT_PREFIXES: usize = 512;
+/// Prefixes recorded for one engine.
+const MAX_PREFIXES_PER_ENGINE: usize = 512;
 
-/// One change of an engine's prefix cache.
+/// One change to an engine's prefix cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CacheChange {
-    /// Whether the prefix was stored, or dropped.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub is_stored: bool,
     /// Hash of the prefix.
     pub prefix_hash: u64,
-    /// Position in the engine's sequence of events; a jump is a gap.
+    /// Sequence number of the event. A jump means that events were lost.
     pub sequence: u64,
 }
 
 /// Whether a prefix is in an engine's cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Cached {
+pub(crate) enum CachePresence {
     No,
     Unknown,
     Yes,
 }
 
-/// The prefixes that an engine said it stored.
+/// The prefixes that an engine reported as stored, and those sent to it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CacheView {
-    /// Raised by each gap; what was known before it is only likely afterwards.
+    /// Incremented on each gap in the sequence. A prefix recorded in an earlier epoch may have been
+    /// evicted since.
     epoch: u32,
     last_sequence: Option<u64>,
     stored: IndexMap<u64, u32>,
 }
 
 impl CacheView {
-    pub(crate) fn take(&mut self, change: CacheChange) {
+    /// Applies a change; one that is not newer than the last is ignored.
+    pub(crate) fn apply(&mut self, change: CacheChange) {
         let is_repeated = self
             .last_sequence
             .is_some_and(|last| change.sequence <= last);
@@ -55,28 +58,30 @@
         }
     }
 
-    /// Notes that work with this prefix was sent there; its event is still to come.
-    pub(crate) fn expect(&mut self, prefix_hash: u64) {
+    /// Records that a request with this prefix was sent to the engine, whose event has not arrived
+    /// yet. The prefix counts as one of an earlier epoch until it does.
+    pub(crate) fn note_sent(&mut self, prefix_hash: u64) {
         if !self.stored.contains_key(&prefix_hash) {
             self.store(prefix_hash, self.epoch.wrapping_sub(1));
         }
     }
 
-    pub(crate) fn holds(&self, prefix_hash: u64) -> Cached {
+    pub(crate) fn presence(&self, prefix_hash: u64) -> CachePresence {
         match self.stored.get(&prefix_hash) {
-            Some(epoch) if *epoch == self.epoch => Cached::Yes,
-            None if self.epoch == 0 && self.last_sequence.is_some() => Cached::No,
-            Some(_) | None => Cached::Unknown,
+            Some(epoch) if *epoch == self.epoch => CachePresence::Yes,
+            None if self.epoch == 0 && self.last_sequence.is_some() => CachePresence::No,
+            Some(_) | None => CachePresence::Unknown,
         }
     }
 
-    /// Whether this very prefix was stored or sent there, so that unknown means likely.
-    pub(crate) fn has_seen(&self, prefix_hash: u64) -> bool {
+    /// Whether this prefix was reported as stored or sent to the engine. If so,
+    /// [`CachePresence::Unknown`] means that it is probably cached.
+    pub(crate) fn is_listed(&self, prefix_hash: u64) -> bool {
         self.stored.contains_key(&prefix_hash)
     }
 
     fn store(&mut self, prefix_hash: u64, epoch: u32) {
-        if self.stored.len() >= KEPT_PREFIXES {
+        if self.stored.len() >= MAX_PREFIXES_PER_ENGINE {
             self.stored.swap_remove_index(0);
         }
         self.stored.insert(prefix_hash, epoch);
--- a/crates/masticsill_routing/src/lib.rs
+++ b/crates/masticsill_routing/src/lib.rs
@@ -1,8 +1,8 @@
 //! Placement, classes, limits, shares, admission and retry budgets.
 //!
-//! [`Router`] decides for one entry which endpoint gets which request, who waits, who is refused
-//! and who is tried again. [`ShareLedger`] and [`ShareClient`] hold a limit across all entries by
-//! leased shares. Pure logic: no sockets, threads or wall clock.
+//! [`Router`] decides for one entry which endpoint gets which request, and which requests are
+//! queued, refused or retried. [`ShareLedger`] and [`ShareClient`] enforce one limit across all
+//! entries by leased shares. Pure logic: no sockets, threads or wall clock.
 
 mod cache_view;
 mod config;
@@ -23,10 +23,10 @@
 
 pub use cache_view::CacheChange;
 pub use config::{PlacementPolicy, RouterConfig};
-pub use endpoint::{EndpointDescription, EntrySeat};
+pub use endpoint::{EndpointDescription, EntryRank};
 pub use limits::{LocalLimits, TokenBucket};
 pub use request::{
-    Admit, BackEndTarget, Dequeued, Placement, PrefixBlock, WorkEnd, WorkKind, WorkOutcome,
+    AdmitDecision, BackEndTarget, Dequeued, Placement, PrefixBlock, WorkEnd, WorkKind, WorkOutcome,
     WorkRequest,
 };
 pub use router::{EntryPolicy, Router};
--- a/crates/masticsill_routing/src/pool.rs
+++ b/crates/masticsill_routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! Every endpoint, and which of them serve what.
+//! The table of endpoints and the pools of those that serve each target.
 
 use indexmap::IndexMap;
 use masticsill_types::{Class, ClockMs, NodeId};
@@ -7,23 +7,24 @@
 use crate::endpoint::{Endpoint, EndpointDescription};
 use crate::request::BackEndTarget;
 
-/// Where an endpoint lies in the table; stays the same while the endpoint is known.
+/// Position of an endpoint in the table. It doesn't change while the endpoint is known; after that
+/// it may be given to another.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct EndpointIndex(usize);
 
-/// An endpoint of a pool and the hash that ranks it for a prefix.
+/// An endpoint of a pool, with the hash that ranks it for a prefix.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolMember {
     pub(crate) hash: u64,
     pub(crate) index: EndpointIndex,
 }
 
-/// Every endpoint, and which of them serve what.
+/// The table of endpoints and the pools of those that serve each target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Option<Endpoint>>,
     indices: IndexMap<NodeId, EndpointIndex>,
-    /// Catalogue entries of the lookup class that use each target.
+    /// Number of catalogue entries of the lookup class that use each target.
     lookup_entries: IndexMap<BackEndTarget, u32>,
     pools: IndexMap<BackEndTarget, Vec<PoolMember>>,
     vacant: Vec<EndpointIndex>,
@@ -43,14 +44,14 @@
         self.endpoints[index.0].as_mut()
     }
 
-    /// Takes a description, or the end of an endpoint.
-    pub(crate) fn describe(
+    /// Adds or updates an endpoint, or removes it if `description` is `None`.
+    pub(crate) fn update(
         &mut self,
         node: &NodeId,
         description: Option<EndpointDescription>,
         config: &RouterConfig,
     ) {
-        self.leave_pools(node);
+        self.remove_from_pools(node);
         let Some(description) = description else {
             if let Some(index) = self.indices.swap_remove(node) {
                 self.endpoints[index.0] = None;
@@ -59,17 +60,18 @@
             return;
         };
         let index = self.index_of(node).unwrap_or_else(|| self.new_index(node));
-        let place = &mut self.endpoints[index.0];
-        if let Some(endpoint) = place {
-            endpoint.describe(description, config);
+        let stored = &mut self.endpoints[index.0];
+        if let Some(endpoint) = stored {
+            endpoint.update(description, config);
         } else {
-            *place = Some(Endpoint::new(node.clone(), description, config));
+            *stored = Some(Endpoint::new(node.clone(), description, config));
         }
-        self.join_pools(index);
-        self.note_sharing(index);
+        self.add_to_pools(index);
+        self.update_sharing(index);
     }
 
-    /// Counts a catalogue entry; endpoints that lookups use keep slots for each class.
+    /// Counts a catalogue entry. Endpoints of a target that lookups use reserve slots for each
+    /// class.
     pub(crate) fn add_entry(&mut self, class: Class, target: &BackEndTarget) {
         if class != Class::InstantLookup {
             return;
@@ -77,12 +79,12 @@
         let count = self.lookup_entries.entry(target.clone()).or_default();
         *count += 1;
         if *count == 1 {
-            self.note_sharing_of(target);
+            self.update_sharing_of(target);
         }
     }
 
-    /// Ends the count of a catalogue entry.
-    pub(crate) fn forget_entry(&mut self, class: Class, target: &BackEndTarget) {
+    /// Stops counting a catalogue entry.
+    pub(crate) fn remove_entry(&mut self, class: Class, target: &BackEndTarget) {
         if class != Class::InstantLookup {
             return;
         }
@@ -92,18 +94,18 @@
         *count -= 1;
         if *count == 0 {
             self.lookup_entries.swap_remove(target);
-            self.note_sharing_of(target);
+            self.update_sharing_of(target);
         }
     }
 
-    fn note_sharing_of(&mut self, target: &BackEndTarget) {
+    fn update_sharing_of(&mut self, target: &BackEndTarget) {
         let members = self.pool(target).to_vec();
         for member in members {
-            self.note_sharing(member.index);
+            self.update_sharing(member.index);
         }
     }
 
-    fn note_sharing(&mut self, index: EndpointIndex) {
+    fn update_sharing(&mut self, index: EndpointIndex) {
         if let Some(endpoint) = &mut self.endpoints[index.0] {
             let mut targets = endpoint.targets().into_iter();
             endpoint.is_shared = targets.any(|target| self.lookup_entries.contains_key(&target));
@@ -119,7 +121,7 @@
         index
     }
 
-    fn join_pools(&mut self, index: EndpointIndex) {
+    fn add_to_pools(&mut self, index: EndpointIndex) {
         let Some(endpoint) = &self.endpoints[index.0] else {
             return;
         };
@@ -132,7 +134,7 @@
         }
     }
 
-    fn leave_pools(&mut self, node: &NodeId) {
+    fn remove_from_pools(&mut self, node: &NodeId) {
         let Some(index) = self.index_of(node) else {
             return;
         };
@@ -147,7 +149,7 @@
         }
     }
 
-    /// What requests can find at an endpoint.
+    /// The targets that an endpoint serves.
     pub(crate) fn targets_of(&self, node: &NodeId) -> Vec<BackEndTarget> {
         let endpoint = self.index_of(node).and_then(|index| self.at(index));
         endpoint.map(Endpoint::targets).unwrap_or_default()
@@ -163,15 +165,21 @@
         pool.filter_map(|member| self.at(member.index))
     }
 
-    /// Slots that drafts may always use, of all endpoints of a target that are not leaving.
+    /// Slots that are not reserved for lookups, of all endpoints of a target that are reachable and
+    /// not leaving.
     pub(crate) fn draft_slots(&self, target: &BackEndTarget) -> u32 {
         let endpoints = self.endpoints_of(target);
-        let staying = endpoints.filter(|one| !one.description.is_leaving && !one.is_down);
+        let staying = endpoints.filter(|one| !one.description.is_leaving && !one.is_unreachable);
         staying.map(Endpoint::draft_slots).sum()
     }
 
-    /// When the first endpoint of a target that is held back may be used again.
-    pub(crate) fn next_return(&self, now: ClockMs, target: &BackEndTarget) -> Option<ClockMs> {
+    /// The earliest end of a hold-down among the endpoints of a target, `None` if none is held
+    /// down.
+    pub(crate) fn next_hold_down_end(
+        &self,
+        now: ClockMs,
+        target: &BackEndTarget,
+    ) -> Option<ClockMs> {
         let endpoints = self.endpoints_of(target);
         let staying = endpoints.filter(|endpoint| !endpoint.description.is_leaving);
         let ends = staying.map(|endpoint| endpoint.description.held_until);
--- a/crates/masticsill_routing/src/retry_budget.rs
+++ b/crates/masticsill_routing/src/retry_budget.rs
@@ -1,14 +1,15 @@
-//! Retries are paid for by successes, so that failures don't multiply the load.
+//! Retry budgets: retries are limited to a fraction of the successful requests, so that failures
+//! don't multiply the load.
 
 use indexmap::IndexMap;
 use masticsill_types::{NodeId, WorkspaceId};
 
-/// Successes that pay for one retry.
-const SUCCESSES_A_RETRY: u32 = 10;
-/// Retries that may be saved up; a new budget starts full.
-const SAVED_RETRIES: u32 = 10;
+/// Successful requests that earn one retry.
+const SUCCESSES_PER_RETRY: u32 = 10;
+/// Retries that a budget holds at most. A new budget starts full.
+const MAX_SAVED_RETRIES: u32 = 10;
 
-/// Tokens saved by successes, in tenths of a retry.
+/// The budget of one workspace or endpoint, in tenths of a retry.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
     saved: u32,
@@ -17,26 +18,26 @@
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            saved: SAVED_RETRIES * SUCCESSES_A_RETRY,
+            saved: MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY,
         }
     }
 }
 
 impl Budget {
     fn earn(&mut self) {
-        self.saved = (self.saved + 1).min(SAVED_RETRIES * SUCCESSES_A_RETRY);
+        self.saved = (self.saved + 1).min(MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY);
     }
 
     fn can_pay(self) -> bool {
-        self.saved >= SUCCESSES_A_RETRY
+        self.saved >= SUCCESSES_PER_RETRY
     }
 
     fn pay(&mut self) {
-        self.saved = self.saved.saturating_sub(SUCCESSES_A_RETRY);
+        self.saved = self.saved.saturating_sub(SUCCESSES_PER_RETRY);
     }
 }
 
-/// The budgets of all workspaces and endpoints.
+/// The retry budgets of all workspaces and endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryBudgets {
     endpoints: IndexMap<NodeId, Budget>,
@@ -44,7 +45,8 @@
 }
 
 impl RetryBudgets {
-    /// Notes an answer of an endpoint to a workspace.
+    /// Credits a successful request to the workspace and the endpoint. A budget that was never
+    /// charged is full and isn't stored.
     pub(crate) fn earn(&mut self, workspace: &WorkspaceId, node: &NodeId) {
         if let Some(budget) = self.workspaces.get_mut(workspace) {
             budget.earn();
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Pays for a retry of work that failed at an endpoint. Returns whether both could.
+    /// Charges a retry of a request that failed at the endpoint `failed` to the workspace and to
+    /// that endpoint. Charges neither and returns `false` when either budget is used up.
     pub(crate) fn pay(&mut self, workspace: &WorkspaceId, failed: &NodeId) -> bool {
         let workspace = self.workspaces.entry(workspace.clone()).or_default();
         let endpoint = self.endpoints.entry(failed.clone()).or_default();
@@ -66,8 +69,8 @@
         true
     }
 
-    /// Forgets an endpoint that is gone.
-    pub(crate) fn forget(&mut self, node: &NodeId) {
+    /// Removes the budget of an endpoint that is gone.
+    pub(crate) fn remove(&mut self, node: &NodeId) {
         self.endpoints.swap_remove(node);
     }
 }
