--- a/crates/masticsill_catalogue/src/audit.rs
+++ b/crates/masticsill_catalogue/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who wanted what, when, and what became of it.
+//! The audit trail: which operator requested what, when, and with which result.
 
 use std::collections::VecDeque;
 
@@ -7,61 +7,64 @@
 
 use crate::change::ChangeAnswer;
 
-/// Records kept; the oldest make way. Reading from a sequence on lets an archive keep all.
+/// Maximum number of records kept; the oldest are evicted. An archive can keep all of them by
+/// regularly reading the records after the last sequence number that it has.
 pub const MAX_AUDIT_RECORDS: usize = 16_384;
 
-/// One line of the audit trail.
+/// One record of the audit trail.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AuditRecord {
-    /// What was wanted.
+    /// What the operator requested.
     pub action: AuditAction,
-    /// The leader's wall clock, in milliseconds since 1970; it never goes back.
+    /// The leader's wall clock in milliseconds since the Unix epoch; never lower than that of an
+    /// earlier record.
     pub at_wall_ms: u64,
-    /// Who.
+    /// The operator that made the request.
     pub operator: OperatorId,
-    /// Its place in the trail, from one, without gaps.
+    /// The record's number in the trail, counted from one without gaps.
     pub sequence: u64,
 }
 
-/// What an operator wanted.
+/// What an operator requested.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AuditAction {
-    /// A change of the catalogue.
+    /// A change of a catalogue entry.
     Change(ChangeRecord),
-    /// A change of the control replicas, which was started.
+    /// A change of the control replicas that was started; its end is not recorded.
     Replicas {
-        /// Whether the replica was added, or removed.
+        /// Whether the replica is added (`true`) or removed (`false`).
         is_added: bool,
-        /// The replica.
+        /// The replica that is added or removed.
         replica: NodeId,
     },
-    /// The catalogue as one document.
+    /// A route document.
     Document {
-        /// Whether it came into force, or a version as high was there already.
+        /// Whether the document came into force; `false` if the same or a higher version was
+        /// already in force.
         is_accepted: bool,
-        /// The operator's version.
+        /// The document's version, chosen by the operator.
         version: u64,
     },
 }
 
-/// A change of the catalogue, as recorded.
+/// A change of a catalogue entry, as recorded in the audit trail.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChangeRecord {
-    /// Accepted under which version, or refused and why.
+    /// The answer to the change: its version, or why it was refused.
     pub answer: ChangeAnswer,
-    /// The entry.
+    /// The entry that the change names.
     pub entry: EntryId,
     /// The version that the change expected.
     pub expected_version: CatalogueVersion,
     /// The change's id.
     pub id: ChangeId,
-    /// Whether the entry was to be deleted, or put.
+    /// Whether the change deletes the entry (`true`) or puts it (`false`).
     pub is_delete: bool,
-    /// The entry's owner, before the change or else after it.
+    /// The entry's owner before the change, or the requested owner if there was no entry.
     pub owner: Option<WorkspaceId>,
 }
 
-/// A bounded trail, oldest first.
+/// The latest [`MAX_AUDIT_RECORDS`] records, oldest first.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AuditTrail {
     last_sequence: u64,
@@ -69,13 +72,13 @@
 }
 
 impl AuditTrail {
-    /// Records after a sequence, oldest first.
+    /// Records with a sequence number above `sequence`, oldest first.
     pub fn after(&self, sequence: u64) -> impl Iterator<Item = &AuditRecord> {
         let is_later = move |record: &&AuditRecord| record.sequence > sequence;
         self.records.iter().filter(is_later)
     }
 
-    /// The last record's sequence; zero when there is none.
+    /// The sequence number of the latest record; zero if there is none.
     #[must_use]
     pub fn last_sequence(&self) -> u64 {
         self.last_sequence
--- a/crates/masticsill_catalogue/src/catalogue.rs
+++ b/crates/masticsill_catalogue/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue: every entry in force, and what changed since a version.
+//! The catalogue of all entries in force, and the updates that bring a copy up to date.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,66 +10,67 @@
 use crate::entry::CatalogueEntry;
 use crate::update::{Applied, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
 
-/// Deletions remembered for deltas; an older copy is sent a snapshot.
+/// Maximum number of deletions kept for deltas; a copy older than the oldest one needs a snapshot.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// An entry and the catalogue version that last changed it.
+/// An entry and the catalogue version in which it last changed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionedEntry {
     /// The entry.
     pub entry: CatalogueEntry,
-    /// The version that last changed it.
+    /// The catalogue version in which the entry last changed.
     pub version: CatalogueVersion,
 }
 
-/// A deletion and its version.
+/// Records the deletion of an entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tombstone {
-    /// The entry deleted.
+    /// The entry that was deleted.
     pub id: EntryId,
-    /// The version that deleted it.
+    /// The catalogue version in which it was deleted.
     pub version: CatalogueVersion,
 }
 
-/// Every entry in force under one version.
+/// All entries in force at one version.
 ///
-/// The version counts accepted changes, so it and every entry's version only go up.
+/// The version counts accepted changes, so neither it nor the version of an entry ever decreases.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Catalogue {
-    /// Shared, so that copying a catalogue copies no entry.
+    /// In `Arc`s, so that cloning a catalogue clones no entry.
     entries: IndexMap<EntryId, Arc<VersionedEntry>>,
     /// Deletions after `tombstones_since`, oldest first.
     tombstones: VecDeque<Tombstone>,
+    /// Deletions up to and including this version may be missing from `tombstones`.
     tombstones_since: CatalogueVersion,
     version: CatalogueVersion,
 }
 
 impl Catalogue {
-    /// The overall version.
+    /// The catalogue's version.
     #[must_use]
     pub fn version(&self) -> CatalogueVersion {
         self.version
     }
 
-    /// An entry in force.
+    /// An entry in force, by its id.
     #[must_use]
     pub fn get(&self, id: &EntryId) -> Option<&VersionedEntry> {
         self.entries.get(id).map(Arc::as_ref)
     }
 
-    /// The version that last changed an entry in force; zero when there is none.
+    /// The version in which an entry last changed; zero if there is no such entry.
     #[must_use]
     pub fn entry_version(&self, id: &EntryId) -> CatalogueVersion {
         self.get(id).map(|held| held.version).unwrap_or_default()
     }
 
-    /// Every entry in force, in no order that has a meaning.
+    /// All entries in force, in an unspecified order.
     #[must_use]
     pub fn entries(&self) -> impl ExactSizeIterator<Item = &VersionedEntry> {
         self.entries.values().map(Arc::as_ref)
     }
 
-    /// Entries in force.
+    /// Number of entries in force.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -81,7 +82,7 @@
         self.entries.is_empty()
     }
 
-    /// Puts an entry in force under the next version.
+    /// Creates or replaces an entry and increments the version.
     pub(crate) fn put(&mut self, entry: CatalogueEntry) -> CatalogueVersion {
         self.version = self.version.next();
         self.hold(VersionedEntry {
@@ -91,7 +92,7 @@
         self.version
     }
 
-    /// Takes an entry out of force under the next version.
+    /// Deletes an entry and increments the version.
     pub(crate) fn delete(&mut self, id: &EntryId) -> CatalogueVersion {
         self.version = self.version.next();
         self.bury(Tombstone {
@@ -101,9 +102,10 @@
         self.version
     }
 
-    /// What a copy at version `have` lacks, as the smaller of delta and snapshot.
+    /// The update that brings a copy at version `have` to this catalogue's version, as the smaller
+    /// of delta and snapshot.
     ///
-    /// `None` when the copy lacks nothing that this catalogue knows.
+    /// `None` if the copy's version is not lower than this catalogue's.
     #[must_use]
     pub fn update_since(&self, have: CatalogueVersion) -> Option<CatalogueUpdate> {
         if have >= self.version {
@@ -123,7 +125,7 @@
         })
     }
 
-    /// The whole catalogue as an update.
+    /// A snapshot of the whole catalogue.
     #[must_use]
     pub fn snapshot(&self) -> CatalogueSnapshot {
         CatalogueSnapshot {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Brings a copy up to an update. The version never goes down.
+    /// Applies an update to this copy; the copy's version never decreases.
     pub fn apply(&mut self, update: CatalogueUpdate) -> Applied {
         if update.version() <= self.version {
             return Applied::Unchanged;
@@ -164,7 +166,7 @@
         self.version = snapshot.version;
     }
 
-    /// Takes in the part of a delta that is newer than the copy.
+    /// Applies the part of a delta that is newer than this copy.
     fn merge(&mut self, delta: CatalogueDelta) {
         let have = self.version;
         for grave in delta.deletes {
--- a/crates/masticsill_catalogue/src/change.rs
+++ b/crates/masticsill_catalogue/src/change.rs
@@ -1,4 +1,4 @@
-//! Operators' changes and their answers.
+//! Operators' changes to catalogue entries and the answers to them.
 
 use std::fmt;
 
@@ -9,35 +9,36 @@
 use crate::entry::CatalogueEntry;
 use crate::validation::FieldError;
 
-/// Entries that a catalogue holds at most.
+/// Maximum number of entries in a catalogue.
 pub const MAX_ENTRIES: usize = 20_000;
 
-/// An operator's change of one entry.
+/// An operator's change to one entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// What to do.
+    /// Whether the entry is put or deleted.
     pub content: ChangeContent,
-    /// The entry.
+    /// The entry to change.
     pub entry: EntryId,
-    /// The version of that entry that the change replaces; zero when it must not exist.
+    /// The version of the entry that the change replaces; zero if the entry must not exist yet.
     pub expected_version: CatalogueVersion,
-    /// Named once by the operator's client; sending it again gives the first answer.
+    /// Idempotency key chosen by the operator's client: a resend under the same id gets the first
+    /// answer again.
     pub id: ChangeId,
-    /// Who.
+    /// The operator that sent the change.
     pub operator: OperatorId,
 }
 
 /// What a change does to its entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ChangeContent {
-    /// Takes it out of force.
+    /// Removes the entry from the catalogue.
     Delete,
-    /// Puts this entry in force.
+    /// Creates or replaces the entry.
     Put(Box<CatalogueEntry>),
 }
 
 impl Change {
-    /// Identifies everything in the change, so that a resend can be told from a reuse of the id.
+    /// Hashes the whole change, so that a resend can be distinguished from a reuse of its id.
     pub(crate) fn digest(&self) -> ChangeDigest {
         let bytes =
             postcard::to_stdvec(self).expect("a change holds no type that can't be encoded");
@@ -69,43 +70,43 @@
     }
 }
 
-/// The one answer to a change, however often it is sent.
+/// The answer to a change; a resend of the change gets the same answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ChangeAnswer {
     /// The change is in force.
     Accepted {
-        /// The catalogue's version, and the entry's, since the change.
+        /// The version that the change gave to the catalogue and to the entry.
         version: CatalogueVersion,
     },
-    /// The change had no effect and never will.
+    /// The change had no effect, and a resend will have none.
     Refused(ChangeRefusal),
 }
 
 /// Why a change was refused.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ChangeRefusal {
-    /// The catalogue holds all the entries that it can.
+    /// The catalogue already holds [`MAX_ENTRIES`] entries.
     CatalogueFull,
-    /// The change id was used with other content.
+    /// The change id was already used with different content.
     ChangeIdReused,
     /// The operator may not change entries of this workspace.
     Forbidden {
         /// The workspace.
         workspace: WorkspaceId,
     },
-    /// The change itself is wrong.
+    /// The change fails validation; every invalid field is listed.
     Invalid(Vec<FieldError>),
-    /// Another change came first.
+    /// The expected version is not the one in force, because another change was applied first.
     VersionConflict {
         /// The version that the change expected.
         expected: CatalogueVersion,
-        /// The entry's version in force, zero when there is no such entry.
+        /// The entry's version in force; zero if there is no such entry.
         in_force: CatalogueVersion,
     },
 }
 
 impl ChangeRefusal {
-    /// The name in the administration API.
+    /// The refusal's name in the administration API.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
--- a/crates/masticsill_catalogue/src/claim.rs
+++ b/crates/masticsill_catalogue/src/claim.rs
@@ -1,76 +1,79 @@
-//! Claims: a call that may not be repeated is run by one entry at one agent's life.
+//! Claims: a call that is not idempotent is dispatched by one entry to one agent incarnation.
 //!
-//! A claim is granted before the call is dispatched. It may move to another agent only by
-//! [`Reassign`], once the former agent has answered that the call was not run and never will be.
+//! A claim must be granted before the call is dispatched. It can move to another agent only through
+//! [`Reassign`], after the previous agent has answered that the call was not run and never will be.
 
 use masticsill_types::{GenerationId, Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// How long a claim is kept after it was granted, in milliseconds.
+/// How long a claim is kept after its first grant, in milliseconds.
 pub const KEY_WINDOW_MS: u64 = 24 * 60 * 60 * 1000;
-/// Claims kept at most; beyond that new ones are refused, because dropping one could double a call.
+/// Maximum number of claims kept. New claims are refused beyond it, because evicting a claim could
+/// let its call run twice.
 pub const MAX_CLAIMS: usize = 131_072;
-/// Largest answer body that is kept, in bytes.
+/// Maximum size of one answer body that is kept, in bytes; a larger one is reduced to its digest.
 pub const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
-/// Answer bodies kept in all, in bytes; beyond that the oldest are kept as digests.
+/// Maximum total size of the answer bodies kept, in bytes; beyond it the oldest are reduced to
+/// their digests.
 pub const MAX_KEPT_BODIES_BYTES: usize = 16 * 1024 * 1024;
-/// Keys remembered as too old, after their claims were dropped.
+/// Maximum number of keys of expired claims kept; beyond it the oldest are evicted.
 pub const MAX_EXPIRED_KEYS: usize = 131_072;
 
-/// One life of an agent.
+/// One incarnation of an agent: the agent process between a start and the next.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AgentLife {
     /// The agent.
     pub agent: NodeId,
-    /// Its life.
+    /// The incarnation number.
     pub incarnation: Incarnation,
 }
 
-/// Asks for the right to dispatch a call.
+/// Requests the right to dispatch a call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// Where the call would be dispatched.
+    /// The agent incarnation to which the call would be dispatched.
     pub agent: AgentLife,
-    /// When the caller made its request key, in wall-clock milliseconds, if it said so.
+    /// When the caller created its request key, in wall-clock milliseconds since the Unix epoch, if
+    /// the caller gave that time.
     pub caller_wall_ms: Option<u64>,
     /// Hash of the call's content.
     pub fingerprint: u128,
     /// The call.
     pub id: GenerationId,
-    /// Random number of this claim: sending it again gives the same grant.
+    /// Random number that identifies this command: a resend gets the same grant.
     pub nonce: u64,
-    /// The entry that dispatches.
+    /// The entry that would dispatch the call.
     pub owner: NodeId,
 }
 
-/// Moves a claim whose call was not run to another agent or owner.
+/// Moves a claim, whose call was not run, to another agent or owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reassign {
-    /// Where the call would be dispatched now.
+    /// The agent incarnation to which the call would now be dispatched.
     pub agent: AgentLife,
-    /// The claim's version under which the former agent answered that it was not run.
+    /// The claim's version for which the previous agent answered that the call was not run.
     pub expected_version: u64,
     /// The call.
     pub id: GenerationId,
-    /// Random number of this command: sending it again gives the same grant.
+    /// Random number that identifies this command: a resend gets the same grant.
     pub nonce: u64,
-    /// The entry that dispatches.
+    /// The entry that would dispatch the call.
     pub owner: NodeId,
 }
 
-/// Records the end of a call.
+/// Records how a call ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Settle {
-    /// How it ended.
+    /// How the call ended.
     pub end: CallEnd,
     /// The call.
     pub id: GenerationId,
-    /// The claim's version under which it was dispatched.
+    /// The claim's version under which the call was dispatched.
     pub version: u64,
 }
 
 impl Settle {
-    /// The same settlement, with a body too large to keep cut to its digest.
+    /// The same settlement, with a body larger than [`MAX_KEPT_BODY_BYTES`] reduced to its digest.
     #[must_use]
     pub fn trimmed(mut self) -> Self {
         if let CallEnd::Answered(answer) = &mut self.end
@@ -85,18 +88,18 @@
 /// How a call ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CallEnd {
-    /// The service answered.
+    /// The service answered the call.
     Answered(StoredAnswer),
     /// The call was not run; it may be reassigned.
     NotRun,
-    /// The call was dispatched and its end is not known.
+    /// The call was dispatched and whether it ran is not known.
     OutcomeUnknown,
 }
 
-/// An answer as kept for repeats of the call.
+/// A call's answer, kept so that repeats of the call get it again.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredAnswer {
-    /// The body.
+    /// The answer's body.
     pub body: StoredBody,
     /// `Content-Type` of the body.
     pub content_type: String,
@@ -104,17 +107,17 @@
     pub status: u16,
 }
 
-/// An answer's body, or what is left of it.
+/// An answer's body or its digest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoredBody {
-    /// The body was too large to keep: answered, but it can't be shown again.
+    /// The body was not kept: the call is known to be answered, but the answer can't be repeated.
     Digest {
-        /// `blake3` of the body.
+        /// BLAKE3 hash of the body.
         hash: [u8; 32],
-        /// Its size in bytes.
+        /// Size of the body in bytes.
         size_bytes: u64,
     },
-    /// The whole body.
+    /// The complete body.
     Kept(Vec<u8>),
 }
 
@@ -136,43 +139,46 @@
     }
 }
 
-/// A claim as it stands.
+/// The current state of a claim.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRecord {
-    /// Where the call is dispatched.
+    /// The agent incarnation to which the call is dispatched.
     pub agent: AgentLife,
-    /// When it was first granted, by the state's wall clock.
+    /// When the claim was first granted, by the replicated state's wall clock in milliseconds since
+    /// the Unix epoch.
     pub claimed_wall_ms: u64,
     /// How the call ended; `None` while it may be running.
     pub end: Option<CallEnd>,
     /// Hash of the call's content.
     pub fingerprint: u128,
-    /// Random number of the command that gave this version.
+    /// Random number of the command that was granted this version.
     pub nonce: u64,
-    /// The entry that dispatches.
+    /// The entry that dispatches the call.
     pub owner: NodeId,
-    /// Counts the grants of the call, from one.
+    /// Number of grants so far: one for the claim and one for each reassignment.
     pub version: u64,
 }
 
 /// The answer to a claim, a reassignment or a settlement.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ClaimAnswer {
-    /// The call is claimed already, or the command's version is not in force: this is.
+    /// The command was not applied, because the call is already claimed or the command's version is
+    /// not the current one. Contains the current claim.
     Existing(ClaimRecord),
-    /// The key is older than the key window: whether the call ran is no longer known.
+    /// The key is older than the period for which claims are kept, so whether the call ran is no
+    /// longer known.
     Expired,
-    /// The key was used with other content.
+    /// The key was already used for a call with different content.
     FingerprintDiffers,
-    /// No room for another claim until old ones expire; nothing was claimed.
+    /// The table holds the maximum number of claims; nothing was claimed.
     Full,
-    /// The sender may dispatch under this version.
+    /// The owner may dispatch the call under this version.
     Granted {
         /// The claim's version.
         version: u64,
     },
-    /// The end is recorded; an equal end was before.
+    /// The end is recorded, by this command or by an equal one before.
     Settled,
-    /// No claim of this call.
+    /// There is no claim for the call.
     Unknown,
 }
--- a/crates/masticsill_catalogue/src/claims.rs
+++ b/crates/masticsill_catalogue/src/claims.rs
@@ -1,4 +1,4 @@
-//! The table of claims.
+//! The table of all claims that have not expired.
 
 use std::collections::VecDeque;
 
@@ -11,11 +11,12 @@
 };
 use crate::window::Window;
 
-/// All claims of the key window.
+/// All claims that have not expired, and the keys of claims that have.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Claims {
-    /// Calls with a kept body, oldest first.
+    /// Calls whose answer body is kept, oldest first. May contain calls whose claim has expired.
     bodies: VecDeque<GenerationId>,
+    /// Keys of expired claims, which must not be granted again.
     expired: Window<GenerationId, ()>,
     kept_body_bytes: usize,
     records: Window<GenerationId, ClaimRecord>,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Drops the claims that are older than the key window, and remembers their keys.
+    /// Removes the claims that have expired and keeps their keys, so that they are refused.
     pub(crate) fn expire(&mut self, now_wall_ms: u64) {
         let is_old = |record: &ClaimRecord| record.claimed_wall_ms + KEY_WINDOW_MS <= now_wall_ms;
         while self
@@ -162,9 +163,9 @@
     ClaimAnswer::Existing(record.clone())
 }
 
-/// Whether an end may be recorded after what is recorded already.
+/// Whether `end` may be recorded, given what is already recorded.
 ///
-/// An unknown outcome may become known; every other end is final under its version.
+/// An unknown outcome may become known; every other end is final for its version of the claim.
 fn may_follow(recorded: Option<&CallEnd>, end: &CallEnd) -> bool {
     match recorded {
         None => true,
--- a/crates/masticsill_catalogue/src/document.rs
+++ b/crates/masticsill_catalogue/src/document.rs
@@ -1,8 +1,8 @@
-//! The catalogue as one document: routes, services, workspaces and limits under one version that
-//! the operator chooses. The highest version accepted is in force.
+//! The route document: routes, services, workspaces and limits under one version number, which the
+//! operator chooses. The document with the highest accepted version is in force.
 //!
-//! The quorum stores the operator's bytes unread, so that they are read back as they were sent;
-//! [`RouteDocument`] is what they mean.
+//! The quorum stores the operator's bytes without parsing them, so that they are returned exactly
+//! as they were sent. [`RouteDocument`] is the parsed form.
 
 mod fetch;
 mod index;
@@ -24,12 +24,12 @@
 pub use sources::{DocumentSource, DocumentSources};
 pub use stored::{StoredDocument, UnpackError};
 
-/// What became of a document.
+/// The result of submitting a route document.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DocumentAnswer {
-    /// It is in force.
+    /// The document is in force.
     Accepted,
-    /// One of this or a higher version was in force already; nothing changed.
+    /// A document with the same or a higher version was already in force; nothing changed.
     Superseded {
         /// The version in force.
         in_force: u64,
--- a/crates/masticsill_catalogue/src/document/fetch.rs
+++ b/crates/masticsill_catalogue/src/document/fetch.rs
@@ -1,4 +1,4 @@
-//! The fetch of a document piece by piece: what is next, and how fast.
+//! Fetches a route document piece by piece: which pieces to request next, and at which rate.
 
 use std::fmt;
 
@@ -6,50 +6,50 @@
 
 use super::pieces::{PackedPiece, PieceEntry, PieceError, PieceHash, PieceList};
 
-/// Packed bytes that one call asks for: 26 ms on a link of 10 Mbit/s, so that an event of a stream
-/// waits no longer behind it.
+/// Maximum number of compressed bytes that one call requests: 26 ms on a link of 10 Mbit/s, so that
+/// no event of a relayed stream is delayed longer than that by one call.
 const MAX_CALL_BYTES: u32 = 32 * 1024;
-/// Usual time of a call before one was answered.
+/// Assumed duration of a call until one is answered.
 const FIRST_CALL_MS: f64 = 100.0;
-/// A call that takes this many times longer than usual is late.
+/// A call that takes this multiple of the typical duration is late.
 const LATE_FACTOR: f64 = 3.0;
-/// Never late sooner: a pause of 100 ms at a replica is common.
+/// A call is not late before this, because pauses of 100 ms at a replica are common.
 const LEAST_LATE_MS: f64 = 150.0;
-/// Late at the latest: half of the time in which a change is to be in force.
+/// A call is always late after this: half of the time within which a change must be in force.
 const MOST_LATE_MS: f64 = 1_000.0;
-/// Share of the usual time that is left after a call that took less. A slow call counts at once,
-/// and a smaller one right after it doesn't hide it.
+/// Factor by which a faster call at most lowers the typical duration. A slower call raises it at
+/// once, and a small, fast call right after it does not hide it.
 const USUAL_KEPT: f64 = 0.9;
 
-/// A document whose pieces are all there.
+/// A document joined from its pieces.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct JoinedDocument {
-    /// The operator's bytes.
+    /// The document's bytes, exactly as the operator sent them.
     pub bytes: Vec<u8>,
-    /// Bytes that were fetched for it, packed.
+    /// Compressed bytes that were fetched for this version.
     pub fetched_bytes: u64,
-    /// Pieces that were fetched for it.
+    /// Number of pieces that were fetched for this version.
     pub fetched_pieces: usize,
-    /// Pieces that were there from an earlier version.
+    /// Number of pieces that were already held from an earlier version.
     pub reused_pieces: usize,
-    /// The operator's version.
+    /// The document's version, chosen by the operator.
     pub version: u64,
 }
 
-/// One version that is being fetched.
+/// The version that is being fetched.
 #[derive(Debug)]
 struct Target {
     fetched_bytes: u64,
     fetched_pieces: usize,
     list: PieceList,
-    /// Pieces that are not there yet, in order.
+    /// Pieces that have not been received yet, in document order.
     missing: IndexMap<PieceHash, PieceEntry>,
 }
 
-/// Fetches one version at a time, and keeps the pieces of the last for the next.
+/// Fetches one version at a time, and keeps its pieces for reuse by the next.
 #[derive(Default)]
 pub struct PieceFetch {
-    /// Pieces that are there, before packing.
+    /// Uncompressed bytes of the pieces received.
     held: IndexMap<PieceHash, Box<[u8]>>,
     target: Option<Target>,
 }
@@ -64,7 +64,8 @@
 }
 
 impl PieceFetch {
-    /// Begins with a version. What was fetched for another one is kept, as they share most pieces.
+    /// Starts to fetch a version. Pieces fetched for another version are kept, because versions
+    /// share most of their pieces.
     pub fn begin(&mut self, list: PieceList) {
         let lacking = list.pieces.iter();
         let lacking = lacking.filter(|piece| !self.held.contains_key(&piece.hash));
@@ -77,14 +78,14 @@
         });
     }
 
-    /// The version that is being fetched.
+    /// The version that is being fetched, if any.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.target.as_ref().map(|target| target.list.version)
     }
 
-    /// The pieces to ask for next, `call_bytes` packed in all but one at least; none when all are
-    /// there or no version is being fetched.
+    /// The pieces to request next: up to `call_bytes` compressed bytes, but at least one piece.
+    /// Empty if no piece is missing or no version is being fetched.
     #[must_use]
     pub fn next(&self, call_bytes: u32) -> Vec<PieceHash> {
         let missing = self
@@ -100,11 +101,11 @@
         fitting.map(|piece| piece.hash).collect()
     }
 
-    /// Takes a piece that came; returns whether it was missing.
+    /// Accepts a received piece; returns whether the piece was missing.
     ///
     /// # Errors
     ///
-    /// [`PieceError::Damaged`] when its bytes are others; it stays missing.
+    /// [`PieceError::Damaged`] if the piece does not match its hash; it remains missing.
     pub fn take(&mut self, hash: PieceHash, piece: &PackedPiece) -> Result<bool, PieceError> {
         let Some(target) = &mut self.target else {
             return Ok(false);
@@ -120,16 +121,20 @@
         Ok(true)
     }
 
-    /// Gives the version up, because its pieces can't be had any more. What came of it is kept.
+    /// Abandons the version, because its pieces are no longer available. The pieces received so far
+    /// are kept.
     pub fn give_up(&mut self) {
         self.target = None;
     }
 
-    /// Joins the pieces once all are there, checks the whole, and forgets those of other versions.
+    /// Joins the pieces once none is missing, verifies the document's hash, and drops pieces that
+    /// the version does not use.
+    ///
+    /// Returns `None` if a piece is missing or no version is being fetched.
     ///
     /// # Errors
     ///
-    /// [`PieceError::OtherWhole`] when it is another document; all its pieces are forgotten.
+    /// [`PieceError::OtherWhole`] if the joined document has another hash; all pieces are dropped.
     pub fn join(&mut self) -> Result<Option<JoinedDocument>, PieceError> {
         let Some(target) = self.target.take_if(|target| target.missing.is_empty()) else {
             return Ok(None);
@@ -156,14 +161,15 @@
     }
 }
 
-/// How much is asked for at once, how long it is waited for, and how long the link is left alone.
+/// Limits the rate of a fetch: the bytes requested per call, the time after which a call is late,
+/// and the pause between calls.
 ///
-/// While streams are relayed, a document takes half of the link: after each call the link is left
-/// alone for as long as the call took. Of the 2 s in which a change is to be in force, half a second
-/// goes to the quorum and the news and half a second to the reading, so that one second is left for
-/// the fetch: 625 KB packed at 10 Mbit/s, and 62 KB at 1 Mbit/s. Measured beside streams, with
-/// documents of 1 to 4 MB: a change of a few routes has 14 KB and its list 5 KB; documents of which
-/// every piece was new had 100 to 290 KB.
+/// While streams are relayed, a document uses half of the link: after each call the fetch pauses
+/// for as long as the call took. A change must be in force within 2 s. Half a second of that is for
+/// the quorum and the announcement of the version and half a second for parsing the document, which
+/// leaves one second for the fetch: 625 KB compressed at 10 Mbit/s, and 62 KB at 1 Mbit/s. With
+/// documents of 1 to 4 MB, a change of a few routes takes 14 KB and its piece list 5 KB; documents
+/// of which every piece is new take 100 to 290 KB.
 #[derive(Clone, Debug)]
 pub struct FetchPace {
     call_bytes: u32,
@@ -180,32 +186,34 @@
 }
 
 impl FetchPace {
-    /// Packed bytes that the next call may ask for.
+    /// Maximum number of compressed bytes that the next call may request.
     #[must_use]
     pub fn call_bytes(&self) -> u32 {
         self.call_bytes
     }
 
-    /// After how many milliseconds without an answer another replica is asked for one piece.
+    /// Milliseconds without an answer after which another replica is asked for one piece as well.
     #[must_use]
     pub fn late_ms(&self) -> u64 {
         let late_ms = (self.usual_ms * LATE_FACTOR).clamp(LEAST_LATE_MS, MOST_LATE_MS);
         whole_ms(late_ms)
     }
 
-    /// Notes the milliseconds that an answered call took.
+    /// Records how many milliseconds an answered call took.
     #[expect(clippy::cast_precision_loss, reason = "milliseconds of one call")]
     pub fn note_answer(&mut self, took_ms: u64) {
         self.usual_ms = (took_ms as f64).max(self.usual_ms * USUAL_KEPT);
         self.call_bytes = self.call_bytes.saturating_mul(2).min(MAX_CALL_BYTES);
     }
 
-    /// Notes a call that was not answered in its time: less is asked for, down to one piece.
+    /// Records a call that was not answered in time: the next calls request less, down to one
+    /// piece.
     pub fn note_silence(&mut self) {
         self.call_bytes = (self.call_bytes / 2).max(1);
     }
 
-    /// Milliseconds for which the link is left to streams after a call.
+    /// Milliseconds to pause after a call that took `took_ms`, to leave the link to relayed
+    /// streams.
     #[must_use]
     pub fn pause_ms(&self, took_ms: u64, is_relaying: bool) -> u64 {
         if is_relaying { took_ms } else { 0 }
--- a/crates/masticsill_catalogue/src/document/index.rs
+++ b/crates/masticsill_catalogue/src/document/index.rs
@@ -1,4 +1,4 @@
-//! A document made ready for look-ups.
+//! A route document indexed for lookups.
 
 use std::mem;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 
 use super::routes::{Route, RouteDocument, ServiceEntry, WorkspaceEntry};
 
-/// A document with its routes by host and its workspaces by key. Cheap to share, never changed.
+/// A route document with its routes indexed by host and its workspaces by API key. Immutable.
 #[derive(Clone, Debug)]
 pub struct RouteIndex {
-    /// The document without its routes and services, which are held below.
+    /// The document without its routes and services, which are moved to the maps below.
     document: RouteDocument,
-    /// Positions of workspaces by API key.
+    /// Position in `document.workspaces`, by API key.
     keys: IndexMap<String, usize>,
-    /// Routes by host in lower case, longest prefix first.
+    /// Routes by lower-case host; those of a host by descending length of the path prefix.
     routes: IndexMap<String, Vec<Arc<Route>>>,
     services: IndexMap<String, Arc<ServiceEntry>>,
 }
 
 impl RouteIndex {
-    /// Makes a document ready.
+    /// Builds the index of a document.
     #[must_use]
     pub fn new(mut document: RouteDocument) -> Self {
         let mut routes: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
@@ -47,13 +47,14 @@
         }
     }
 
-    /// The document without its routes and services, which are looked up.
+    /// The document without its routes and services; use [`Self::find`] and [`Self::service`] for
+    /// those.
     #[must_use]
     pub fn document(&self) -> &RouteDocument {
         &self.document
     }
 
-    /// The route with the longest prefix of a path, among those of a host.
+    /// The route of a host with the longest path prefix that matches `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = self.routes.get(&host.to_ascii_lowercase())?;
@@ -62,19 +63,19 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// A service.
+    /// A service, by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceEntry>> {
         self.services.get(name)
     }
 
-    /// Whether callers must show an API key on routes that are not anonymous.
+    /// Whether callers need an API key on routes that are not anonymous.
     #[must_use]
     pub fn has_workspaces(&self) -> bool {
         self.document.workspaces.is_some()
     }
 
-    /// The workspace that holds a key.
+    /// The workspace that an API key belongs to.
     #[must_use]
     pub fn workspace_of_key(&self, key: &str) -> Option<&WorkspaceEntry> {
         let position = *self.keys.get(key)?;
--- a/crates/masticsill_catalogue/src/document/pieces.rs
+++ b/crates/masticsill_catalogue/src/document/pieces.rs
@@ -1,4 +1,5 @@
-//! A document cut into pieces by its content, so that a changed route costs its piece only.
+//! Content-defined chunking of a route document into pieces, so that after a change of a route only
+//! the pieces around that route have to be fetched.
 
 use std::fmt;
 use std::io::{self, Read, Write};
@@ -12,26 +13,28 @@
 
 use super::stored::{StoredDocument, UnpackError};
 
-/// Bytes from the least of a piece to its cut, on average. Pieces have 24 KB, about 20 routes, and
-/// packed 2 to 4 KB: 3 ms on a link of 10 Mbit/s. The list of a document of 5 MB has 5 KB.
+/// Average distance from the minimum length of a piece to its end. An average piece has 24 KB,
+/// which is about 20 routes, and 2 to 4 KB compressed: 3 ms on a link of 10 Mbit/s. The piece list
+/// of a 5 MB document has 5 KB.
 const AVERAGE_BYTES: u64 = 16 * 1024;
 const LEAST_BYTES: usize = 8 * 1024;
 const MOST_BYTES: usize = 64 * 1024;
-/// Where a route or another entry ends: cuts are looked for there only.
+/// The last byte of a route or another entry. Pieces end only after this byte, except for those
+/// that reach the maximum length.
 const ENTRY_END: u8 = b'}';
-/// Bytes of a piece's hash: enough that two pieces never share one by chance. The whole document
-/// is checked by a full hash besides.
+/// Length of a piece's hash: long enough to rule out accidental collisions. The joined document is
+/// also checked against a full hash.
 const HASH_BYTES: usize = 16;
-/// Versions whose pieces are kept: at three versions a second those of the last 2.7 s, in which
-/// a fetch that was begun ends.
+/// Maximum number of versions whose pieces are kept. At three versions per second these cover the
+/// last 2.7 s, within which a fetch that has started ends.
 const KEPT_VERSIONS: usize = 8;
 
-/// Names a piece by its content.
+/// Identifies a piece by its content: the truncated BLAKE3 hash of its bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct PieceHash([u8; HASH_BYTES]);
 
 impl PieceHash {
-    /// The hash of a piece's bytes, before they are packed.
+    /// The hash of a piece's uncompressed bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         let mut hash = [0; HASH_BYTES];
@@ -40,38 +43,38 @@
     }
 }
 
-/// One piece of a document.
+/// Describes one piece of a document.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PieceEntry {
-    /// Its content.
+    /// Hash of the piece's uncompressed bytes.
     pub hash: PieceHash,
-    /// Its bytes before they are packed.
+    /// Uncompressed size in bytes.
     pub length_bytes: u32,
-    /// Its bytes on the way.
+    /// Compressed size in bytes, as transferred.
     pub packed_bytes: u32,
 }
 
-/// What a version of the document consists of.
+/// The pieces that make up one version of the document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PieceList {
     /// The pieces, in order.
     pub pieces: Vec<PieceEntry>,
-    /// The operator's version.
+    /// The document's version, chosen by the operator.
     pub version: u64,
-    /// Hash of the whole document.
+    /// BLAKE3 hash of the complete document.
     pub whole: [u8; 32],
 }
 
-/// A piece as it is passed on, packed by itself.
+/// A piece as it is transferred, compressed on its own with DEFLATE.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PackedPiece(Arc<[u8]>);
 
 impl PackedPiece {
-    /// Packs the bytes of a piece.
+    /// Compresses the bytes of a piece.
     ///
     /// # Panics
     ///
-    /// Never: writing to memory does not fail.
+    /// Never, because writing to memory does not fail.
     #[must_use]
     pub fn pack(bytes: &[u8]) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -82,17 +85,18 @@
         Self(packed.into())
     }
 
-    /// Bytes on the way.
+    /// Compressed size in bytes, as transferred.
     #[must_use]
     pub fn packed_bytes(&self) -> usize {
         self.0.len()
     }
 
-    /// The piece's bytes, checked against what a list says of it.
+    /// The piece's uncompressed bytes, checked against its entry in the piece list.
     ///
     /// # Errors
     ///
-    /// [`PieceError::Damaged`] when they are others.
+    /// [`PieceError::Damaged`] if they can't be decompressed, or their length or hash differs from
+    /// `entry`.
     pub fn unpack(&self, entry: &PieceEntry) -> Result<Vec<u8>, PieceError> {
         let length_bytes = entry.length_bytes as usize;
         let mut bytes = Vec::with_capacity(length_bytes.min(MOST_BYTES));
@@ -107,21 +111,21 @@
     }
 }
 
-/// Pieces that don't make the document that they were listed for.
+/// Why pieces do not make up the document that they are listed for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PieceError {
-    /// A piece has other bytes than its list says.
+    /// A piece's bytes do not match the length or hash in the list.
     Damaged,
-    /// The joined pieces are another document than the list says.
+    /// The joined pieces do not match the list's hash of the complete document.
     OtherWhole,
 }
 
 impl fmt::Display for PieceError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Damaged => "a piece has other bytes than its hash says; it is fetched again",
+            Self::Damaged => "a piece does not match its length or hash; it will be fetched again",
             Self::OtherWhole => {
-                "the joined pieces are another document than its hash says; it is fetched again"
+                "the joined pieces do not match the document's hash; all will be fetched again"
             }
         })
     }
@@ -129,12 +133,15 @@
 
 impl std::error::Error for PieceError {}
 
-/// Cuts a document by its content, so that a change moves only the cuts around it.
+/// Splits a document into pieces by its content, so that a change moves only the boundaries near
+/// it.
 ///
-/// An entry is the last of its piece if its checksum is low, whatever stands before. Why not a
-/// library: `fastcdc` 5 rolls a hash over bytes, and where entries differ in a few letters only, most
-/// of its positions are alike in all of them. With 32 KB looked for, 45 of 50 pieces of a document
-/// of 3 MB had the most bytes, and 29 were others after two routes had changed.
+/// An entry is the last of its piece if its checksum is low, regardless of what precedes it.
+///
+/// `fastcdc` 5 is not suitable here: it uses a rolling hash over bytes, and when entries differ in
+/// only a few letters, the hash is the same at most positions of every entry. With a target size of
+/// 32 KB, 45 of the 50 pieces of a 3 MB document had the maximum length, and 29 pieces changed
+/// after a change of two routes.
 fn cut(bytes: &[u8]) -> Vec<&[u8]> {
     let mut pieces = Vec::new();
     let mut rest = bytes;
@@ -158,27 +165,30 @@
     pieces
 }
 
-/// Whether a piece may end with an entry: of equally many bytes equally many may, however long
-/// their entries are.
+/// Whether a piece may end after an entry.
+///
+/// The probability is proportional to the entry's length, so that the average distance between such
+/// entries does not depend on how long entries are.
 fn is_last(entry: &[u8]) -> bool {
     let checksum = u64::from(crc32fast::hash(entry));
     checksum * AVERAGE_BYTES < (entry.len() as u64) << u32::BITS
 }
 
-/// The pieces of the last versions, ready to be passed on. A clone is cheap.
+/// The compressed pieces of the latest versions, ready to be served. Clones share the piece data.
 #[derive(Clone, Debug, Default)]
 pub struct PieceBook {
-    /// Oldest first.
+    /// The piece lists of the kept versions, oldest first.
     lists: Vec<Arc<PieceList>>,
     packed: IndexMap<PieceHash, PackedPiece>,
 }
 
 impl PieceBook {
-    /// Cuts a document and keeps its pieces, unless it is no newer than the last one.
+    /// Splits a document and keeps its pieces, unless its version is not newer than the newest
+    /// kept.
     ///
     /// # Errors
     ///
-    /// [`UnpackError`] when the stored bytes are damaged.
+    /// [`UnpackError`] if the stored bytes can't be decompressed.
     pub fn add(&mut self, document: &StoredDocument) -> Result<(), UnpackError> {
         if self.version() >= Some(document.version) {
             return Ok(());
@@ -198,7 +208,7 @@
         Ok(())
     }
 
-    /// Keeps a piece; one that an earlier version had is not packed again.
+    /// Compresses and keeps a piece, unless a kept version already contains it.
     fn keep(&mut self, bytes: &[u8]) -> PieceEntry {
         let hash = PieceHash::of(bytes);
         let packed = self.packed.entry(hash);
@@ -219,19 +229,19 @@
         self.packed.retain(|hash, _| used.contains(hash));
     }
 
-    /// The newest version that was cut.
+    /// The newest version kept.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.newest().map(|list| list.version)
     }
 
-    /// What the newest version consists of.
+    /// The piece list of the newest version kept.
     #[must_use]
     pub fn newest(&self) -> Option<&Arc<PieceList>> {
         self.lists.last()
     }
 
-    /// The pieces of some hashes, in their order; those that are not kept are left out.
+    /// The pieces with the given hashes, in the same order; pieces that are not kept are omitted.
     #[must_use]
     pub fn find(&self, hashes: &[PieceHash]) -> Vec<(PieceHash, PackedPiece)> {
         let known = hashes
--- a/crates/masticsill_catalogue/src/document/routes.rs
+++ b/crates/masticsill_catalogue/src/document/routes.rs
@@ -1,18 +1,18 @@
-//! What a document holds.
+//! The content of a route document.
 
-/// What may be repeated of a request.
+/// Whether and how a request of a route may be repeated.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs at most once for each attempt of the caller.
+    /// The request runs at most once for each attempt of the caller.
     NonIdempotent,
-    /// Its answer is a stream of numbered events.
+    /// The answer is a stream of numbered events.
     Stream,
 }
 
 impl RouteKind {
-    /// The name in logs and metrics.
+    /// The kind's name in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -23,37 +23,37 @@
     }
 }
 
-/// Where requests to a host and path prefix go.
+/// A route: how requests to a host and path prefix are handled.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// Longest pause between events that is still on time.
+    /// Longest gap between two events of a stream that counts as on time, in milliseconds.
     pub gap_aim_ms: Option<u64>,
-    /// The host that callers name.
+    /// The host that callers send; compared without regard to case.
     pub host: String,
     /// Whether callers need no API key.
     pub is_anonymous: bool,
-    /// Whether a stream may go on at another endpoint.
+    /// Whether a stream may be resumed at another endpoint.
     pub is_resumable: bool,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub kind: RouteKind,
-    /// Endpoints that one attempt of a caller may be sent to, at most.
+    /// Maximum number of endpoints to which one attempt of a caller may be sent.
     pub max_attempts: u32,
     /// The route's name.
     pub name: String,
-    /// Beginning of the paths; it begins and ends with a slash.
+    /// Prefix of the paths; starts and ends with a slash.
     pub path_prefix: String,
-    /// Rank among routes; zero is the highest.
+    /// Priority among routes; zero is the highest.
     pub priority: u32,
-    /// Services and their shares of the requests.
+    /// The services that handle the requests, with their weights.
     pub services: Vec<ServiceShare>,
-    /// Time within which an answer is on time.
+    /// Longest time to an answer that counts as on time, in milliseconds.
     pub target_latency_ms: u64,
-    /// Longest that a caller is kept waiting.
+    /// Longest time that a caller is kept waiting, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl Route {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request that may already have run may be run again.
     #[must_use]
     pub fn may_repeat(&self) -> bool {
         match self.kind {
@@ -67,50 +67,50 @@
 /// A service's share of a route.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceShare {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// Its weight against the route's other services.
+    /// The service's weight relative to the route's other services.
     pub weight: u64,
 }
 
-/// A kind of endpoint.
+/// A service: a group of interchangeable endpoints.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceEntry {
-    /// What its engines can do; none for a plain service.
+    /// Properties of the service's engines; `None` for a plain service.
     pub engine: Option<EngineTraits>,
-    /// Path of the health check.
+    /// HTTP path of the health check.
     pub health_path: String,
-    /// Connections that one endpoint accepts from all callers together.
+    /// Maximum number of connections that one endpoint accepts, from all callers together.
     pub max_connections: Option<u32>,
-    /// The name by which endpoints register and routes refer to it.
+    /// The name under which endpoints register and by which routes refer to the service.
     pub name: String,
 }
 
-/// What the engines of a service can do.
+/// Properties of the engines of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EngineTraits {
-    /// Whether a run's memory can be copied to another engine as it grows.
+    /// Whether a run's KV cache can be copied to another engine as it grows.
     pub has_backups: bool,
-    /// Tokens that one engine's memory holds.
+    /// Capacity of one engine's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Requests that one engine runs at once.
+    /// Maximum number of requests that one engine runs concurrently.
     pub slots: u32,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestLimits {
-    /// Bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Bytes of a head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: u64,
-    /// Time for a head.
+    /// Maximum time to receive a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// A secret that names its workspace. Never logged.
+/// A secret that identifies a caller's workspace. Its `Debug` output hides it.
 #[derive(Clone, Eq, Hash, PartialEq)]
 pub struct ApiKey(pub String);
 
@@ -123,25 +123,25 @@
 /// A workspace and its API keys.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkspaceEntry {
-    /// Keys that callers of the workspace show.
+    /// Keys that authenticate callers of the workspace.
     pub api_keys: Vec<ApiKey>,
-    /// The name that endpoints are told.
+    /// The workspace's name, which is sent to endpoints.
     pub name: String,
-    /// Rank that goes before the route's, if set.
+    /// Priority that overrides the route's, if set.
     pub priority: Option<u32>,
 }
 
-/// A document.
+/// A route document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouteDocument {
-    /// Bounds on requests.
+    /// Limits on requests and connections.
     pub limits: RequestLimits,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<ServiceEntry>,
-    /// The operator's version.
+    /// The document's version, chosen by the operator.
     pub version: u64,
-    /// The workspaces; none where routes need no key.
+    /// The workspaces; `None` if no route needs an API key.
     pub workspaces: Option<Vec<WorkspaceEntry>>,
 }
--- a/crates/masticsill_catalogue/src/document/rules.rs
+++ b/crates/masticsill_catalogue/src/document/rules.rs
@@ -1,4 +1,4 @@
-//! What makes a document invalid.
+//! Validation of a route document.
 
 use indexmap::{IndexMap, IndexSet};
 
@@ -6,11 +6,11 @@
 use crate::validation::FieldError;
 
 impl RouteDocument {
-    /// Checks the document as a whole.
+    /// Checks the complete document.
     ///
     /// # Errors
     ///
-    /// Every field that can't be accepted.
+    /// A [`FieldError`] for each problem found.
     pub fn validate(&self) -> Result<(), Vec<FieldError>> {
         let mut errors = Vec::new();
         self.check_services(&mut errors);
--- a/crates/masticsill_catalogue/src/document/sources.rs
+++ b/crates/masticsill_catalogue/src/document/sources.rs
@@ -1,33 +1,34 @@
-//! The replicas that a document can be fetched from, and which of them is asked.
+//! The replicas from which a document can be fetched, and the choice among them.
 
 use std::net::SocketAddr;
 
 use indexmap::{IndexMap, IndexSet};
 use masticsill_types::ClockMs;
 
-/// How long replicas of the own zone may lack a version before another zone's is asked: twice the
-/// time in which a replica usually applies what its leader has.
+/// How long replicas in the requester's own zone may lack a version before a replica in another
+/// zone is asked: twice the time in which a replica usually applies what its leader has.
 const NEAR_PATIENCE_MS: u64 = 150;
 
-/// A replica that answered last time.
+/// A replica that answered the last request, and its answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DocumentSource {
-    /// Whether it is of the own zone: bytes between zones are dear.
+    /// Whether the replica is in the requester's own zone; it is preferred, because traffic between
+    /// zones is expensive.
     pub is_near: bool,
-    /// The version applied there.
+    /// The document version that the replica has applied, if any.
     pub version: Option<u64>,
 }
 
-/// What is known of a document's versions and the replicas that have them.
+/// The known versions of the document and the replicas that have them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DocumentSources {
-    /// The newest version, and when it was heard of first.
+    /// The newest version known, and when it was first reported.
     newest: Option<(u64, ClockMs)>,
     replicas: IndexMap<SocketAddr, DocumentSource>,
 }
 
 impl DocumentSources {
-    /// Notes a replica's answer.
+    /// Records a replica's answer.
     pub fn note(&mut self, now: ClockMs, address: SocketAddr, source: DocumentSource) {
         self.replicas.insert(address, source);
         if let Some(version) = source.version.filter(|it| Some(*it) > self.newest()) {
@@ -35,25 +36,28 @@
         }
     }
 
-    /// Notes that a replica does not answer.
+    /// Removes a replica that does not answer. The newest version known stays.
     pub fn forget(&mut self, address: &SocketAddr) {
         self.replicas.shift_remove(address);
     }
 
-    /// What a replica answered last time.
+    /// The last answer of a replica; `None` if it did not answer.
     #[must_use]
     pub fn get(&self, address: &SocketAddr) -> Option<DocumentSource> {
         self.replicas.get(address).copied()
     }
 
-    /// The newest version heard of.
+    /// The newest version that any replica has reported.
     #[must_use]
     pub fn newest(&self) -> Option<u64> {
         self.newest.map(|(version, _)| version)
     }
 
-    /// Whom to ask for what the newest version consists of. `turn` shares the work of equal
-    /// replicas among those who ask.
+    /// The replica to ask for the piece list of the newest version, except for those in
+    /// `passed_over`. `turn` distributes requesters over equally suitable replicas.
+    ///
+    /// `None` if no replica has the version, or if it is still expected to reach the replicas in
+    /// the requester's own zone.
     #[must_use]
     pub fn lister(
         &self,
@@ -70,7 +74,7 @@
         })
     }
 
-    /// Whom to ask for pieces of a version.
+    /// The replica to ask for pieces of a version, except for those in `passed_over`.
     #[must_use]
     pub fn holder(
         &self,
@@ -81,7 +85,7 @@
         self.choose(turn, passed_over, |source| source.version >= Some(version))
     }
 
-    /// One of the replicas that fit, of the own zone if there is one.
+    /// One of the replicas that fit, preferably one in the requester's own zone.
     fn choose(
         &self,
         turn: usize,
--- a/crates/masticsill_catalogue/src/document/stored.rs
+++ b/crates/masticsill_catalogue/src/document/stored.rs
@@ -1,4 +1,4 @@
-//! A document as the quorum stores it and replicas pass it on.
+//! A route document as the quorum stores it and replicas transfer it.
 
 use std::fmt;
 use std::io::{self, Read, Write};
@@ -9,26 +9,27 @@
 use flate2::write::DeflateEncoder;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of an unpacked document at most: what any operator's call may carry.
+/// Maximum size of an uncompressed document, in bytes: the largest body of an operator's request.
 const MAX_BYTES: u64 = 8 * 1024 * 1024;
 
-/// First byte of packed ones. No text begins with it, so that what a former version stored as it
-/// was sent is still read.
+/// First byte of a compressed document. No text starts with this byte, so documents that an earlier
+/// release stored uncompressed can still be read.
 const PACKED: u8 = 1;
 
-/// A document as an operator sent it, packed.
+/// A document as an operator sent it, compressed with DEFLATE.
 ///
 /// A document of 350 routes has 400,000 bytes, which take a third of a second on a relay's link of
-/// 10 Mbit/s; with a new version each second, relays fell more than two seconds behind. Routes
-/// resemble one another, so that a tenth of the bytes is left.
+/// 10 Mbit/s. Uncompressed, with a new version each second, relays fell more than two seconds
+/// behind. Routes resemble one another, so that documents compress to a tenth of their size.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredDocument {
     packed: Arc<[u8]>,
-    /// The operator's version.
+    /// The document's version, chosen by the operator.
     pub version: u64,
 }
 
-/// A stored document that can't be unpacked: a fault of this system.
+/// A stored document that can't be decompressed. This is a fault of this system, not of the
+/// operator.
 #[derive(Debug)]
 pub struct UnpackError(io::Error);
 
@@ -45,11 +46,11 @@
 impl std::error::Error for UnpackError {}
 
 impl StoredDocument {
-    /// Packs an operator's bytes.
+    /// Compresses an operator's bytes.
     ///
     /// # Panics
     ///
-    /// Never: writing to memory does not fail.
+    /// Never, because writing to memory does not fail.
     #[must_use]
     pub fn pack(bytes: &[u8], version: u64) -> Self {
         let mut encoder = DeflateEncoder::new(vec![PACKED], Compression::fast());
@@ -63,11 +64,12 @@
         }
     }
 
-    /// The bytes as they were sent.
+    /// The bytes exactly as the operator sent them.
     ///
     /// # Errors
     ///
-    /// [`UnpackError`] when the packed bytes are damaged or hold more than any call may carry.
+    /// [`UnpackError`] if the compressed bytes are damaged, or hold more than the largest body of
+    /// an operator's request.
     pub fn unpack(&self) -> Result<Vec<u8>, UnpackError> {
         let Some(packed) = self.packed.strip_prefix(&[PACKED]) else {
             return Ok(self.packed.to_vec());
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Bytes that are stored and passed on.
+    /// Size in bytes as stored and transferred.
     #[must_use]
     pub fn packed_bytes(&self) -> usize {
         self.packed.len()
--- a/crates/masticsill_catalogue/src/entry.rs
+++ b/crates/masticsill_catalogue/src/entry.rs
@@ -1,4 +1,4 @@
-//! What an operator writes: one catalogue entry.
+//! Catalogue entries, as operators define them.
 
 use std::fmt;
 use std::num::NonZeroU32;
@@ -6,20 +6,20 @@
 use masticsill_types::{Class, EntryId, ModelId, ModelTarget, WorkspaceId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// One entry of the catalogue, whole and checked.
+/// One entry of the catalogue, complete and validated.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CatalogueEntry {
     /// What serves the entry.
     pub back_end: BackEnd,
-    /// What the entry promises about waiting.
+    /// The class of service, which says whether requests may wait for an endpoint.
     pub class: Class,
-    /// Its name; callers use it as the model of a request.
+    /// The entry's name; callers send it as the model of a request.
     pub id: EntryId,
-    /// What its callers may consume.
+    /// What the entry's callers may consume.
     pub limits: Limits,
     /// The workspace that owns it.
     pub owner: WorkspaceId,
-    /// Where it runs and how often.
+    /// In which availability zones the entry runs, and with how many replicas.
     pub placement: Placement,
 }
 
@@ -31,21 +31,21 @@
         /// The exact model.
         target: ModelTarget,
     },
-    /// A plain service, called by whole request and whole reply.
+    /// A plain service: each call is one complete request and one complete reply.
     PlainService {
         /// The service's name, as its agents announce it.
         service: ModelId,
-        /// Whether a call may be sent twice without harm.
+        /// Whether calls are idempotent, so that a call may be sent again.
         is_repeatable: bool,
     },
 }
 
-/// What the callers of an entry may consume; an absent number sets no limit.
+/// What the callers of an entry may consume; `None` means no limit.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limits {
-    /// Generations or calls running at the same time.
+    /// Generations or calls running concurrently.
     pub concurrent_generations: Option<NonZeroU32>,
-    /// Requests waiting for a place.
+    /// Requests queued for a free slot.
     pub queue_length: Option<NonZeroU32>,
     /// Requests admitted per second.
     pub requests_per_s: Option<NonZeroU32>,
@@ -53,14 +53,14 @@
     pub tokens_per_s: Option<NonZeroU32>,
 }
 
-/// Where an entry runs and how often.
+/// In which availability zones an entry runs, and with how many replicas.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Placement {
-    /// Replicas wanted in all.
+    /// Total number of replicas wanted.
     pub replicas: u32,
-    /// How the replicas are split into roles; empty means that every replica is mixed.
+    /// How many of the replicas have each role; empty means that every replica is mixed.
     pub roles: Vec<RoleReplicas>,
-    /// Availability zones that may hold replicas, each once; empty means any.
+    /// Availability zones that may hold replicas, without duplicates; empty means any zone.
     pub zones: Vec<ZoneId>,
 }
 
@@ -77,19 +77,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Generates tokens after a prompt that another replica has read.
+    /// Generates tokens for prompts that another replica has processed.
     Decode,
-    /// Reads prompts and generates tokens.
+    /// Processes prompts and generates tokens.
     Mixed,
-    /// Reads prompts only.
+    /// Processes prompts only.
     Prefill,
 }
 
 impl EngineRole {
-    /// Every role, by name.
+    /// Every role, ordered by name.
     pub const ALL: [Self; 3] = [Self::Decode, Self::Mixed, Self::Prefill];
 
-    /// The name in the administration API.
+    /// The role's name in the administration API.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -107,7 +107,7 @@
 }
 
 impl BackEnd {
-    /// The model target, when engines serve the entry.
+    /// The model target, if engines serve the entry.
     #[must_use]
     pub fn target(&self) -> Option<&ModelTarget> {
         match self {
--- a/crates/masticsill_catalogue/src/entry_json.rs
+++ b/crates/masticsill_catalogue/src/entry_json.rs
@@ -1,7 +1,7 @@
 //! The JSON form of an entry, in files and in the administration API.
 //!
-//! Numbers and names are read as they stand and checked on conversion, so that one answer names
-//! every wrong field. Unknown fields are refused.
+//! Numbers and names are deserialized unchecked and validated on conversion, so that one answer
+//! lists every invalid field. Unknown fields are refused.
 
 use std::fmt;
 use std::num::NonZeroU32;
@@ -24,12 +24,12 @@
     pub owner: String,
     /// `instant_lookup` or `patient_draft`.
     pub class: String,
-    /// What serves it.
+    /// What serves the entry.
     pub back_end: BackEndJson,
-    /// What its callers may consume.
+    /// What the entry's callers may consume.
     #[serde(default)]
     pub limits: LimitsJson,
-    /// Where it runs and how often.
+    /// In which availability zones the entry runs, and with how many replicas.
     pub placement: PlacementJson,
 }
 
@@ -39,11 +39,11 @@
 pub enum BackEndJson {
     /// Model engines.
     Engine {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// Its version.
+        /// The model's version.
         version: String,
-        /// Adapter on top of the model, if any.
+        /// The adapter applied to the model, if any.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<String>,
     },
@@ -51,20 +51,20 @@
     PlainService {
         /// The service's name.
         service: String,
-        /// Whether a call may be sent twice without harm; it has no default, because a wrong
-        /// guess doubles orders.
+        /// Whether calls are idempotent, so that a call may be sent again. There is no default,
+        /// because a wrong one could run a call twice, for example placing an order twice.
         is_repeatable: bool,
     },
 }
 
-/// Limits as JSON; an absent number sets no limit.
+/// Limits as JSON; an absent number means no limit.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitsJson {
-    /// Generations or calls running at the same time.
+    /// Generations or calls running concurrently.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub concurrent_generations: Option<i64>,
-    /// Requests waiting for a place.
+    /// Requests queued for a free slot.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub queue_length: Option<i64>,
     /// Requests admitted per second.
@@ -79,17 +79,17 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementJson {
-    /// Replicas wanted in all.
+    /// Total number of replicas wanted.
     pub replicas: i64,
-    /// Replicas by role: `decode`, `mixed`, `prefill`.
+    /// Number of replicas wanted in each role: `decode`, `mixed`, `prefill`.
     #[serde(default, skip_serializing_if = "IndexMap::is_empty")]
     pub roles: IndexMap<String, i64>,
-    /// Availability zones; empty means any.
+    /// Availability zones that may hold replicas; empty means any zone.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<String>,
 }
 
-/// Collects the errors of a conversion.
+/// Converts JSON values to the types of an entry and collects the errors.
 #[derive(Debug, Default)]
 struct Fields {
     errors: Vec<FieldError>,
--- a/crates/masticsill_catalogue/src/follower.rs
+++ b/crates/masticsill_catalogue/src/follower.rs
@@ -1,22 +1,22 @@
-//! A node's copy of the catalogue and its proof of freshness.
+//! A node's copy of the catalogue and the proof of how fresh it is.
 //!
-//! The proof travels as an age. A node asks a peer at its own time `sent_at`; the peer answers
-//! with its version and with the age of its own proof. The node's copy then is known to contain
-//! every change accepted before `sent_at - age`. The time of the answer's arrival proves nothing,
-//! because the network may have held the answer back.
+//! A proof is passed between nodes as an age. A node queries a peer at `sent_at` on its own clock;
+//! the peer answers with its catalogue version and the age of its own proof. The node's copy, once
+//! it has that version, is then known to contain every change accepted before `sent_at - age`. The
+//! time at which the answer arrives proves nothing, because the network may have delayed it.
 
 use masticsill_types::{CatalogueVersion, ClockMs};
 
 use crate::catalogue::Catalogue;
 use crate::update::{Applied, CatalogueUpdate};
 
-/// What clocks in whole milliseconds may hide, added to every age that is told to a peer.
+/// Maximum rounding error of clocks that count whole milliseconds; added to every age.
 const ROUNDING_MS: u64 = 1;
 
-/// When a copy of the catalogue was last known to hold every accepted change.
+/// When a copy of the catalogue was last known to contain every accepted change.
 ///
-/// It starts unknown, and a proof that is not younger than the process is refused: what the
-/// process acted on in its former life may be newer.
+/// That time is unknown at first. A proof that is not younger than the process is rejected, because
+/// the previous incarnation of the process may have acted on a newer catalogue.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
     as_of: Option<ClockMs>,
@@ -24,7 +24,7 @@
 }
 
 impl Freshness {
-    /// The freshness of a copy of a process that started at `started_at`.
+    /// The unknown freshness of a copy in a process that started at `started_at`.
     #[must_use]
     pub fn new(started_at: ClockMs) -> Self {
         Self {
@@ -33,12 +33,14 @@
         }
     }
 
-    /// Takes in a proof that the copy held every change accepted before `as_of`.
+    /// Records a proof that the copy contains every change accepted before `as_of`.
     ///
-    /// Returns whether the proof was taken; an older one than the last changes nothing.
+    /// Returns whether the proof was recorded: it must be newer than the last proof and younger
+    /// than the process.
     pub fn renew(&mut self, as_of: ClockMs) -> bool {
         let is_older = self.as_of.is_some_and(|held| as_of <= held);
-        // `as_of` is zero when it lies before the clock's origin, hence strictly later.
+        // `as_of` saturates at zero if it is before the clock's origin, so it must be strictly
+        // later.
         let is_before_start = as_of <= self.started_at;
         if is_before_start || is_older {
             return false;
@@ -47,13 +49,13 @@
         true
     }
 
-    /// Whether the copy held every accepted change less than `lease_ms` ago.
+    /// Whether the copy is known to have contained every accepted change less than `lease_ms` ago.
     #[must_use]
     pub fn is_fresh(&self, now: ClockMs, lease_ms: u64) -> bool {
         self.age_ms(now).is_some_and(|age_ms| age_ms < lease_ms)
     }
 
-    /// The age of the proof, to be told to peers; `None` without a proof.
+    /// The age of the proof in milliseconds, as sent to peers; `None` without a proof.
     #[must_use]
     pub fn age_ms(&self, now: ClockMs) -> Option<u64> {
         self.as_of.map(|as_of| now.since(as_of) + ROUNDING_MS)
@@ -62,8 +64,8 @@
 
 /// A node's copy of the catalogue.
 ///
-/// A copy that was restarted holds nothing and is not fresh until a proof younger than the restart
-/// arrives, so what the node acts on never goes back, not even over a restart.
+/// After a restart the copy is empty, and it is not fresh until a proof younger than the restart
+/// arrives. The version that the node acts on therefore never decreases, not even across a restart.
 #[derive(Clone, Debug)]
 pub struct Follower {
     catalogue: Catalogue,
@@ -71,7 +73,7 @@
 }
 
 impl Follower {
-    /// An empty copy of a process that started at `started_at`.
+    /// An empty copy in a process that started at `started_at`.
     #[must_use]
     pub fn new(started_at: ClockMs) -> Self {
         Self {
@@ -80,13 +82,13 @@
         }
     }
 
-    /// The copy.
+    /// The copied catalogue.
     #[must_use]
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// How fresh the copy is.
+    /// The freshness of the copy.
     #[must_use]
     pub fn freshness(&self) -> Freshness {
         self.freshness
@@ -98,20 +100,22 @@
         self.catalogue.version()
     }
 
-    /// Brings the copy up to an update; its version never goes down.
+    /// Applies an update to the copy; the copy's version never decreases.
     pub fn apply(&mut self, update: CatalogueUpdate) -> Applied {
         self.catalogue.apply(update)
     }
 
-    /// Takes in a proof that `version` held every change accepted before `as_of`.
+    /// Records a proof that `version` contains every change accepted before `as_of`.
     ///
-    /// Returns whether the proof was taken: the copy must have at least that version, the proof
-    /// must be younger than the process, and an older proof changes nothing.
+    /// Returns whether the proof was recorded: the copy must have at least that version, and the
+    /// proof must be newer than the last proof and younger than the process.
     pub fn renew(&mut self, version: CatalogueVersion, as_of: ClockMs) -> bool {
         self.version() >= version && self.freshness.renew(as_of)
     }
 
-    /// Takes in a peer's proof: at the node's own `sent_at` or later, `version` was `age_ms` old.
+    /// Records a peer's proof, which was `age_ms` old at `sent_at` on this node's clock or later.
+    ///
+    /// Returns whether the proof was recorded, by the same rules as [`Self::renew`].
     pub fn renew_by_age(
         &mut self,
         version: CatalogueVersion,
@@ -121,13 +125,13 @@
         self.renew(version, sent_at.before(age_ms))
     }
 
-    /// Whether the copy held every accepted change less than `lease_ms` ago.
+    /// Whether the copy is known to have contained every accepted change less than `lease_ms` ago.
     #[must_use]
     pub fn is_fresh(&self, now: ClockMs, lease_ms: u64) -> bool {
         self.freshness.is_fresh(now, lease_ms)
     }
 
-    /// The age of the copy's proof, to be told to peers; `None` without a proof.
+    /// The age of the copy's proof in milliseconds, as sent to peers; `None` without a proof.
     #[must_use]
     pub fn age_ms(&self, now: ClockMs) -> Option<u64> {
         self.freshness.age_ms(now)
--- a/crates/masticsill_catalogue/src/lib.rs
+++ b/crates/masticsill_catalogue/src/lib.rs
@@ -1,6 +1,6 @@
-//! Catalogue entries, change application, de-duplication, claims and audit.
+//! Catalogue entries, changes with de-duplication, claims, route documents and the audit trail.
 //!
-//! Pure logic: no sockets, no threads and no clock of its own.
+//! Pure logic: no sockets, threads or clock.
 
 mod audit;
 mod catalogue;
--- a/crates/masticsill_catalogue/src/state.rs
+++ b/crates/masticsill_catalogue/src/state.rs
@@ -1,7 +1,8 @@
-//! The state that the control quorum replicates, applied command by command.
+//! The state machine that the control quorum replicates.
 //!
-//! Every replica applies the same commands in the same order, so nothing here reads a clock:
-//! wall-clock time comes with each command from the leader that proposed it.
+//! Every replica applies the same commands in the same order and must reach the same state, so
+//! nothing here reads a clock: each command carries the wall-clock time of the leader that proposed
+//! it.
 
 use std::net::SocketAddr;
 
@@ -20,50 +21,50 @@
 use crate::validation::FieldError;
 use crate::window::Window;
 
-/// Answers to changes kept for resends.
+/// Maximum number of answers to changes that are kept for resends.
 ///
-/// A change sent again after its answer was dropped is refused as a version conflict: its
-/// expected version is no longer in force, so it still is never applied twice.
+/// A change that is resent after its answer was evicted is refused as a version conflict, because
+/// its expected version is no longer in force. It is therefore still never applied twice.
 pub const MAX_CHANGE_ANSWERS: usize = 16_384;
 
 /// A command of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Command {
-    /// What to do.
+    /// The action to apply.
     pub action: Action,
-    /// The leader's wall clock when it proposed the command, in milliseconds since 1970.
+    /// The leader's wall clock when it proposed the command, in milliseconds since the Unix epoch.
     pub at_wall_ms: u64,
 }
 
-/// What a command does.
+/// The action of a command.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Action {
-    /// An operator's change, with what the leader's settings allow the operator.
+    /// An operator's change, with the scope that the leader's settings grant to the operator.
     Change(Change, OperatorScope),
-    /// A claim.
+    /// Requests a claim.
     Claim(Claim),
-    /// Draws the next sequence of orders to engines.
+    /// Allocates the next sequence number for orders to engines.
     DrawOrderSequence,
-    /// Records that an operator began to change the replicas.
+    /// Records that an operator started a change of the control replicas.
     NoteReplicas {
-        /// Where the replica listens, when the operator named an address.
+        /// The address on which the replica listens, if the operator gave one.
         address: Option<SocketAddr>,
-        /// Whether the replica is added, or removed.
+        /// Whether the replica is added (`true`) or removed (`false`).
         is_added: bool,
-        /// Who.
+        /// The operator that started the change.
         operator: OperatorId,
-        /// The replica.
+        /// The replica that is added or removed.
         replica: NodeId,
     },
-    /// Moves a claim.
+    /// Reassigns a claim.
     Reassign(Reassign),
     /// Settles a claim.
     Settle(Settle),
-    /// Puts the catalogue as one document in force, if its version is the highest.
+    /// Puts a route document in force, if its version is higher than the one in force.
     PutDocument {
         /// The document.
         document: StoredDocument,
-        /// Who.
+        /// The operator that sent the document.
         operator: OperatorId,
     },
 }
@@ -71,24 +72,26 @@
 /// The answer to a command.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CommandAnswer {
-    /// Of a change.
+    /// The answer to a change.
     Change(ChangeAnswer),
-    /// Of a claim, a reassignment or a settlement.
+    /// The answer to a claim, a reassignment or a settlement.
     Claim(ClaimAnswer),
-    /// The sequence drawn.
+    /// The sequence number that was allocated.
     OrderSequence(u64),
-    /// Nothing to tell.
+    /// The command was applied and has no result.
     Done,
-    /// Of a document.
+    /// The answer to a route document.
     Document(DocumentAnswer),
 }
 
+/// Identifies a change: different operators may use the same id.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 struct AnswerKey {
     id: ChangeId,
     operator: OperatorId,
 }
 
+/// The answer to a change and the digest of the change that got it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct FirstAnswer {
     answer: ChangeAnswer,
@@ -102,7 +105,7 @@
     audit: AuditTrail,
     catalogue: Catalogue,
     claims: Claims,
-    /// Stored beside the rest, whose durable form is older.
+    /// Persisted separately, because the stored format of the other fields predates the document.
     #[serde(skip)]
     document: Option<StoredDocument>,
     order_sequence: u64,
@@ -117,13 +120,13 @@
         &self.catalogue
     }
 
-    /// The catalogue as one document, if an operator sent one.
+    /// The route document in force, if an operator sent one.
     #[must_use]
     pub fn document(&self) -> Option<&StoredDocument> {
         self.document.as_ref()
     }
 
-    /// This state with a document, as read back from its durable form.
+    /// Returns the state with the given document, which is stored separately.
     #[must_use]
     pub fn with_document(mut self, document: Option<StoredDocument>) -> Self {
         self.document = document;
@@ -136,31 +139,31 @@
         &self.audit
     }
 
-    /// A claim of the key window.
+    /// A claim that has not expired.
     #[must_use]
     pub fn claim(&self, id: GenerationId) -> Option<&ClaimRecord> {
         self.claims.get(id)
     }
 
-    /// Claims of the key window.
+    /// Number of claims that have not expired.
     #[must_use]
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// The last sequence of orders to engines that was drawn; zero before the first.
+    /// The last sequence number allocated for orders to engines; zero if there is none.
     #[must_use]
     pub fn order_sequence(&self) -> u64 {
         self.order_sequence
     }
 
-    /// Addresses of replicas that operators named when they admitted them.
+    /// Addresses that operators gave when they added replicas.
     #[must_use]
     pub fn replica_addresses(&self) -> &IndexMap<NodeId, SocketAddr> {
         &self.replica_addresses
     }
 
-    /// The highest wall clock of any command, in milliseconds since 1970.
+    /// The highest wall clock of any applied command, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn wall_ms(&self) -> u64 {
         self.wall_ms
@@ -168,7 +171,7 @@
 
     /// Applies a committed command.
     pub fn apply(&mut self, command: &Command) -> CommandAnswer {
-        // A new leader's clock may lie behind: time must not go back within the state.
+        // A new leader's clock may be behind its predecessor's; the state's time must not go back.
         self.wall_ms = self.wall_ms.max(command.at_wall_ms);
         self.claims.expire(self.wall_ms);
         match &command.action {
@@ -204,7 +207,9 @@
         }
     }
 
-    /// The first answer to a change that was sent before, if it is still kept.
+    /// The answer to a change that was already applied, if the answer is still kept.
+    ///
+    /// A different change under the same id gets [`ChangeRefusal::ChangeIdReused`].
     #[must_use]
     pub fn first_answer(&self, change: &Change) -> Option<ChangeAnswer> {
         let first = self.answers.get(&answer_key(change))?;
@@ -273,7 +278,7 @@
         }
     }
 
-    /// The operator must be bound to the owner in force and to the owner that is to be.
+    /// Checks that the operator may change entries of both the current and the new owner.
     fn check_scope(&self, change: &Change, scope: &OperatorScope) -> Result<(), ChangeRefusal> {
         let in_force = self.catalogue.get(&change.entry);
         let in_force = in_force.map(|held| &held.entry.owner);
--- a/crates/masticsill_catalogue/src/update.rs
+++ b/crates/masticsill_catalogue/src/update.rs
@@ -1,21 +1,21 @@
-//! What travels between copies of the catalogue.
+//! Updates that are sent between copies of the catalogue.
 
 use masticsill_types::CatalogueVersion;
 use serde::{Deserialize, Serialize};
 
 use crate::catalogue::{Tombstone, VersionedEntry};
 
-/// Brings a copy of the catalogue up to a version.
+/// An update that brings a copy of the catalogue to a version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CatalogueUpdate {
-    /// What changed since an earlier version.
+    /// The changes since an earlier version.
     Delta(CatalogueDelta),
-    /// Everything.
+    /// All entries.
     Snapshot(CatalogueSnapshot),
 }
 
 impl CatalogueUpdate {
-    /// The version that a copy has after the update.
+    /// The version that a copy has once the update is applied.
     #[must_use]
     pub fn version(&self) -> CatalogueVersion {
         match self {
@@ -25,35 +25,36 @@
     }
 }
 
-/// What changed between two versions: of each entry only its last change.
+/// The changes between two versions; of the puts of an entry only the last one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CatalogueDelta {
-    /// Entries deleted, oldest first; an entry put again afterwards is among `puts` too.
+    /// Deletions, oldest first; an entry that was put again afterwards is also in `puts`.
     pub deletes: Vec<Tombstone>,
-    /// Entries in force that changed.
+    /// Entries in force that were put since the earlier version.
     pub puts: Vec<VersionedEntry>,
-    /// The version that a copy must have at least.
+    /// The lowest version of a copy to which the delta can be applied.
     pub since: CatalogueVersion,
-    /// The version reached.
+    /// The version of a copy after the delta.
     pub version: CatalogueVersion,
 }
 
-/// Every entry in force under a version.
+/// All entries in force at a version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CatalogueSnapshot {
-    /// The entries.
+    /// The entries, in an unspecified order.
     pub entries: Vec<VersionedEntry>,
-    /// The version.
+    /// The catalogue's version.
     pub version: CatalogueVersion,
 }
 
-/// What an update did to a copy.
+/// The result of applying an update to a copy.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Applied {
-    /// The copy is at the update's version now.
+    /// The copy now has the update's version.
     Changed,
-    /// The delta starts after the copy's version; ask again from the copy's version.
+    /// The delta starts after the copy's version and was not applied; the copy needs an update
+    /// since its own version.
     Gap,
-    /// The copy was at the update's version or beyond it.
+    /// The copy already had the update's version or a later one.
     Unchanged,
 }
--- a/crates/masticsill_catalogue/src/validation.rs
+++ b/crates/masticsill_catalogue/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of a catalogue entry as a whole.
+//! Validation of a complete catalogue entry.
 
 use std::fmt;
 
@@ -7,26 +7,26 @@
 
 use crate::entry::{BackEnd, CatalogueEntry, EngineRole};
 
-/// Replicas that one entry may want.
+/// Maximum number of replicas of one entry.
 pub const MAX_REPLICAS: u32 = 10_000;
-/// Availability zones that one entry may name.
+/// Maximum number of availability zones that one entry may name.
 pub const MAX_ZONES: usize = 64;
 
 const MAX_SHOWN_CHARS: usize = 64;
 
-/// A field that can't be accepted, its value and what to write instead.
+/// An invalid field, its value and how to correct it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FieldError {
-    /// The field's path in the entry's JSON.
+    /// Path of the field in the JSON.
     pub field: String,
-    /// What to write instead.
+    /// How to correct the value.
     pub remedy: String,
-    /// The value found, cut to a readable length.
+    /// The invalid value, truncated to 64 characters.
     pub value: String,
 }
 
 impl FieldError {
-    /// An error of a field; the value is cut to a readable length.
+    /// Creates an error for a field; the value is truncated to 64 characters.
     pub fn new(
         field: impl Into<String>,
         value: impl fmt::Display,
@@ -54,11 +54,12 @@
 impl std::error::Error for FieldError {}
 
 impl CatalogueEntry {
-    /// Checks the entry as a whole.
+    /// Checks the complete entry.
     ///
     /// # Errors
     ///
-    /// Every [`FieldError`] found, in the order of the fields.
+    /// A [`FieldError`] for each problem: first those of the limits, then of the zones, the
+    /// replicas and the roles.
     pub fn validate(&self) -> Result<(), Vec<FieldError>> {
         let mut errors = Vec::new();
         self.check_limits(&mut errors);
@@ -163,7 +164,7 @@
     }
 }
 
-/// Prefill and decode replicas are of use only to each other.
+/// Checks that prefill and decode replicas are both wanted or both not: each role needs the other.
 fn check_role_pair(roles: &IndexSet<EngineRole>, errors: &mut Vec<FieldError>) {
     let pair = [
         (EngineRole::Prefill, EngineRole::Decode),
--- a/crates/masticsill_catalogue/src/window.rs
+++ b/crates/masticsill_catalogue/src/window.rs
@@ -1,4 +1,4 @@
-//! A map that remembers a bounded number of keys, oldest out first.
+//! A map with insertion order, for owners that evict the oldest keys first.
 
 use std::collections::VecDeque;
 use std::hash::Hash;
@@ -6,7 +6,10 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// A map with the order in which its keys came. Equal to another only with the same order.
+/// A map that also records the order in which its keys were inserted.
+///
+/// The map itself is not bounded: its owner evicts keys with [`Self::pop_oldest`]. Two maps are
+/// equal only if their keys were inserted in the same order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(bound(
     deserialize = "K: Deserialize<'de> + Eq + Hash, V: Deserialize<'de>",
@@ -43,7 +46,7 @@
         self.values.len()
     }
 
-    /// Adds a key that is not inside.
+    /// Inserts a key that the map must not contain yet.
     pub(crate) fn push(&mut self, key: K, value: V) {
         self.order.push_back(key.clone());
         self.values.insert(key, value);
