--- a/crates/masticsill_catalogue/src/catalogue.rs
+++ b/crates/masticsill_catalogue/src/catalogue.rs
@@ -61,7 +61,9 @@
     /// The version in which an entry last changed; zero if there is no such entry.
     #[must_use]
     pub fn entry_version(&self, id: &EntryId) -> CatalogueVersion {
-        self.get(id).map(|held| held.version).unwrap_or_default()
+        self.get(id)
+            .map(|versioned| versioned.version)
+            .unwrap_or_default()
     }
 
     /// All entries in force, in an unspecified order.
@@ -85,7 +87,7 @@
     /// Creates or replaces an entry and increments the version.
     pub(crate) fn put(&mut self, entry: CatalogueEntry) -> CatalogueVersion {
         self.version = self.version.next();
-        self.hold(VersionedEntry {
+        self.insert_entry(VersionedEntry {
             entry,
             version: self.version,
         });
@@ -95,27 +97,27 @@
     /// Deletes an entry and increments the version.
     pub(crate) fn delete(&mut self, id: &EntryId) -> CatalogueVersion {
         self.version = self.version.next();
-        self.bury(Tombstone {
+        self.remove_entry(Tombstone {
             id: id.clone(),
             version: self.version,
         });
         self.version
     }
 
-    /// The update that brings a copy at version `have` to this catalogue's version, as the smaller
+    /// The update that brings a copy at version `copy_version` to this catalogue's version, as the smaller
     /// of delta and snapshot.
     ///
     /// `None` if the copy's version is not lower than this catalogue's.
     #[must_use]
-    pub fn update_since(&self, have: CatalogueVersion) -> Option<CatalogueUpdate> {
-        if have >= self.version {
+    pub fn update_since(&self, copy_version: CatalogueVersion) -> Option<CatalogueUpdate> {
+        if copy_version >= self.version {
             return None;
         }
         let snapshot = || CatalogueUpdate::Snapshot(self.snapshot());
-        if have < self.tombstones_since {
+        if copy_version < self.tombstones_since {
             return Some(snapshot());
         }
-        let delta = self.delta_since(have);
+        let delta = self.delta_since(copy_version);
         let is_delta_smaller = delta.puts.len() + delta.deletes.len() < self.entries.len();
         let is_delta = is_delta_smaller || delta.deletes.is_empty();
         Some(if is_delta {
@@ -134,13 +136,16 @@
         }
     }
 
-    fn delta_since(&self, have: CatalogueVersion) -> CatalogueDelta {
-        let is_new = |held: &&VersionedEntry| held.version > have;
-        let deletes = self.tombstones.iter().filter(|grave| grave.version > have);
+    fn delta_since(&self, copy_version: CatalogueVersion) -> CatalogueDelta {
+        let is_new = |versioned: &&VersionedEntry| versioned.version > copy_version;
+        let deletes = self
+            .tombstones
+            .iter()
+            .filter(|tombstone| tombstone.version > copy_version);
         CatalogueDelta {
             deletes: deletes.cloned().collect(),
             puts: self.entries().filter(is_new).cloned().collect(),
-            since: have,
+            since: copy_version,
             version: self.version,
         }
     }
@@ -151,15 +156,15 @@
             return Applied::Unchanged;
         }
         match update {
-            CatalogueUpdate::Snapshot(snapshot) => self.replace(snapshot),
+            CatalogueUpdate::Snapshot(snapshot) => self.apply_snapshot(snapshot),
             CatalogueUpdate::Delta(delta) if delta.since > self.version => return Applied::Gap,
-            CatalogueUpdate::Delta(delta) => self.merge(delta),
+            CatalogueUpdate::Delta(delta) => self.apply_delta(delta),
         }
         Applied::Changed
     }
 
-    fn replace(&mut self, snapshot: CatalogueSnapshot) {
-        let by_id = |held: VersionedEntry| (held.entry.id.clone(), Arc::new(held));
+    fn apply_snapshot(&mut self, snapshot: CatalogueSnapshot) {
+        let by_id = |versioned: VersionedEntry| (versioned.entry.id.clone(), Arc::new(versioned));
         self.entries = snapshot.entries.into_iter().map(by_id).collect();
         self.tombstones.clear();
         self.tombstones_since = snapshot.version;
@@ -167,28 +172,29 @@
     }
 
     /// Applies the part of a delta that is newer than this copy.
-    fn merge(&mut self, delta: CatalogueDelta) {
-        let have = self.version;
-        for grave in delta.deletes {
-            if grave.version > have {
-                self.bury(grave);
+    fn apply_delta(&mut self, delta: CatalogueDelta) {
+        let copy_version = self.version;
+        for tombstone in delta.deletes {
+            if tombstone.version > copy_version {
+                self.remove_entry(tombstone);
             }
         }
-        for held in delta.puts {
-            if held.version > have {
-                self.hold(held);
+        for versioned in delta.puts {
+            if versioned.version > copy_version {
+                self.insert_entry(versioned);
             }
         }
         self.version = delta.version;
     }
 
-    fn hold(&mut self, held: VersionedEntry) {
-        self.entries.insert(held.entry.id.clone(), Arc::new(held));
+    fn insert_entry(&mut self, versioned: VersionedEntry) {
+        self.entries
+            .insert(versioned.entry.id.clone(), Arc::new(versioned));
     }
 
-    fn bury(&mut self, grave: Tombstone) {
-        self.entries.swap_remove(&grave.id);
-        self.tombstones.push_back(grave);
+    fn remove_entry(&mut self, tombstone: Tombstone) {
+        self.entries.swap_remove(&tombstone.id);
+        self.tombstones.push_back(tombstone);
         if self.tombstones.len() > MAX_TOMBSTONES
             && let Some(oldest) = self.tombstones.pop_front()
         {
--- a/crates/masticsill_catalogue/src/change.rs
+++ b/crates/masticsill_catalogue/src/change.rs
@@ -134,7 +134,7 @@
                 "this operator may not change entries of workspace `{workspace}`; \
                  ask for the workspace to be added to the operator in the settings"
             ),
-            Self::Invalid(errors) => write_all(formatter, errors),
+            Self::Invalid(errors) => write_errors(formatter, errors),
             Self::VersionConflict { expected, in_force } => write!(
                 formatter,
                 "the change expects version {expected}, but version {in_force} is in force; \
@@ -144,7 +144,7 @@
     }
 }
 
-fn write_all(formatter: &mut fmt::Formatter<'_>, errors: &[FieldError]) -> fmt::Result {
+fn write_errors(formatter: &mut fmt::Formatter<'_>, errors: &[FieldError]) -> fmt::Result {
     for (index, error) in errors.iter().enumerate() {
         if index > 0 {
             formatter.write_str("; ")?;
--- a/crates/masticsill_catalogue/src/claim.rs
+++ b/crates/masticsill_catalogue/src/claim.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a claim is kept after its first grant, in milliseconds.
-pub const KEY_WINDOW_MS: u64 = 24 * 60 * 60 * 1000;
+pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 /// Maximum number of claims kept. New claims are refused beyond it, because evicting a claim could
 /// let its call run twice.
 pub const MAX_CLAIMS: usize = 131_072;
@@ -15,7 +15,7 @@
 pub const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
 /// Maximum total size of the answer bodies kept, in bytes; beyond it the oldest are reduced to
 /// their digests.
-pub const MAX_KEPT_BODIES_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_TOTAL_KEPT_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// Maximum number of keys of expired claims kept; beyond it the oldest are evicted.
 pub const MAX_EXPIRED_KEYS: usize = 131_072;
 
@@ -79,7 +79,7 @@
         if let CallEnd::Answered(answer) = &mut self.end
             && answer.body.kept_bytes() > MAX_KEPT_BODY_BYTES
         {
-            answer.body.drop_body();
+            answer.body.replace_with_digest();
         }
         self
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    pub(crate) fn drop_body(&mut self) {
+    pub(crate) fn replace_with_digest(&mut self) {
         if let Self::Kept(body) = self {
             *self = Self::Digest {
                 hash: *blake3::hash(body).as_bytes(),
--- a/crates/masticsill_catalogue/src/claims.rs
+++ b/crates/masticsill_catalogue/src/claims.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::claim::{
-    CallEnd, Claim, ClaimAnswer, ClaimRecord, KEY_WINDOW_MS, MAX_CLAIMS, MAX_EXPIRED_KEYS,
-    MAX_KEPT_BODIES_BYTES, Reassign, Settle,
+    CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, ClaimRecord, MAX_CLAIMS, MAX_EXPIRED_KEYS,
+    MAX_TOTAL_KEPT_BODY_BYTES, Reassign, Settle,
 };
-use crate::window::Window;
+use crate::insertion_order_map::InsertionOrderMap;
 
 /// All claims that have not expired, and the keys of claims that have.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -17,9 +17,9 @@
     /// Calls whose answer body is kept, oldest first. May contain calls whose claim has expired.
     bodies: VecDeque<GenerationId>,
     /// Keys of expired claims, which must not be granted again.
-    expired: Window<GenerationId, ()>,
+    expired: InsertionOrderMap<GenerationId, ()>,
     kept_body_bytes: usize,
-    records: Window<GenerationId, ClaimRecord>,
+    records: InsertionOrderMap<GenerationId, ClaimRecord>,
 }
 
 impl Claims {
@@ -33,10 +33,11 @@
 
     pub(crate) fn claim(&mut self, claim: &Claim, now_wall_ms: u64) -> ClaimAnswer {
         if let Some(record) = self.records.get(&claim.id) {
-            return repeat_claim(claim, record);
+            return answer_repeated_claim(claim, record);
         }
-        let is_outside = |made_ms: u64| made_ms.saturating_add(KEY_WINDOW_MS) <= now_wall_ms;
-        if self.expired.contains(&claim.id) || claim.caller_wall_ms.is_some_and(is_outside) {
+        let is_outside_window =
+            |made_ms: u64| made_ms.saturating_add(CLAIM_RETENTION_MS) <= now_wall_ms;
+        if self.expired.contains(&claim.id) || claim.caller_wall_ms.is_some_and(is_outside_window) {
             return ClaimAnswer::Expired;
         }
         if self.records.len() >= MAX_CLAIMS {
@@ -57,7 +58,7 @@
 
     pub(crate) fn reassign(&mut self, command: &Reassign) -> ClaimAnswer {
         let Some(record) = self.records.get_mut(&command.id) else {
-            return self.absent(command.id);
+            return self.answer_without_record(command.id);
         };
         let is_repeat = record.nonce == command.nonce && record.owner == command.owner;
         if is_repeat && record.end.is_none() {
@@ -65,8 +66,8 @@
                 version: record.version,
             };
         }
-        let is_movable = matches!(record.end, None | Some(CallEnd::NotRun));
-        if record.version != command.expected_version || !is_movable {
+        let is_reassignable = matches!(record.end, None | Some(CallEnd::NotRun));
+        if record.version != command.expected_version || !is_reassignable {
             return ClaimAnswer::Existing(record.clone());
         }
         record.agent = command.agent.clone();
@@ -81,10 +82,10 @@
 
     pub(crate) fn settle(&mut self, command: &Settle) -> ClaimAnswer {
         let Some(record) = self.records.get_mut(&command.id) else {
-            return self.absent(command.id);
+            return self.answer_without_record(command.id);
         };
         let end = command.clone().trimmed().end;
-        if record.version != command.version || !may_follow(record.end.as_ref(), &end) {
+        if record.version != command.version || !may_record_end(record.end.as_ref(), &end) {
             return ClaimAnswer::Existing(record.clone());
         }
         if record.end.as_ref() == Some(&end) {
@@ -92,11 +93,11 @@
         }
         let kept_bytes = kept_bytes(&end);
         record.end = Some(end);
-        self.keep_body(command.id, kept_bytes);
+        self.record_kept_body(command.id, kept_bytes);
         ClaimAnswer::Settled
     }
 
-    fn absent(&self, id: GenerationId) -> ClaimAnswer {
+    fn answer_without_record(&self, id: GenerationId) -> ClaimAnswer {
         if self.expired.contains(&id) {
             ClaimAnswer::Expired
         } else {
@@ -104,35 +105,36 @@
         }
     }
 
-    fn keep_body(&mut self, id: GenerationId, kept_bytes: usize) {
+    fn record_kept_body(&mut self, id: GenerationId, kept_bytes: usize) {
         if kept_bytes == 0 {
             return;
         }
         self.kept_body_bytes += kept_bytes;
         self.bodies.push_back(id);
-        while self.kept_body_bytes > MAX_KEPT_BODIES_BYTES {
+        while self.kept_body_bytes > MAX_TOTAL_KEPT_BODY_BYTES {
             let Some(oldest) = self.bodies.pop_front() else {
                 return;
             };
-            self.drop_body(oldest);
+            self.replace_with_digest(oldest);
         }
     }
 
-    fn drop_body(&mut self, id: GenerationId) {
+    fn replace_with_digest(&mut self, id: GenerationId) {
         let record = self.records.get_mut(&id);
         if let Some(CallEnd::Answered(answer)) = record.and_then(|record| record.end.as_mut()) {
             self.kept_body_bytes -= answer.body.kept_bytes();
-            answer.body.drop_body();
+            answer.body.replace_with_digest();
         }
     }
 
     /// Removes the claims that have expired and keeps their keys, so that they are refused.
     pub(crate) fn expire(&mut self, now_wall_ms: u64) {
-        let is_old = |record: &ClaimRecord| record.claimed_wall_ms + KEY_WINDOW_MS <= now_wall_ms;
+        let is_expired =
+            |record: &ClaimRecord| record.claimed_wall_ms + CLAIM_RETENTION_MS <= now_wall_ms;
         while self
             .records
             .oldest()
-            .is_some_and(|(_, record)| is_old(record))
+            .is_some_and(|(_, record)| is_expired(record))
         {
             let Some((id, record)) = self.records.pop_oldest() else {
                 return;
@@ -150,7 +152,7 @@
     }
 }
 
-fn repeat_claim(claim: &Claim, record: &ClaimRecord) -> ClaimAnswer {
+fn answer_repeated_claim(claim: &Claim, record: &ClaimRecord) -> ClaimAnswer {
     if record.fingerprint != claim.fingerprint {
         return ClaimAnswer::FingerprintDiffers;
     }
@@ -166,7 +168,7 @@
 /// Whether `end` may be recorded, given what is already recorded.
 ///
 /// An unknown outcome may become known; every other end is final for its version of the claim.
-fn may_follow(recorded: Option<&CallEnd>, end: &CallEnd) -> bool {
+fn may_record_end(recorded: Option<&CallEnd>, end: &CallEnd) -> bool {
     match recorded {
         None => true,
         Some(CallEnd::OutcomeUnknown) => *end != CallEnd::NotRun,
--- a/crates/masticsill_catalogue/src/document/fetch.rs
+++ b/crates/masticsill_catalogue/src/document/fetch.rs
@@ -10,16 +10,16 @@
 /// no event of a relayed stream is delayed longer than that by one call.
 const MAX_CALL_BYTES: u32 = 32 * 1024;
 /// Assumed duration of a call until one is answered.
-const FIRST_CALL_MS: f64 = 100.0;
+const INITIAL_CALL_MS: f64 = 100.0;
 /// A call that takes this multiple of the typical duration is late.
-const LATE_FACTOR: f64 = 3.0;
+const LATE_CALL_FACTOR: f64 = 3.0;
 /// A call is not late before this, because pauses of 100 ms at a replica are common.
-const LEAST_LATE_MS: f64 = 150.0;
+const MIN_LATE_CALL_MS: f64 = 150.0;
 /// A call is always late after this: half of the time within which a change must be in force.
-const MOST_LATE_MS: f64 = 1_000.0;
+const MAX_LATE_CALL_MS: f64 = 1_000.0;
 /// Factor by which a faster call at most lowers the typical duration. A slower call raises it at
 /// once, and a small, fast call right after it does not hide it.
-const USUAL_KEPT: f64 = 0.9;
+const TYPICAL_CALL_DECAY: f64 = 0.9;
 
 /// A document joined from its pieces.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -38,7 +38,7 @@
 
 /// The version that is being fetched.
 #[derive(Debug)]
-struct Target {
+struct FetchTarget {
     fetched_bytes: u64,
     fetched_pieces: usize,
     list: PieceList,
@@ -51,7 +51,7 @@
 pub struct PieceFetch {
     /// Uncompressed bytes of the pieces received.
     held: IndexMap<PieceHash, Box<[u8]>>,
-    target: Option<Target>,
+    target: Option<FetchTarget>,
 }
 
 impl fmt::Debug for PieceFetch {
@@ -67,10 +67,10 @@
     /// Starts to fetch a version. Pieces fetched for another version are kept, because versions
     /// share most of their pieces.
     pub fn begin(&mut self, list: PieceList) {
-        let lacking = list.pieces.iter();
-        let lacking = lacking.filter(|piece| !self.held.contains_key(&piece.hash));
-        let missing = lacking.map(|piece| (piece.hash, *piece)).collect();
-        self.target = Some(Target {
+        let not_held = list.pieces.iter();
+        let not_held = not_held.filter(|piece| !self.held.contains_key(&piece.hash));
+        let missing = not_held.map(|piece| (piece.hash, *piece)).collect();
+        self.target = Some(FetchTarget {
             fetched_bytes: 0,
             fetched_pieces: 0,
             list,
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// [`PieceError::OtherWhole`] if the joined document has another hash; all pieces are dropped.
+    /// [`PieceError::DocumentHashMismatch`] if the joined document has another hash; all pieces are dropped.
     pub fn join(&mut self) -> Result<Option<JoinedDocument>, PieceError> {
         let Some(target) = self.target.take_if(|target| target.missing.is_empty()) else {
             return Ok(None);
@@ -142,11 +142,11 @@
         let mut bytes = Vec::new();
         for piece in &target.list.pieces {
             let held = self.held.get(&piece.hash);
-            bytes.extend_from_slice(held.ok_or(PieceError::OtherWhole)?);
+            bytes.extend_from_slice(held.ok_or(PieceError::DocumentHashMismatch)?);
         }
         if *blake3::hash(&bytes).as_bytes() != target.list.whole {
             self.held.clear();
-            return Err(PieceError::OtherWhole);
+            return Err(PieceError::DocumentHashMismatch);
         }
         let used: indexmap::IndexSet<PieceHash> =
             target.list.pieces.iter().map(|piece| piece.hash).collect();
@@ -173,14 +173,14 @@
 #[derive(Clone, Debug)]
 pub struct FetchPace {
     call_bytes: u32,
-    usual_ms: f64,
+    typical_call_ms: f64,
 }
 
 impl Default for FetchPace {
     fn default() -> Self {
         Self {
             call_bytes: MAX_CALL_BYTES,
-            usual_ms: FIRST_CALL_MS,
+            typical_call_ms: INITIAL_CALL_MS,
         }
     }
 }
@@ -195,14 +195,15 @@
     /// Milliseconds without an answer after which another replica is asked for one piece as well.
     #[must_use]
     pub fn late_ms(&self) -> u64 {
-        let late_ms = (self.usual_ms * LATE_FACTOR).clamp(LEAST_LATE_MS, MOST_LATE_MS);
+        let late_ms =
+            (self.typical_call_ms * LATE_CALL_FACTOR).clamp(MIN_LATE_CALL_MS, MAX_LATE_CALL_MS);
         whole_ms(late_ms)
     }
 
     /// Records how many milliseconds an answered call took.
     #[expect(clippy::cast_precision_loss, reason = "milliseconds of one call")]
     pub fn note_answer(&mut self, took_ms: u64) {
-        self.usual_ms = (took_ms as f64).max(self.usual_ms * USUAL_KEPT);
+        self.typical_call_ms = (took_ms as f64).max(self.typical_call_ms * TYPICAL_CALL_DECAY);
         self.call_bytes = self.call_bytes.saturating_mul(2).min(MAX_CALL_BYTES);
     }
 
--- a/crates/masticsill_catalogue/src/document/index.rs
+++ b/crates/masticsill_catalogue/src/document/index.rs
@@ -28,8 +28,8 @@
             let host = route.host.to_ascii_lowercase();
             routes.entry(host).or_default().push(Arc::new(route));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let mut keys = IndexMap::new();
         for (position, workspace) in document.workspaces.iter().flatten().enumerate() {
@@ -57,8 +57,8 @@
     /// The route of a host with the longest path prefix that matches `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let of_host = self.routes.get(&host.to_ascii_lowercase())?;
-        of_host
+        let host_routes = self.routes.get(&host.to_ascii_lowercase())?;
+        host_routes
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
     }
--- a/crates/masticsill_catalogue/src/document/pieces.rs
+++ b/crates/masticsill_catalogue/src/document/pieces.rs
@@ -16,29 +16,29 @@
 /// Average distance from the minimum length of a piece to its end. An average piece has 24 KB,
 /// which is about 20 routes, and 2 to 4 KB compressed: 3 ms on a link of 10 Mbit/s. The piece list
 /// of a 5 MB document has 5 KB.
-const AVERAGE_BYTES: u64 = 16 * 1024;
-const LEAST_BYTES: usize = 8 * 1024;
-const MOST_BYTES: usize = 64 * 1024;
+const AVERAGE_CUT_DISTANCE_BYTES: u64 = 16 * 1024;
+const MIN_PIECE_BYTES: usize = 8 * 1024;
+const MAX_PIECE_BYTES: usize = 64 * 1024;
 /// The last byte of a route or another entry. Pieces end only after this byte, except for those
 /// that reach the maximum length.
-const ENTRY_END: u8 = b'}';
+const ENTRY_END_BYTE: u8 = b'}';
 /// Length of a piece's hash: long enough to rule out accidental collisions. The joined document is
 /// also checked against a full hash.
-const HASH_BYTES: usize = 16;
+const PIECE_HASH_BYTES: usize = 16;
 /// Maximum number of versions whose pieces are kept. At three versions per second these cover the
 /// last 2.7 s, within which a fetch that has started ends.
-const KEPT_VERSIONS: usize = 8;
+const MAX_KEPT_VERSIONS: usize = 8;
 
 /// Identifies a piece by its content: the truncated BLAKE3 hash of its bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct PieceHash([u8; HASH_BYTES]);
+pub struct PieceHash([u8; PIECE_HASH_BYTES]);
 
 impl PieceHash {
     /// The hash of a piece's uncompressed bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
-        let mut hash = [0; HASH_BYTES];
-        hash.copy_from_slice(&blake3::hash(bytes).as_bytes()[..HASH_BYTES]);
+        let mut hash = [0; PIECE_HASH_BYTES];
+        hash.copy_from_slice(&blake3::hash(bytes).as_bytes()[..PIECE_HASH_BYTES]);
         Self(hash)
     }
 }
@@ -99,8 +99,8 @@
     /// `entry`.
     pub fn unpack(&self, entry: &PieceEntry) -> Result<Vec<u8>, PieceError> {
         let length_bytes = entry.length_bytes as usize;
-        let mut bytes = Vec::with_capacity(length_bytes.min(MOST_BYTES));
-        let mut decoder = DeflateDecoder::new(&*self.0).take(MOST_BYTES as u64 + 1);
+        let mut bytes = Vec::with_capacity(length_bytes.min(MAX_PIECE_BYTES));
+        let mut decoder = DeflateDecoder::new(&*self.0).take(MAX_PIECE_BYTES as u64 + 1);
         let read: io::Result<usize> = decoder.read_to_end(&mut bytes);
         let is_whole = read.is_ok() && bytes.len() == length_bytes;
         if is_whole && PieceHash::of(&bytes) == entry.hash {
@@ -117,14 +117,14 @@
     /// A piece's bytes do not match the length or hash in the list.
     Damaged,
     /// The joined pieces do not match the list's hash of the complete document.
-    OtherWhole,
+    DocumentHashMismatch,
 }
 
 impl fmt::Display for PieceError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Damaged => "a piece does not match its length or hash; it will be fetched again",
-            Self::OtherWhole => {
+            Self::DocumentHashMismatch => {
                 "the joined pieces do not match the document's hash; all will be fetched again"
             }
         })
@@ -142,18 +142,18 @@
 /// only a few letters, the hash is the same at most positions of every entry. With a target size of
 /// 32 KB, 45 of the 50 pieces of a 3 MB document had the maximum length, and 29 pieces changed
 /// after a change of two routes.
-fn cut(bytes: &[u8]) -> Vec<&[u8]> {
+fn split_into_pieces(bytes: &[u8]) -> Vec<&[u8]> {
     let mut pieces = Vec::new();
     let mut rest = bytes;
     let mut length = 0;
-    for entry in bytes.split_inclusive(|byte| *byte == ENTRY_END) {
+    for entry in bytes.split_inclusive(|byte| *byte == ENTRY_END_BYTE) {
         length += entry.len();
-        while length > MOST_BYTES {
-            let (piece, after) = rest.split_at(MOST_BYTES);
+        while length > MAX_PIECE_BYTES {
+            let (piece, after) = rest.split_at(MAX_PIECE_BYTES);
             pieces.push(piece);
-            (rest, length) = (after, length - MOST_BYTES);
+            (rest, length) = (after, length - MAX_PIECE_BYTES);
         }
-        if length >= LEAST_BYTES && is_last(entry) {
+        if length >= MIN_PIECE_BYTES && may_end_piece(entry) {
             let (piece, after) = rest.split_at(length);
             pieces.push(piece);
             (rest, length) = (after, 0);
@@ -169,9 +169,9 @@
 ///
 /// The probability is proportional to the entry's length, so that the average distance between such
 /// entries does not depend on how long entries are.
-fn is_last(entry: &[u8]) -> bool {
+fn may_end_piece(entry: &[u8]) -> bool {
     let checksum = u64::from(crc32fast::hash(entry));
-    checksum * AVERAGE_BYTES < (entry.len() as u64) << u32::BITS
+    checksum * AVERAGE_CUT_DISTANCE_BYTES < (entry.len() as u64) << u32::BITS
 }
 
 /// The compressed pieces of the latest versions, ready to be served. Clones share the piece data.
@@ -194,22 +194,24 @@
             return Ok(());
         }
         let bytes = document.unpack()?;
-        let pieces = cut(&bytes).into_iter().map(|piece| self.keep(piece));
+        let pieces = split_into_pieces(&bytes)
+            .into_iter()
+            .map(|piece| self.store_piece(piece));
         let list = PieceList {
             pieces: pieces.collect(),
             version: document.version,
             whole: *blake3::hash(&bytes).as_bytes(),
         };
         self.lists.push(Arc::new(list));
-        if self.lists.len() > KEPT_VERSIONS {
+        if self.lists.len() > MAX_KEPT_VERSIONS {
             self.lists.remove(0);
-            self.drop_unused();
+            self.remove_unused_pieces();
         }
         Ok(())
     }
 
     /// Compresses and keeps a piece, unless a kept version already contains it.
-    fn keep(&mut self, bytes: &[u8]) -> PieceEntry {
+    fn store_piece(&mut self, bytes: &[u8]) -> PieceEntry {
         let hash = PieceHash::of(bytes);
         let packed = self.packed.entry(hash);
         let packed = packed.or_insert_with(|| PackedPiece::pack(bytes));
@@ -221,7 +223,7 @@
         }
     }
 
-    fn drop_unused(&mut self) {
+    fn remove_unused_pieces(&mut self) {
         let lists = self.lists.iter();
         let used: indexmap::IndexSet<PieceHash> = lists
             .flat_map(|list| list.pieces.iter().map(|piece| piece.hash))
--- a/crates/masticsill_catalogue/src/document/rules.rs
+++ b/crates/masticsill_catalogue/src/document/rules.rs
@@ -36,10 +36,11 @@
 
     fn check_routes(&self, errors: &mut Vec<FieldError>) {
         let services: IndexSet<&str> = self.services.iter().map(|it| it.name.as_str()).collect();
-        let mut places = IndexSet::new();
+        let mut host_prefixes = IndexSet::new();
         for (position, route) in self.routes.iter().enumerate() {
             let at = |field: &str| format!("routes[{position}].{field}");
-            if !places.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str())) {
+            if !host_prefixes.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str()))
+            {
                 let remedy = "another route has this host and prefix; keep one of them";
                 errors.push(FieldError::new(
                     at("path_prefix"),
--- a/crates/masticsill_catalogue/src/document/sources.rs
+++ b/crates/masticsill_catalogue/src/document/sources.rs
@@ -7,7 +7,7 @@
 
 /// How long replicas in the requester's own zone may lack a version before a replica in another
 /// zone is asked: twice the time in which a replica usually applies what its leader has.
-const NEAR_PATIENCE_MS: u64 = 150;
+const SAME_ZONE_WAIT_MS: u64 = 150;
 
 /// A replica that answered the last request, and its answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -54,7 +54,7 @@
     }
 
     /// The replica to ask for the piece list of the newest version, except for those in
-    /// `passed_over`. `turn` distributes requesters over equally suitable replicas.
+    /// `excluded`. `turn` distributes requesters over equally suitable replicas.
     ///
     /// `None` if no replica has the version, or if it is still expected to reach the replicas in
     /// the requester's own zone.
@@ -63,44 +63,44 @@
         &self,
         now: ClockMs,
         turn: usize,
-        passed_over: &IndexSet<SocketAddr>,
+        excluded: &IndexSet<SocketAddr>,
     ) -> Option<SocketAddr> {
         let (newest, since) = self.newest?;
-        let is_patient = now.since(since) < NEAR_PATIENCE_MS;
-        let has_near = self.replicas.values().any(|source| source.is_near);
-        let only_near = is_patient && has_near && passed_over.is_empty();
-        self.choose(turn, passed_over, |source| {
-            source.version >= Some(newest) && (source.is_near || !only_near)
+        let is_waiting_for_zone = now.since(since) < SAME_ZONE_WAIT_MS;
+        let has_same_zone = self.replicas.values().any(|source| source.is_near);
+        let only_same_zone = is_waiting_for_zone && has_same_zone && excluded.is_empty();
+        self.choose(turn, excluded, |source| {
+            source.version >= Some(newest) && (source.is_near || !only_same_zone)
         })
     }
 
-    /// The replica to ask for pieces of a version, except for those in `passed_over`.
+    /// The replica to ask for pieces of a version, except for those in `excluded`.
     #[must_use]
     pub fn holder(
         &self,
         version: u64,
         turn: usize,
-        passed_over: &IndexSet<SocketAddr>,
+        excluded: &IndexSet<SocketAddr>,
     ) -> Option<SocketAddr> {
-        self.choose(turn, passed_over, |source| source.version >= Some(version))
+        self.choose(turn, excluded, |source| source.version >= Some(version))
     }
 
     /// One of the replicas that fit, preferably one in the requester's own zone.
     fn choose(
         &self,
         turn: usize,
-        passed_over: &IndexSet<SocketAddr>,
+        excluded: &IndexSet<SocketAddr>,
         fits: impl Fn(&DocumentSource) -> bool,
     ) -> Option<SocketAddr> {
-        let of_zone = |is_near: bool| {
+        let choose_in = |is_near: bool| {
             let fitting = self.replicas.iter().filter(|(address, source)| {
-                source.is_near == is_near && fits(source) && !passed_over.contains(*address)
+                source.is_near == is_near && fits(source) && !excluded.contains(*address)
             });
             let mut fitting: Vec<SocketAddr> = fitting.map(|(address, _)| *address).collect();
             fitting.sort_unstable();
             let position = turn.checked_rem(fitting.len())?;
             fitting.get(position).copied()
         };
-        of_zone(true).or_else(|| of_zone(false))
+        choose_in(true).or_else(|| choose_in(false))
     }
 }
--- a/crates/masticsill_catalogue/src/document/stored.rs
+++ b/crates/masticsill_catalogue/src/document/stored.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum size of an uncompressed document, in bytes: the largest body of an operator's request.
-const MAX_BYTES: u64 = 8 * 1024 * 1024;
+const MAX_UNPACKED_BYTES: u64 = 8 * 1024 * 1024;
 
 /// First byte of a compressed document. No text starts with this byte, so documents that an earlier
 /// release stored uncompressed can still be read.
-const PACKED: u8 = 1;
+const PACKED_MARKER: u8 = 1;
 
 /// A document as an operator sent it, compressed with DEFLATE.
 ///
@@ -53,7 +53,7 @@
     /// Never, because writing to memory does not fail.
     #[must_use]
     pub fn pack(bytes: &[u8], version: u64) -> Self {
-        let mut encoder = DeflateEncoder::new(vec![PACKED], Compression::fast());
+        let mut encoder = DeflateEncoder::new(vec![PACKED_MARKER], Compression::fast());
         encoder
             .write_all(bytes)
             .expect("writing to memory never fails");
@@ -71,14 +71,14 @@
     /// [`UnpackError`] if the compressed bytes are damaged, or hold more than the largest body of
     /// an operator's request.
     pub fn unpack(&self) -> Result<Vec<u8>, UnpackError> {
-        let Some(packed) = self.packed.strip_prefix(&[PACKED]) else {
+        let Some(packed) = self.packed.strip_prefix(&[PACKED_MARKER]) else {
             return Ok(self.packed.to_vec());
         };
         let mut bytes = Vec::new();
         let decoder = DeflateDecoder::new(packed);
-        let read = decoder.take(MAX_BYTES + 1).read_to_end(&mut bytes);
+        let read = decoder.take(MAX_UNPACKED_BYTES + 1).read_to_end(&mut bytes);
         match read {
-            Ok(_) if bytes.len() as u64 <= MAX_BYTES => Ok(bytes),
+            Ok(_) if bytes.len() as u64 <= MAX_UNPACKED_BYTES => Ok(bytes),
             Ok(_) => Err(UnpackError(io::ErrorKind::FileTooLarge.into())),
             Err(error) => Err(UnpackError(error)),
         }
--- a/crates/masticsill_catalogue/src/entry_json.rs
+++ b/crates/masticsill_catalogue/src/entry_json.rs
@@ -91,19 +91,19 @@
 
 /// Converts JSON values to the types of an entry and collects the errors.
 #[derive(Debug, Default)]
-struct Fields {
+struct FieldConverter {
     errors: Vec<FieldError>,
 }
 
-impl Fields {
+impl FieldConverter {
     fn parse<T>(&mut self, field: &str, text: &str) -> Option<T>
     where
         T: FromStr,
         T::Err: fmt::Display,
     {
-        let keep = |error: T::Err| FieldError::new(field, text, error.to_string());
+        let to_field_error = |error: T::Err| FieldError::new(field, text, error.to_string());
         text.parse()
-            .map_err(|error| self.errors.push(keep(error)))
+            .map_err(|error| self.errors.push(to_field_error(error)))
             .ok()
     }
 
@@ -202,7 +202,7 @@
     type Error = Vec<FieldError>;
 
     fn try_from(json: EntryJson) -> Result<Self, Self::Error> {
-        let mut fields = Fields::default();
+        let mut fields = FieldConverter::default();
         let id: Option<EntryId> = fields.parse("id", &json.id);
         let owner = fields.parse("owner", &json.owner);
         let class: Option<Class> = fields.parse("class", &json.class);
--- a/crates/masticsill_catalogue/src/window.rs
+++ b/crates/masticsill_catalogue/src/insertion_order_map.rs
@@ -15,12 +15,12 @@
     deserialize = "K: Deserialize<'de> + Eq + Hash, V: Deserialize<'de>",
     serialize = "K: Eq + Hash + Serialize, V: Serialize"
 ))]
-pub(crate) struct Window<K: Eq + Hash, V> {
+pub(crate) struct InsertionOrderMap<K: Eq + Hash, V> {
     order: VecDeque<K>,
     values: IndexMap<K, V>,
 }
 
-impl<K: Eq + Hash, V> Default for Window<K, V> {
+impl<K: Eq + Hash, V> Default for InsertionOrderMap<K, V> {
     fn default() -> Self {
         Self {
             order: VecDeque::new(),
@@ -29,7 +29,7 @@
     }
 }
 
-impl<K: Clone + Eq + Hash, V> Window<K, V> {
+impl<K: Clone + Eq + Hash, V> InsertionOrderMap<K, V> {
     pub(crate) fn get(&self, key: &K) -> Option<&V> {
         self.values.get(key)
     }
--- a/crates/masticsill_catalogue/src/lib.rs
+++ b/crates/masticsill_catalogue/src/lib.rs
@@ -11,18 +11,18 @@
 mod entry;
 mod entry_json;
 mod follower;
+mod insertion_order_map;
 mod state;
 mod update;
 mod validation;
-mod window;
 
 pub use audit::{AuditAction, AuditRecord, AuditTrail, ChangeRecord, MAX_AUDIT_RECORDS};
 pub use catalogue::{Catalogue, MAX_TOMBSTONES, Tombstone, VersionedEntry};
 pub use change::{Change, ChangeAnswer, ChangeContent, ChangeRefusal, MAX_ENTRIES, OperatorScope};
 pub use claim::{
-    AgentLife, CallEnd, Claim, ClaimAnswer, ClaimRecord, KEY_WINDOW_MS, MAX_CLAIMS,
-    MAX_EXPIRED_KEYS, MAX_KEPT_BODIES_BYTES, MAX_KEPT_BODY_BYTES, Reassign, Settle, StoredAnswer,
-    StoredBody,
+    AgentLife, CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, ClaimRecord, MAX_CLAIMS,
+    MAX_EXPIRED_KEYS, MAX_KEPT_BODY_BYTES, MAX_TOTAL_KEPT_BODY_BYTES, Reassign, Settle,
+    StoredAnswer, StoredBody,
 };
 pub use document::{
     ApiKey, DocumentAnswer, DocumentSource, DocumentSources, EngineTraits, FetchPace,
--- a/crates/masticsill_catalogue/src/state.rs
+++ b/crates/masticsill_catalogue/src/state.rs
@@ -18,8 +18,8 @@
 use crate::claim::{Claim, ClaimAnswer, ClaimRecord, Reassign, Settle};
 use crate::claims::Claims;
 use crate::document::{DocumentAnswer, StoredDocument};
+use crate::insertion_order_map::InsertionOrderMap;
 use crate::validation::FieldError;
-use crate::window::Window;
 
 /// Maximum number of answers to changes that are kept for resends.
 ///
@@ -101,7 +101,7 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ControlState {
-    answers: Window<AnswerKey, FirstAnswer>,
+    answers: InsertionOrderMap<AnswerKey, FirstAnswer>,
     audit: AuditTrail,
     catalogue: Catalogue,
     claims: Claims,
@@ -238,7 +238,7 @@
     fn answer_change(&mut self, change: &Change, scope: &OperatorScope) -> ChangeAnswer {
         if let Some(answer) = self.first_answer(change) {
             if answer == ChangeAnswer::Refused(ChangeRefusal::ChangeIdReused) {
-                self.record(change, self.owner_of(change), answer.clone());
+                self.audit_change(change, self.owner_of(change), answer.clone());
             }
             return answer;
         }
@@ -247,8 +247,8 @@
             Ok(version) => ChangeAnswer::Accepted { version },
             Err(refusal) => ChangeAnswer::Refused(refusal),
         };
-        self.record(change, owner, answer.clone());
-        self.remember(change, answer.clone());
+        self.audit_change(change, owner, answer.clone());
+        self.store_answer(change, answer.clone());
         answer
     }
 
@@ -305,7 +305,7 @@
         })
     }
 
-    fn record(&mut self, change: &Change, owner: Option<WorkspaceId>, answer: ChangeAnswer) {
+    fn audit_change(&mut self, change: &Change, owner: Option<WorkspaceId>, answer: ChangeAnswer) {
         let record = ChangeRecord {
             answer,
             entry: change.entry.clone(),
@@ -318,7 +318,7 @@
         self.audit.push(&change.operator, self.wall_ms, action);
     }
 
-    fn remember(&mut self, change: &Change, answer: ChangeAnswer) {
+    fn store_answer(&mut self, change: &Change, answer: ChangeAnswer) {
         let digest = change.digest();
         let first = FirstAnswer { answer, digest };
         self.answers.push(answer_key(change), first);
--- a/crates/masticsill_catalogue/src/validation.rs
+++ b/crates/masticsill_catalogue/src/validation.rs
@@ -12,7 +12,7 @@
 /// Maximum number of availability zones that one entry may name.
 pub const MAX_ZONES: usize = 64;
 
-const MAX_SHOWN_CHARS: usize = 64;
+const MAX_ERROR_VALUE_CHARS: usize = 64;
 
 /// An invalid field, its value and how to correct it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -36,7 +36,7 @@
         Self {
             field: field.into(),
             remedy: remedy.into(),
-            value: value.chars().take(MAX_SHOWN_CHARS).collect(),
+            value: value.chars().take(MAX_ERROR_VALUE_CHARS).collect(),
         }
     }
 }
--- a/crates/masticsill_catalogue/tests/claims_table.rs
+++ b/crates/masticsill_catalogue/tests/claims_table.rs
@@ -5,9 +5,9 @@
 use assert_matches::assert_matches;
 use common::run;
 use masticsill_catalogue::{
-    Action, AgentLife, CallEnd, Claim, ClaimAnswer, CommandAnswer, ControlState, KEY_WINDOW_MS,
-    MAX_CLAIMS, MAX_KEPT_BODIES_BYTES, MAX_KEPT_BODY_BYTES, Reassign, Settle, StoredAnswer,
-    StoredBody,
+    Action, AgentLife, CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, CommandAnswer,
+    ControlState, MAX_CLAIMS, MAX_KEPT_BODY_BYTES, MAX_TOTAL_KEPT_BODY_BYTES, Reassign, Settle,
+    StoredAnswer, StoredBody,
 };
 use masticsill_types::{GenerationId, Incarnation};
 
@@ -144,10 +144,10 @@
 fn expired_keys_are_never_granted_again() {
     let mut state = claimed();
     let again = || Action::Claim(claim(1, "entry-b", 6));
-    let last = tell(&mut state, KEY_WINDOW_MS - 1, again());
+    let last = tell(&mut state, CLAIM_RETENTION_MS - 1, again());
     assert_matches!(last, ClaimAnswer::Existing(_));
     assert_eq!(
-        tell(&mut state, KEY_WINDOW_MS, again()),
+        tell(&mut state, CLAIM_RETENTION_MS, again()),
         ClaimAnswer::Expired
     );
     let early = tell(&mut state, 0, settle(1, 1, CallEnd::NotRun));
@@ -178,7 +178,7 @@
 #[test]
 fn the_oldest_bodies_make_way() {
     let mut state = ControlState::default();
-    let fitting = MAX_KEPT_BODIES_BYTES / MAX_KEPT_BODY_BYTES;
+    let fitting = MAX_TOTAL_KEPT_BODY_BYTES / MAX_KEPT_BODY_BYTES;
     for number in 0..=fitting as u128 {
         tell(&mut state, 0, Action::Claim(claim(number, "entry-a", 1)));
         tell(
@@ -203,6 +203,6 @@
     let extra = || Action::Claim(claim(u128::MAX, "entry-a", 1));
     assert_eq!(tell(&mut state, 0, extra()), ClaimAnswer::Full);
     assert_eq!(state.claim_count(), MAX_CLAIMS);
-    let later = tell(&mut state, KEY_WINDOW_MS, extra());
+    let later = tell(&mut state, CLAIM_RETENTION_MS, extra());
     assert_eq!(later, ClaimAnswer::Granted { version: 1 });
 }
--- a/crates/masticsill_catalogue/tests/document_pieces.rs
+++ b/crates/masticsill_catalogue/tests/document_pieces.rs
@@ -178,7 +178,7 @@
     fetch.begin(wrong);
     let (hash, piece) = book.find(&fetch.next(CALL_BYTES)).remove(0);
     fetch.take(hash, &piece).unwrap();
-    assert_eq!(fetch.join(), Err(PieceError::OtherWhole));
+    assert_eq!(fetch.join(), Err(PieceError::DocumentHashMismatch));
     let document = fetch_newest(&mut fetch, &book);
     assert_eq!((document.fetched_pieces, document.reused_pieces), (1, 0));
 }
