--- a/crates/masticsill_catalogue/src/catalogue.rs
+++ b/crates/masticsill_catalogue/src/catalogue.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::CatalogueEntry;
-use crate::update::{Applied, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
+use crate::update::{ApplyOutcome, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
 
 /// Maximum number of deletions kept for deltas; a copy older than the oldest one needs a snapshot.
 pub const MAX_TOMBSTONES: usize = 4096;
@@ -151,16 +151,18 @@
     }
 
     /// Applies an update to this copy; the copy's version never decreases.
-    pub fn apply(&mut self, update: CatalogueUpdate) -> Applied {
+    pub fn apply(&mut self, update: CatalogueUpdate) -> ApplyOutcome {
         if update.version() <= self.version {
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         }
         match update {
             CatalogueUpdate::Snapshot(snapshot) => self.apply_snapshot(snapshot),
-            CatalogueUpdate::Delta(delta) if delta.since > self.version => return Applied::Gap,
+            CatalogueUpdate::Delta(delta) if delta.since > self.version => {
+                return ApplyOutcome::Gap;
+            }
             CatalogueUpdate::Delta(delta) => self.apply_delta(delta),
         }
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 
     fn apply_snapshot(&mut self, snapshot: CatalogueSnapshot) {
--- a/crates/masticsill_catalogue/src/claim.rs
+++ b/crates/masticsill_catalogue/src/claim.rs
@@ -21,7 +21,7 @@
 
 /// One incarnation of an agent: the agent process between a start and the next.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct AgentLife {
+pub struct AgentIncarnation {
     /// The agent.
     pub agent: NodeId,
     /// The incarnation number.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
     /// The agent incarnation to which the call would be dispatched.
-    pub agent: AgentLife,
+    pub agent: AgentIncarnation,
     /// When the caller created its request key, in wall-clock milliseconds since the Unix epoch, if
     /// the caller gave that time.
     pub caller_wall_ms: Option<u64>,
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reassign {
     /// The agent incarnation to which the call would now be dispatched.
-    pub agent: AgentLife,
+    pub agent: AgentIncarnation,
     /// The claim's version for which the previous agent answered that the call was not run.
     pub expected_version: u64,
     /// The call.
@@ -75,7 +75,7 @@
 impl Settle {
     /// The same settlement, with a body larger than [`MAX_KEPT_BODY_BYTES`] reduced to its digest.
     #[must_use]
-    pub fn trimmed(mut self) -> Self {
+    pub fn with_bounded_body(mut self) -> Self {
         if let CallEnd::Answered(answer) = &mut self.end
             && answer.body.kept_bytes() > MAX_KEPT_BODY_BYTES
         {
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRecord {
     /// The agent incarnation to which the call is dispatched.
-    pub agent: AgentLife,
+    pub agent: AgentIncarnation,
     /// When the claim was first granted, by the replicated state's wall clock in milliseconds since
     /// the Unix epoch.
     pub claimed_wall_ms: u64,
--- a/crates/masticsill_catalogue/src/claims.rs
+++ b/crates/masticsill_catalogue/src/claims.rs
@@ -84,7 +84,7 @@
         let Some(record) = self.records.get_mut(&command.id) else {
             return self.answer_without_record(command.id);
         };
-        let end = command.clone().trimmed().end;
+        let end = command.clone().with_bounded_body().end;
         if record.version != command.version || !may_record_end(record.end.as_ref(), &end) {
             return ClaimAnswer::Existing(record.clone());
         }
--- a/crates/masticsill_catalogue/src/document.rs
+++ b/crates/masticsill_catalogue/src/document.rs
@@ -14,9 +14,9 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use fetch::{FetchPace, JoinedDocument, PieceFetch};
+pub use fetch::{FetchPacer, JoinedDocument, PieceFetch};
 pub use index::RouteIndex;
-pub use pieces::{PackedPiece, PieceBook, PieceEntry, PieceError, PieceHash, PieceList};
+pub use pieces::{PackedPiece, PieceEntry, PieceError, PieceHash, PieceList, PieceStore};
 pub use routes::{
     ApiKey, EngineTraits, RequestLimits, Route, RouteDocument, RouteKind, ServiceEntry,
     ServiceShare, WorkspaceEntry,
--- a/crates/masticsill_catalogue/src/document/fetch.rs
+++ b/crates/masticsill_catalogue/src/document/fetch.rs
@@ -106,7 +106,11 @@
     /// # Errors
     ///
     /// [`PieceError::Damaged`] if the piece does not match its hash; it remains missing.
-    pub fn take(&mut self, hash: PieceHash, piece: &PackedPiece) -> Result<bool, PieceError> {
+    pub fn accept_piece(
+        &mut self,
+        hash: PieceHash,
+        piece: &PackedPiece,
+    ) -> Result<bool, PieceError> {
         let Some(target) = &mut self.target else {
             return Ok(false);
         };
@@ -123,7 +127,7 @@
 
     /// Abandons the version, because its pieces are no longer available. The pieces received so far
     /// are kept.
-    pub fn give_up(&mut self) {
+    pub fn abandon(&mut self) {
         self.target = None;
     }
 
@@ -171,12 +175,12 @@
 /// documents of 1 to 4 MB, a change of a few routes takes 14 KB and its piece list 5 KB; documents
 /// of which every piece is new take 100 to 290 KB.
 #[derive(Clone, Debug)]
-pub struct FetchPace {
+pub struct FetchPacer {
     call_bytes: u32,
     typical_call_ms: f64,
 }
 
-impl Default for FetchPace {
+impl Default for FetchPacer {
     fn default() -> Self {
         Self {
             call_bytes: MAX_CALL_BYTES,
@@ -185,7 +189,7 @@
     }
 }
 
-impl FetchPace {
+impl FetchPacer {
     /// Maximum number of compressed bytes that the next call may request.
     #[must_use]
     pub fn call_bytes(&self) -> u32 {
@@ -202,14 +206,14 @@
 
     /// Records how many milliseconds an answered call took.
     #[expect(clippy::cast_precision_loss, reason = "milliseconds of one call")]
-    pub fn note_answer(&mut self, took_ms: u64) {
+    pub fn record_answer(&mut self, took_ms: u64) {
         self.typical_call_ms = (took_ms as f64).max(self.typical_call_ms * TYPICAL_CALL_DECAY);
         self.call_bytes = self.call_bytes.saturating_mul(2).min(MAX_CALL_BYTES);
     }
 
     /// Records a call that was not answered in time: the next calls request less, down to one
     /// piece.
-    pub fn note_silence(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.call_bytes = (self.call_bytes / 2).max(1);
     }
 
--- a/crates/masticsill_catalogue/src/document/pieces.rs
+++ b/crates/masticsill_catalogue/src/document/pieces.rs
@@ -176,13 +176,13 @@
 
 /// The compressed pieces of the latest versions, ready to be served. Clones share the piece data.
 #[derive(Clone, Debug, Default)]
-pub struct PieceBook {
+pub struct PieceStore {
     /// The piece lists of the kept versions, oldest first.
     lists: Vec<Arc<PieceList>>,
     packed: IndexMap<PieceHash, PackedPiece>,
 }
 
-impl PieceBook {
+impl PieceStore {
     /// Splits a document and keeps its pieces, unless its version is not newer than the newest
     /// kept.
     ///
--- a/crates/masticsill_catalogue/src/document/routes.rs
+++ b/crates/masticsill_catalogue/src/document/routes.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
     /// Longest gap between two events of a stream that counts as on time, in milliseconds.
-    pub gap_aim_ms: Option<u64>,
+    pub target_event_gap_ms: Option<u64>,
     /// The host that callers send; compared without regard to case.
     pub host: String,
     /// Whether callers need no API key.
@@ -90,9 +90,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EngineTraits {
     /// Whether a run's KV cache can be copied to another engine as it grows.
-    pub has_backups: bool,
+    pub supports_kv_backup: bool,
     /// Capacity of one engine's KV cache, in tokens.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
     /// Maximum number of requests that one engine runs concurrently.
     pub slots: u32,
 }
--- a/crates/masticsill_catalogue/src/document/sources.rs
+++ b/crates/masticsill_catalogue/src/document/sources.rs
@@ -14,7 +14,7 @@
 pub struct DocumentSource {
     /// Whether the replica is in the requester's own zone; it is preferred, because traffic between
     /// zones is expensive.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// The document version that the replica has applied, if any.
     pub version: Option<u64>,
 }
@@ -29,7 +29,7 @@
 
 impl DocumentSources {
     /// Records a replica's answer.
-    pub fn note(&mut self, now: ClockMs, address: SocketAddr, source: DocumentSource) {
+    pub fn record_answer(&mut self, now: ClockMs, address: SocketAddr, source: DocumentSource) {
         self.replicas.insert(address, source);
         if let Some(version) = source.version.filter(|it| Some(*it) > self.newest()) {
             self.newest = Some((version, now));
@@ -37,7 +37,7 @@
     }
 
     /// Removes a replica that does not answer. The newest version known stays.
-    pub fn forget(&mut self, address: &SocketAddr) {
+    pub fn remove(&mut self, address: &SocketAddr) {
         self.replicas.shift_remove(address);
     }
 
@@ -59,7 +59,7 @@
     /// `None` if no replica has the version, or if it is still expected to reach the replicas in
     /// the requester's own zone.
     #[must_use]
-    pub fn lister(
+    pub fn choose_list_source(
         &self,
         now: ClockMs,
         turn: usize,
@@ -67,16 +67,16 @@
     ) -> Option<SocketAddr> {
         let (newest, since) = self.newest?;
         let is_waiting_for_zone = now.since(since) < SAME_ZONE_WAIT_MS;
-        let has_same_zone = self.replicas.values().any(|source| source.is_near);
+        let has_same_zone = self.replicas.values().any(|source| source.is_same_zone);
         let only_same_zone = is_waiting_for_zone && has_same_zone && excluded.is_empty();
         self.choose(turn, excluded, |source| {
-            source.version >= Some(newest) && (source.is_near || !only_same_zone)
+            source.version >= Some(newest) && (source.is_same_zone || !only_same_zone)
         })
     }
 
     /// The replica to ask for pieces of a version, except for those in `excluded`.
     #[must_use]
-    pub fn holder(
+    pub fn choose_piece_source(
         &self,
         version: u64,
         turn: usize,
@@ -92,9 +92,9 @@
         excluded: &IndexSet<SocketAddr>,
         fits: impl Fn(&DocumentSource) -> bool,
     ) -> Option<SocketAddr> {
-        let choose_in = |is_near: bool| {
+        let choose_in = |is_same_zone: bool| {
             let fitting = self.replicas.iter().filter(|(address, source)| {
-                source.is_near == is_near && fits(source) && !excluded.contains(*address)
+                source.is_same_zone == is_same_zone && fits(source) && !excluded.contains(*address)
             });
             let mut fitting: Vec<SocketAddr> = fitting.map(|(address, _)| *address).collect();
             fitting.sort_unstable();
--- a/crates/masticsill_catalogue/src/follower.rs
+++ b/crates/masticsill_catalogue/src/follower.rs
@@ -8,7 +8,7 @@
 use masticsill_types::{CatalogueVersion, ClockMs};
 
 use crate::catalogue::Catalogue;
-use crate::update::{Applied, CatalogueUpdate};
+use crate::update::{ApplyOutcome, CatalogueUpdate};
 
 /// Maximum rounding error of clocks that count whole milliseconds; added to every age.
 const ROUNDING_MS: u64 = 1;
@@ -101,7 +101,7 @@
     }
 
     /// Applies an update to the copy; the copy's version never decreases.
-    pub fn apply(&mut self, update: CatalogueUpdate) -> Applied {
+    pub fn apply(&mut self, update: CatalogueUpdate) -> ApplyOutcome {
         self.catalogue.apply(update)
     }
 
--- a/crates/masticsill_catalogue/src/lib.rs
+++ b/crates/masticsill_catalogue/src/lib.rs
@@ -20,19 +20,19 @@
 pub use catalogue::{Catalogue, MAX_TOMBSTONES, Tombstone, VersionedEntry};
 pub use change::{Change, ChangeAnswer, ChangeContent, ChangeRefusal, MAX_ENTRIES, OperatorScope};
 pub use claim::{
-    AgentLife, CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, ClaimRecord, MAX_CLAIMS,
+    AgentIncarnation, CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, ClaimRecord, MAX_CLAIMS,
     MAX_EXPIRED_KEYS, MAX_KEPT_BODY_BYTES, MAX_TOTAL_KEPT_BODY_BYTES, Reassign, Settle,
     StoredAnswer, StoredBody,
 };
 pub use document::{
-    ApiKey, DocumentAnswer, DocumentSource, DocumentSources, EngineTraits, FetchPace,
-    JoinedDocument, PackedPiece, PieceBook, PieceEntry, PieceError, PieceFetch, PieceHash,
-    PieceList, RequestLimits, Route, RouteDocument, RouteIndex, RouteKind, ServiceEntry,
+    ApiKey, DocumentAnswer, DocumentSource, DocumentSources, EngineTraits, FetchPacer,
+    JoinedDocument, PackedPiece, PieceEntry, PieceError, PieceFetch, PieceHash, PieceList,
+    PieceStore, RequestLimits, Route, RouteDocument, RouteIndex, RouteKind, ServiceEntry,
     ServiceShare, StoredDocument, UnpackError, WorkspaceEntry,
 };
 pub use entry::{BackEnd, CatalogueEntry, EngineRole, Limits, Placement, RoleReplicas};
 pub use entry_json::{BackEndJson, EntryJson, LimitsJson, PlacementJson};
 pub use follower::{Follower, Freshness};
 pub use state::{Action, Command, CommandAnswer, ControlState, MAX_CHANGE_ANSWERS};
-pub use update::{Applied, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
+pub use update::{ApplyOutcome, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
 pub use validation::{FieldError, MAX_REPLICAS, MAX_ZONES};
--- a/crates/masticsill_catalogue/src/update.rs
+++ b/crates/masticsill_catalogue/src/update.rs
@@ -49,7 +49,7 @@
 
 /// The result of applying an update to a copy.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The copy now has the update's version.
     Changed,
     /// The delta starts after the copy's version and was not applied; the copy needs an update
--- a/crates/masticsill_catalogue/tests/claims_table.rs
+++ b/crates/masticsill_catalogue/tests/claims_table.rs
@@ -5,14 +5,14 @@
 use assert_matches::assert_matches;
 use common::run;
 use masticsill_catalogue::{
-    Action, AgentLife, CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, CommandAnswer,
+    Action, AgentIncarnation, CLAIM_RETENTION_MS, CallEnd, Claim, ClaimAnswer, CommandAnswer,
     ControlState, MAX_CLAIMS, MAX_KEPT_BODY_BYTES, MAX_TOTAL_KEPT_BODY_BYTES, Reassign, Settle,
     StoredAnswer, StoredBody,
 };
 use masticsill_types::{GenerationId, Incarnation};
 
-fn life(agent: &str) -> AgentLife {
-    AgentLife {
+fn life(agent: &str) -> AgentIncarnation {
+    AgentIncarnation {
         agent: agent.parse().unwrap(),
         incarnation: Incarnation(1),
     }
--- a/crates/masticsill_catalogue/tests/copy_updates.rs
+++ b/crates/masticsill_catalogue/tests/copy_updates.rs
@@ -5,7 +5,7 @@
 use common::{delete, put, send};
 use indexmap::IndexMap;
 use masticsill_catalogue::{
-    Applied, Catalogue, CatalogueUpdate, ControlState, MAX_TOMBSTONES, VersionedEntry,
+    ApplyOutcome, Catalogue, CatalogueUpdate, ControlState, MAX_TOMBSTONES, VersionedEntry,
 };
 use masticsill_types::{CatalogueVersion, EntryId};
 use rand::{Rng, SeedableRng};
@@ -108,7 +108,7 @@
     }
     let delta = state.catalogue().update_since(CatalogueVersion(2)).unwrap();
     let mut copy = Catalogue::default();
-    assert_eq!(copy.apply(delta), Applied::Gap);
+    assert_eq!(copy.apply(delta), ApplyOutcome::Gap);
     assert_eq!(copy, Catalogue::default());
 }
 
--- a/crates/masticsill_catalogue/tests/document_pieces.rs
+++ b/crates/masticsill_catalogue/tests/document_pieces.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use masticsill_catalogue::{
-    JoinedDocument, PackedPiece, PieceBook, PieceError, PieceFetch, PieceHash, PieceList,
+    JoinedDocument, PackedPiece, PieceError, PieceFetch, PieceHash, PieceList, PieceStore,
     StoredDocument,
 };
 use rand::{Rng, SeedableRng};
@@ -26,12 +26,12 @@
     (0..count).map(route).collect()
 }
 
-fn list(book: &PieceBook) -> PieceList {
+fn list(book: &PieceStore) -> PieceList {
     PieceList::clone(book.newest().unwrap())
 }
 
 /// Fetches what a book holds newest.
-fn fetch_newest(fetch: &mut PieceFetch, book: &PieceBook) -> JoinedDocument {
+fn fetch_newest(fetch: &mut PieceFetch, book: &PieceStore) -> JoinedDocument {
     fetch.begin(list(book));
     loop {
         if let Some(document) = fetch.join().unwrap() {
@@ -40,7 +40,7 @@
         let wanted = fetch.next(CALL_BYTES);
         assert!(!wanted.is_empty());
         for (hash, piece) in book.find(&wanted) {
-            assert!(fetch.take(hash, &piece).unwrap());
+            assert!(fetch.accept_piece(hash, &piece).unwrap());
         }
     }
 }
@@ -64,7 +64,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let count = random.random_range(0..1_000);
         let mut bytes = routes(count).join(",\n").into_bytes();
-        let (mut book, mut fetch) = (PieceBook::default(), PieceFetch::default());
+        let (mut book, mut fetch) = (PieceStore::default(), PieceFetch::default());
         for version in 1..5 {
             book.add(&stored(version, &bytes)).unwrap();
             let document = fetch_newest(&mut fetch, &book);
@@ -77,7 +77,7 @@
 
 /// Two routes of a document change: the pieces fetched, and the percentage of the whole's bytes.
 fn cost_of_two_changes(mut routes: Vec<String>) -> (usize, u64) {
-    let (mut book, mut fetch) = (PieceBook::default(), PieceFetch::default());
+    let (mut book, mut fetch) = (PieceStore::default(), PieceFetch::default());
     book.add(&stored(1, routes.join(",\n").as_bytes())).unwrap();
     let first = fetch_newest(&mut fetch, &book);
     routes[17] = routes[17].replace("shop", "store");
@@ -110,7 +110,7 @@
 #[test]
 fn text_without_entries_is_cut_at_the_most_bytes() {
     let bytes = vec![b' '; 200_000];
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     book.add(&stored(1, &bytes)).unwrap();
     let lengths = list(&book).pieces.into_iter().map(|it| it.length_bytes);
     assert_eq!(lengths.collect::<Vec<_>>(), [65_536, 65_536, 65_536, 3_392]);
@@ -120,7 +120,7 @@
 #[test]
 fn equal_text_is_cut_alike_at_every_replica() {
     let text = routes(2_000).join(",\n");
-    let (mut one, mut other) = (PieceBook::default(), PieceBook::default());
+    let (mut one, mut other) = (PieceStore::default(), PieceStore::default());
     other.add(&stored(1, b"another history")).unwrap();
     one.add(&stored(2, text.as_bytes())).unwrap();
     other.add(&stored(2, text.as_bytes())).unwrap();
@@ -129,7 +129,7 @@
 
 #[test]
 fn older_version_is_not_cut() {
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     book.add(&stored(2, b"new")).unwrap();
     book.add(&stored(1, b"old")).unwrap();
     assert_eq!(book.version(), Some(2));
@@ -137,7 +137,7 @@
 
 #[test]
 fn last_versions_can_still_be_fetched() {
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     let text = |version: u64| format!("version {version}");
     for version in 1..=9 {
         book.add(&stored(version, text(version).as_bytes()))
@@ -154,14 +154,14 @@
 
 #[test]
 fn damaged_piece_stays_missing() {
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     book.add(&stored(1, b"what was sent")).unwrap();
     let mut fetch = PieceFetch::default();
     fetch.begin(list(&book));
     let hash = fetch.next(CALL_BYTES)[0];
     let long = vec![0; 200_000];
     for other in [&b"what was sunk"[..], b"what was", &long] {
-        let taken = fetch.take(hash, &PackedPiece::pack(other));
+        let taken = fetch.accept_piece(hash, &PackedPiece::pack(other));
         assert_eq!(taken, Err(PieceError::Damaged));
     }
     assert_eq!(fetch.next(CALL_BYTES), [hash]);
@@ -170,14 +170,14 @@
 
 #[test]
 fn other_whole_is_not_taken_and_fetched_anew() {
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     book.add(&stored(1, b"what was sent")).unwrap();
     let mut wrong = list(&book);
     wrong.whole[0] ^= 1;
     let mut fetch = PieceFetch::default();
     fetch.begin(wrong);
     let (hash, piece) = book.find(&fetch.next(CALL_BYTES)).remove(0);
-    fetch.take(hash, &piece).unwrap();
+    fetch.accept_piece(hash, &piece).unwrap();
     assert_eq!(fetch.join(), Err(PieceError::DocumentHashMismatch));
     let document = fetch_newest(&mut fetch, &book);
     assert_eq!((document.fetched_pieces, document.reused_pieces), (1, 0));
@@ -187,7 +187,7 @@
 fn calls_are_bounded_and_never_empty() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let bytes: Vec<u8> = (0..600_000).map(|_| random.random()).collect();
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     book.add(&stored(1, &bytes)).unwrap();
     let mut fetch = PieceFetch::default();
     fetch.begin(list(&book));
@@ -208,7 +208,7 @@
     for seed in 0..12 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut texts = vec![routes(400).join(",\n").into_bytes()];
-        let mut books = vec![PieceBook::default(); 3];
+        let mut books = vec![PieceStore::default(); 3];
         let mut fetch = PieceFetch::default();
         let mut in_force: Option<JoinedDocument> = None;
         let mut steps = 0;
@@ -226,7 +226,7 @@
                     book.add(&stored(version, texts.last().unwrap())).unwrap();
                 }
                 if !is_calm && random.random_bool(0.02) {
-                    *book = PieceBook::default();
+                    *book = PieceStore::default();
                 }
             }
             let book = &books[random.random_range(0..3)];
@@ -250,11 +250,11 @@
             }
             let answer = book.find(&fetch.next(CALL_BYTES));
             if answer.is_empty() {
-                fetch.give_up();
+                fetch.abandon();
             }
             for (hash, piece) in answer {
                 if is_calm || random.random_bool(0.8) {
-                    fetch.take(hash, &piece).unwrap();
+                    fetch.accept_piece(hash, &piece).unwrap();
                 }
             }
         }
--- a/crates/masticsill_catalogue/tests/document_versions.rs
+++ b/crates/masticsill_catalogue/tests/document_versions.rs
@@ -25,7 +25,7 @@
 
 fn route(host: &str, prefix: &str) -> Route {
     Route {
-        gap_aim_ms: None,
+        target_event_gap_ms: None,
         host: host.to_owned(),
         is_anonymous: false,
         is_resumable: false,
--- a/crates/masticsill_catalogue/tests/state_model.rs
+++ b/crates/masticsill_catalogue/tests/state_model.rs
@@ -5,7 +5,7 @@
 use common::{delete, put, run, send};
 use indexmap::IndexMap;
 use masticsill_catalogue::{
-    Action, AgentLife, CallEnd, Change, ChangeAnswer, ChangeContent, ChangeRefusal, Claim,
+    Action, AgentIncarnation, CallEnd, Change, ChangeAnswer, ChangeContent, ChangeRefusal, Claim,
     ClaimAnswer, CommandAnswer, ControlState, Reassign, Settle,
 };
 use masticsill_types::{CatalogueVersion, GenerationId, Incarnation};
@@ -90,8 +90,8 @@
     }
 }
 
-fn life() -> AgentLife {
-    AgentLife {
+fn life() -> AgentIncarnation {
+    AgentIncarnation {
         agent: "agent".parse().unwrap(),
         incarnation: Incarnation(1),
     }
--- a/crates/masticsill_control/src/cutting.rs
+++ b/crates/masticsill_control/src/cutting.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use masticsill_catalogue::{PackedPiece, PieceBook, PieceHash, PieceList};
+use masticsill_catalogue::{PackedPiece, PieceHash, PieceList, PieceStore};
 use masticsill_runtime::ShutdownSignal;
 use masticsill_types::log_event;
 use tokio::sync::watch;
@@ -19,7 +19,7 @@
 /// The pieces of the last documents, as the calls of other processes see them. Clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct CutDocuments {
-    book: Arc<watch::Sender<Arc<PieceBook>>>,
+    book: Arc<watch::Sender<Arc<PieceStore>>>,
     /// The newest version that someone asked for.
     wanted: Arc<watch::Sender<Option<u64>>>,
 }
@@ -70,7 +70,7 @@
 async fn cut_wanted(documents: CutDocuments, published: PublishedState) {
     let mut wanted = documents.wanted.subscribe();
     let mut versions = published.watch_document();
-    let mut book = PieceBook::default();
+    let mut book = PieceStore::default();
     loop {
         let asked = *wanted.borrow_and_update();
         let applied = *versions.borrow_and_update();
--- a/crates/masticsill_control/src/rpc/service.rs
+++ b/crates/masticsill_control/src/rpc/service.rs
@@ -247,7 +247,8 @@
     }
 
     async fn settle(self, _: Context, settle: Settle) -> ControlReply<ClaimAnswer> {
-        self.act_on_claim(Action::Settle(settle.trimmed())).await
+        self.act_on_claim(Action::Settle(settle.with_bounded_body()))
+            .await
     }
 
     async fn read(self, _: Context, request: ReadRequest) -> ControlReply<ReadAnswer> {
--- a/crates/masticsill_control/tests/control_quorum.rs
+++ b/crates/masticsill_control/tests/control_quorum.rs
@@ -4,7 +4,9 @@
 
 use assert_matches::assert_matches;
 use common::{BOUND_MS, Cluster, accepted, await_until, block_on, node, poll, put};
-use masticsill_catalogue::{AgentLife, ChangeAnswer, ChangeRefusal, Claim, ClaimAnswer, Follower};
+use masticsill_catalogue::{
+    AgentIncarnation, ChangeAnswer, ChangeRefusal, Claim, ClaimAnswer, Follower,
+};
 use masticsill_control::ControlUnavailable;
 use masticsill_types::{CatalogueVersion, GenerationId, Incarnation};
 use masticsill_wire::control::{ReadAnswer, ReadRequest, RenewRequest};
@@ -163,7 +165,7 @@
 fn a_claim_is_granted_once_whichever_replica_leads() {
     let mut cluster = Cluster::start(3);
     let claim = |owner: &str, nonce| Claim {
-        agent: AgentLife {
+        agent: AgentIncarnation {
             agent: "agent-1".parse().unwrap(),
             incarnation: Incarnation(1),
         },
--- a/crates/masticsill_control_client/src/client.rs
+++ b/crates/masticsill_control_client/src/client.rs
@@ -135,7 +135,7 @@
         settle: Settle,
         bound_ms: u64,
     ) -> Result<ClaimAnswer, ControlUnavailable> {
-        let settle = settle.trimmed();
+        let settle = settle.with_bounded_body();
         let send = async |client: ControlServiceClient, context| {
             client.settle(context, settle.clone()).await
         };
--- a/crates/masticsill_entry/src/call_place.rs
+++ b/crates/masticsill_entry/src/call_place.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use indexmap::IndexSet;
-use masticsill_catalogue::AgentLife;
+use masticsill_catalogue::AgentIncarnation;
 use masticsill_routing::{BackEndTarget, WorkKind, WorkOutcome, WorkRequest};
 use masticsill_types::{GenerationId, ModelId, NodeId, Refusal, RefusalKind};
 use rand::Rng;
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct Place {
     /// The agent.
-    pub(crate) life: AgentLife,
+    pub(crate) life: AgentIncarnation,
     /// The router's name of this work: two calls under one key may be open at once.
     work: GenerationId,
 }
@@ -53,7 +53,7 @@
             sessions.end_call(work, WorkOutcome::Cancelled);
             return Err(no_endpoint(&call.service));
         };
-        let life = AgentLife { agent, incarnation };
+        let life = AgentIncarnation { agent, incarnation };
         Ok(Self { life, work })
     }
 
--- a/crates/masticsill_entry/src/calls.rs
+++ b/crates/masticsill_entry/src/calls.rs
@@ -8,7 +8,8 @@
 
 use indexmap::IndexSet;
 use masticsill_catalogue::{
-    AgentLife, CallEnd, Claim, ClaimAnswer, ClaimRecord, Reassign, Settle, StoredAnswer, StoredBody,
+    AgentIncarnation, CallEnd, Claim, ClaimAnswer, ClaimRecord, Reassign, Settle, StoredAnswer,
+    StoredBody,
 };
 use masticsill_routing::{WorkKind, WorkOutcome};
 use masticsill_runtime::call_context;
@@ -170,7 +171,7 @@
 async fn claim(
     sessions: &Rc<Sessions>,
     call: &PlainCall,
-    life: &AgentLife,
+    life: &AgentIncarnation,
 ) -> Result<Claimed, Refusal> {
     let command = ClaimCommand::Claim(Claim {
         agent: life.clone(),
@@ -269,14 +270,18 @@
 }
 
 /// Sends the call under one version of its claim, never twice.
-async fn dispatch_once(sessions: &Rc<Sessions>, call: &PlainCall, life: &AgentLife) -> CallReply {
+async fn dispatch_once(
+    sessions: &Rc<Sessions>,
+    call: &PlainCall,
+    life: &AgentIncarnation,
+) -> CallReply {
     match dispatch(sessions, call, life).await {
         CallReply::OutcomeUnknown => bury(sessions, call.id, life).await,
         known => known,
     }
 }
 
-async fn dispatch(sessions: &Rc<Sessions>, call: &PlainCall, life: &AgentLife) -> CallReply {
+async fn dispatch(sessions: &Rc<Sessions>, call: &PlainCall, life: &AgentIncarnation) -> CallReply {
     let Some(address) = sessions.agent_address(&life.agent) else {
         return CallReply::NotRun(no_endpoint(&call.service));
     };
@@ -297,7 +302,7 @@
     reply.unwrap_or(CallReply::OutcomeUnknown)
 }
 
-async fn bury(sessions: &Rc<Sessions>, id: GenerationId, life: &AgentLife) -> CallReply {
+async fn bury(sessions: &Rc<Sessions>, id: GenerationId, life: &AgentIncarnation) -> CallReply {
     let Some(address) = sessions.agent_address(&life.agent) else {
         return CallReply::OutcomeUnknown;
     };
--- a/crates/masticsill_mesh/src/renewal.rs
+++ b/crates/masticsill_mesh/src/renewal.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use masticsill_catalogue::{Applied, Follower};
+use masticsill_catalogue::{ApplyOutcome, Follower};
 use masticsill_runtime::call_context;
 use masticsill_types::{ClockMs, log_event};
 use masticsill_wire::control::{RenewReply, RenewRequest};
@@ -151,7 +151,7 @@
 fn take_reply(node: &Node, sent_at: ClockMs, reply: RenewReply) -> bool {
     let mut follower = node.follower.borrow_mut();
     let applied = reply.update.map(|update| follower.apply(update));
-    let is_changed = applied == Some(Applied::Changed);
+    let is_changed = applied == Some(ApplyOutcome::Changed);
     let is_proven = reply
         .age_ms
         .is_some_and(|age_ms| follower.renew_by_age(reply.version, sent_at, age_ms));
--- a/crates/masticsill_quorum/tests/control/followers.rs
+++ b/crates/masticsill_quorum/tests/control/followers.rs
@@ -1,6 +1,6 @@
 //! Nodes that keep a copy of the catalogue under a lease, renewed by replicas and by each other.
 
-use masticsill_catalogue::{Applied, CatalogueUpdate, Follower};
+use masticsill_catalogue::{ApplyOutcome, CatalogueUpdate, Follower};
 use masticsill_types::{CatalogueVersion, ClockMs};
 use rand::Rng;
 
@@ -290,7 +290,7 @@
             let applied = node.follower.apply(update);
             assert_ne!(
                 applied,
-                Applied::Gap,
+                ApplyOutcome::Gap,
                 "a delta begins after what was asked for"
             );
         }
--- a/crates/masticsill_quorum/tests/control/operators.rs
+++ b/crates/masticsill_quorum/tests/control/operators.rs
@@ -3,8 +3,8 @@
 use std::num::NonZeroU32;
 
 use masticsill_catalogue::{
-    Action, AgentLife, BackEnd, CallEnd, CatalogueEntry, Change, ChangeContent, Claim, Limits,
-    OperatorScope, Placement, Reassign, Settle, StoredAnswer, StoredBody,
+    Action, AgentIncarnation, BackEnd, CallEnd, CatalogueEntry, Change, ChangeContent, Claim,
+    Limits, OperatorScope, Placement, Reassign, Settle, StoredAnswer, StoredBody,
 };
 use masticsill_types::{CatalogueVersion, Class, EntryId, GenerationId, Incarnation, WorkspaceId};
 use rand::Rng;
@@ -166,7 +166,7 @@
 }
 
 fn new_claim_action(random: &mut ChaCha8Rng, id: GenerationId, version: u64, nonce: u64) -> Action {
-    let agent = AgentLife {
+    let agent = AgentIncarnation {
         agent: format!("agent-{}", random.random_range(0..3))
             .parse()
             .unwrap(),
--- a/crates/masticsill_relay/src/choosing.rs
+++ b/crates/masticsill_relay/src/choosing.rs
@@ -34,7 +34,7 @@
     ) -> Option<Announcement> {
         let index = self.index()?;
         let engine = index.service(&request.service)?.engine?;
-        if !engine.has_backups || !request.route.is_resumable {
+        if !engine.supports_kv_backup || !request.route.is_resumable {
             return None;
         }
         let endpoints = self.endpoints.borrow();
@@ -50,7 +50,7 @@
             zone: &self.config.zone,
         };
         let tokens = request.held_tokens(&self.config.headers);
-        let memory_tokens = Some(engine.memory_tokens);
+        let memory_tokens = Some(engine.kv_cache_tokens);
         let has_memory = |it: &_| has_memory_for_copy(it, memory_tokens, tokens);
         let holder = choose_holder(&endpoints, self.now(), &wanted, has_memory, rand::random)?;
         Some(holder.announcement.clone())
@@ -120,7 +120,7 @@
                 let index = self.index();
                 let engine = index.and_then(|index| index.service(&request.service)?.engine);
                 Work::Stream {
-                    memory_tokens: engine.map(|engine| engine.memory_tokens),
+                    memory_tokens: engine.map(|engine| engine.kv_cache_tokens),
                     prompt_tokens: request.prompt_tokens(names).unwrap_or_default(),
                     tokens: request.held_tokens(names),
                 }
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -89,19 +89,19 @@
     /// Notes which version a replica has.
     fn note_document(&self, address: SocketAddr, reply: &WatchReply) {
         let source = DocumentSource {
-            is_near: reply.zone == self.relay.config.zone,
+            is_same_zone: reply.zone == self.relay.config.zone,
             version: reply.document_version,
         };
         self.sources.send_if_modified(|sources| {
             let before = sources.get(&address);
-            sources.note(self.relay.now(), address, source);
+            sources.record_answer(self.relay.now(), address, source);
             before != Some(source)
         });
         self.relay.note_document_version(reply.document_version);
     }
 
     fn forget_source(&self, address: SocketAddr) {
-        self.sources.send_modify(|sources| sources.forget(&address));
+        self.sources.send_modify(|sources| sources.remove(&address));
     }
 
     fn take_endpoints(&self, node: &NodeId, reply: &WatchReply) {
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -12,7 +12,7 @@
 use futures::stream::FuturesUnordered;
 use indexmap::IndexSet;
 use masticsill_catalogue::{
-    DocumentSources, FetchPace, JoinedDocument, PackedPiece, PieceFetch, PieceHash, PieceList,
+    DocumentSources, FetchPacer, JoinedDocument, PackedPiece, PieceFetch, PieceHash, PieceList,
     RouteIndex,
 };
 use masticsill_control_client::{AddressBook, ControlClient};
@@ -63,7 +63,7 @@
     let mut duty = DocumentDuty {
         client: ControlClient::new(AddressBook::default()),
         fetch: PieceFetch::default(),
-        pace: FetchPace::default(),
+        pace: FetchPacer::default(),
         parts,
         read: None,
         slow: IndexSet::new(),
@@ -96,7 +96,7 @@
     /// Its own connections: pieces don't hold up news of endpoints.
     client: ControlClient,
     fetch: PieceFetch,
-    pace: FetchPace,
+    pace: FetchPacer,
     parts: DocumentParts,
     /// The last version that was read.
     read: Option<u64>,
@@ -142,7 +142,7 @@
                 Ok(None) => {
                     if !self.fetch_some().await {
                         // What came is kept for the next version.
-                        self.fetch.give_up();
+                        self.fetch.abandon();
                     }
                 }
                 Err(cause) => {
@@ -182,7 +182,7 @@
     fn lister(&self, passed_over: &IndexSet<SocketAddr>) -> Option<(u64, SocketAddr)> {
         let sources = self.parts.sources.borrow();
         let now = self.parts.clock.now();
-        let address = sources.lister(now, self.turn, passed_over)?;
+        let address = sources.choose_list_source(now, self.turn, passed_over)?;
         Some((sources.newest()?, address))
     }
 
@@ -225,7 +225,7 @@
     fn holder(&self, passed_over: &IndexSet<SocketAddr>) -> Option<SocketAddr> {
         let version = self.fetch.version()?;
         let sources = self.parts.sources.borrow();
-        sources.holder(version, self.turn, passed_over)
+        sources.choose_piece_source(version, self.turn, passed_over)
     }
 
     /// Asks a replica, and another one for the first piece alone when the answer is late.
@@ -250,8 +250,8 @@
             }
         };
         match &answer.pieces {
-            Some(_) => self.pace.note_answer(self.parts.clock.now().since(began)),
-            None => self.pace.note_silence(),
+            Some(_) => self.pace.record_answer(self.parts.clock.now().since(began)),
+            None => self.pace.record_timeout(),
         }
         answer
     }
@@ -260,7 +260,7 @@
     fn take(&mut self, pieces: Option<Pieces>) -> bool {
         let mut has_taken = false;
         for (hash, piece) in pieces.into_iter().flatten() {
-            match self.fetch.take(hash, &piece) {
+            match self.fetch.accept_piece(hash, &piece) {
                 Ok(is_missing) => has_taken |= is_missing,
                 Err(cause) => log_event!(
                     error,
--- a/crates/masticsill_relay/tests/common/mod.rs
+++ b/crates/masticsill_relay/tests/common/mod.rs
@@ -9,8 +9,8 @@
 
 use futures::StreamExt;
 use masticsill_catalogue::{
-    ChangeAnswer, Claim, ClaimAnswer, DocumentAnswer, PackedPiece, PieceBook, PieceHash, PieceList,
-    Reassign, Settle, StoredDocument,
+    ChangeAnswer, Claim, ClaimAnswer, DocumentAnswer, PackedPiece, PieceHash, PieceList,
+    PieceStore, Reassign, Settle, StoredDocument,
 };
 use masticsill_quarantine::RequestRecord;
 use masticsill_registry::{
@@ -32,7 +32,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    book: Mutex<PieceBook>,
+    book: Mutex<PieceStore>,
     calls: AtomicU64,
     sent_bytes: AtomicU64,
     versions: watch::Sender<Option<u64>>,
