--- a/crates/masticsill_catalogue/src/catalogue.rs
+++ b/crates/masticsill_catalogue/src/catalogue.rs
@@ -104,8 +104,8 @@
         self.version
     }
 
-    /// The update that brings a copy at version `copy_version` to this catalogue's version, as the smaller
-    /// of delta and snapshot.
+    /// The update that brings a copy at version `copy_version` to this catalogue's version, as the
+    /// smaller of delta and snapshot.
     ///
     /// `None` if the copy's version is not lower than this catalogue's.
     #[must_use]
--- a/crates/masticsill_catalogue/src/document/fetch.rs
+++ b/crates/masticsill_catalogue/src/document/fetch.rs
@@ -138,7 +138,8 @@
     ///
     /// # Errors
     ///
-    /// [`PieceError::DocumentHashMismatch`] if the joined document has another hash; all pieces are dropped.
+    /// [`PieceError::DocumentHashMismatch`] if the joined document has another hash; all pieces are
+    /// dropped.
     pub fn join(&mut self) -> Result<Option<JoinedDocument>, PieceError> {
         let Some(target) = self.target.take_if(|target| target.missing.is_empty()) else {
             return Ok(None);
--- a/crates/masticsill_catalogue/tests/change_answers.rs
+++ b/crates/masticsill_catalogue/tests/change_answers.rs
@@ -1,4 +1,5 @@
-//! One winner, one answer for each change id, and an audit record for each attempt.
+//! Changes of entries: of conflicting changes one wins, each change id has one answer, and each
+//! attempt is recorded in the audit trail.
 
 mod common;
 
@@ -18,14 +19,14 @@
     })
 }
 
-/// The state as a snapshot brings it back.
+/// The state after a round trip through its snapshot encoding.
 fn restarted(state: &ControlState) -> ControlState {
     let bytes = postcard::to_stdvec(state).unwrap();
     postcard::from_bytes(&bytes).unwrap()
 }
 
 #[test]
-fn of_two_changes_with_equal_numbers_one_wins() {
+fn of_two_changes_with_the_same_expected_version_one_wins() {
     let mut state = ControlState::default();
     assert_eq!(send(&mut state, &put("c1", "e", 0, 1)), accepted(1));
     assert_eq!(send(&mut state, &put("c2", "e", 0, 2)), conflict(0, 1));
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_whatever_happened_since() {
+fn resend_gets_the_first_answer_after_later_changes() {
     let mut state = ControlState::default();
     let first = put("c1", "e", 0, 1);
     let lost = put("c2", "e", 0, 2);
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_change_sent_again_after_the_answer_window_is_not_applied_twice() {
+fn change_resent_after_its_answer_was_evicted_is_not_applied_twice() {
     let mut state = ControlState::default();
     let first = put("c0", "e", 0, 1);
     send(&mut state, &first);
@@ -133,13 +134,13 @@
 }
 
 #[test]
-fn the_audit_trail_tells_who_what_when_and_why() {
+fn audit_trail_records_operator_change_time_and_reason() {
     let mut state = ControlState::default();
     send(&mut state, &put("c1", "e", 0, 1));
     send(&mut state, &put("c2", "e", 0, 2));
     let records: Vec<_> = restarted(&state).audit().after(1).cloned().collect();
     let [record] = &records[..] else {
-        panic!("one record follows the first: {records:?}");
+        panic!("expected one record after the first, got {records:?}");
     };
     assert_eq!((record.sequence, record.at_wall_ms), (2, 1_000));
     assert_eq!(record.operator.as_str(), "anna");
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn the_audit_trail_is_bounded_and_keeps_its_count() {
+fn audit_trail_is_bounded_and_keeps_its_sequence() {
     let mut state = ControlState::default();
     let total = MAX_AUDIT_RECORDS + 10;
     for number in 0..total {
--- a/crates/masticsill_catalogue/tests/claims_table.rs
+++ b/crates/masticsill_catalogue/tests/claims_table.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated is granted once.
+//! Claims: a call that is not idempotent is granted only once.
 
 mod common;
 
@@ -11,7 +11,7 @@
 };
 use masticsill_types::{GenerationId, Incarnation};
 
-fn life(agent: &str) -> AgentIncarnation {
+fn agent_incarnation(agent: &str) -> AgentIncarnation {
     AgentIncarnation {
         agent: agent.parse().unwrap(),
         incarnation: Incarnation(1),
@@ -20,7 +20,7 @@
 
 fn claim(id: u128, owner: &str, nonce: u64) -> Claim {
     Claim {
-        agent: life("agent-1"),
+        agent: agent_incarnation("agent-1"),
         caller_wall_ms: None,
         fingerprint: 7,
         id: GenerationId(id),
@@ -31,7 +31,7 @@
 
 fn reassign(expected_version: u64, owner: &str, nonce: u64) -> Action {
     Action::Reassign(Reassign {
-        agent: life("agent-2"),
+        agent: agent_incarnation("agent-2"),
         expected_version,
         id: GenerationId(1),
         nonce,
@@ -55,17 +55,17 @@
     })
 }
 
-fn tell(state: &mut ControlState, at_wall_ms: u64, action: Action) -> ClaimAnswer {
+fn apply(state: &mut ControlState, at_wall_ms: u64, action: Action) -> ClaimAnswer {
     let answer = run(state, at_wall_ms, action);
     let CommandAnswer::Claim(answer) = answer else {
-        panic!("a claim has a claim's answer, not {answer:?}");
+        panic!("expected the answer to a claim, got {answer:?}");
     };
     answer
 }
 
 fn claimed() -> ControlState {
     let mut state = ControlState::default();
-    let answer = tell(&mut state, 0, Action::Claim(claim(1, "entry-a", 5)));
+    let answer = apply(&mut state, 0, Action::Claim(claim(1, "entry-a", 5)));
     assert_eq!(answer, ClaimAnswer::Granted { version: 1 });
     state
 }
@@ -75,31 +75,31 @@
     let mut state = claimed();
     let again = Action::Claim(claim(1, "entry-a", 5));
     assert_eq!(
-        tell(&mut state, 0, again),
+        apply(&mut state, 0, again),
         ClaimAnswer::Granted { version: 1 }
     );
     for (owner, nonce) in [("entry-b", 5), ("entry-b", 6), ("entry-a", 6)] {
-        let answer = tell(&mut state, 0, Action::Claim(claim(1, owner, nonce)));
+        let answer = apply(&mut state, 0, Action::Claim(claim(1, owner, nonce)));
         assert_matches!(answer, ClaimAnswer::Existing(record) => {
             assert_eq!((record.version, record.end), (1, None));
-            assert_eq!(record.agent, life("agent-1"));
+            assert_eq!(record.agent, agent_incarnation("agent-1"));
         });
     }
     let mut other = claim(1, "entry-b", 6);
     other.fingerprint = 8;
-    let answer = tell(&mut state, 0, Action::Claim(other));
+    let answer = apply(&mut state, 0, Action::Claim(other));
     assert_eq!(answer, ClaimAnswer::FingerprintDiffers);
 }
 
 #[test]
-fn one_of_two_reassignments_wins_and_fences_the_former_owner() {
+fn one_of_two_reassignments_wins_and_fences_the_previous_owner() {
     let mut state = claimed();
     let granted = ClaimAnswer::Granted { version: 2 };
-    assert_eq!(tell(&mut state, 0, reassign(1, "entry-b", 9)), granted);
-    assert_eq!(tell(&mut state, 0, reassign(1, "entry-b", 9)), granted);
-    let loser = tell(&mut state, 0, reassign(1, "entry-c", 10));
+    assert_eq!(apply(&mut state, 0, reassign(1, "entry-b", 9)), granted);
+    assert_eq!(apply(&mut state, 0, reassign(1, "entry-b", 9)), granted);
+    let loser = apply(&mut state, 0, reassign(1, "entry-c", 10));
     assert_matches!(loser, ClaimAnswer::Existing(record) if record.version == 2);
-    let fenced = tell(&mut state, 0, settle(1, 1, CallEnd::NotRun));
+    let fenced = apply(&mut state, 0, settle(1, 1, CallEnd::NotRun));
     assert_matches!(fenced, ClaimAnswer::Existing(record) if record.end.is_none());
 }
 
@@ -118,25 +118,25 @@
         (OutcomeUnknown, NotRun, false),
     ] {
         let mut state = claimed();
-        tell(&mut state, 0, settle(1, 1, first.clone()));
-        let answer = tell(&mut state, 0, settle(1, 1, second.clone()));
+        apply(&mut state, 0, settle(1, 1, first.clone()));
+        let answer = apply(&mut state, 0, settle(1, 1, second.clone()));
         let is_settled = answer == ClaimAnswer::Settled;
         assert_eq!(is_settled, is_taken, "{first:?} then {second:?}");
     }
 }
 
 #[test]
-fn only_a_call_that_was_not_run_moves_after_its_end() {
-    for (end, is_movable) in [
+fn only_a_call_that_was_not_run_can_be_reassigned_after_its_end() {
+    for (end, is_reassignable) in [
         (CallEnd::NotRun, true),
         (CallEnd::OutcomeUnknown, false),
         (answered(1), false),
     ] {
         let mut state = claimed();
-        tell(&mut state, 0, settle(1, 1, end));
-        let answer = tell(&mut state, 0, reassign(1, "entry-b", 9));
+        apply(&mut state, 0, settle(1, 1, end));
+        let answer = apply(&mut state, 0, reassign(1, "entry-b", 9));
         let is_granted = answer == ClaimAnswer::Granted { version: 2 };
-        assert_eq!(is_granted, is_movable);
+        assert_eq!(is_granted, is_reassignable);
     }
 }
 
@@ -144,18 +144,22 @@
 fn expired_keys_are_never_granted_again() {
     let mut state = claimed();
     let again = || Action::Claim(claim(1, "entry-b", 6));
-    let last = tell(&mut state, CLAIM_RETENTION_MS - 1, again());
+    let last = apply(&mut state, CLAIM_RETENTION_MS - 1, again());
     assert_matches!(last, ClaimAnswer::Existing(_));
     assert_eq!(
-        tell(&mut state, CLAIM_RETENTION_MS, again()),
+        apply(&mut state, CLAIM_RETENTION_MS, again()),
         ClaimAnswer::Expired
     );
-    let early = tell(&mut state, 0, settle(1, 1, CallEnd::NotRun));
-    assert_eq!(early, ClaimAnswer::Expired, "time does not go back");
+    let early = apply(&mut state, 0, settle(1, 1, CallEnd::NotRun));
+    assert_eq!(
+        early,
+        ClaimAnswer::Expired,
+        "the state's time does not go back"
+    );
     let mut old = claim(2, "entry-b", 6);
     old.caller_wall_ms = Some(0);
     assert_eq!(
-        tell(&mut state, 0, Action::Claim(old)),
+        apply(&mut state, 0, Action::Claim(old)),
         ClaimAnswer::Expired
     );
 }
@@ -163,7 +167,7 @@
 #[test]
 fn large_bodies_are_kept_as_digests() {
     let mut state = claimed();
-    tell(
+    apply(
         &mut state,
         0,
         settle(1, 1, answered(MAX_KEPT_BODY_BYTES + 1)),
@@ -176,12 +180,12 @@
 }
 
 #[test]
-fn the_oldest_bodies_make_way() {
+fn oldest_bodies_are_reduced_to_digests_beyond_the_total_limit() {
     let mut state = ControlState::default();
     let fitting = MAX_TOTAL_KEPT_BODY_BYTES / MAX_KEPT_BODY_BYTES;
     for number in 0..=fitting as u128 {
-        tell(&mut state, 0, Action::Claim(claim(number, "entry-a", 1)));
-        tell(
+        apply(&mut state, 0, Action::Claim(claim(number, "entry-a", 1)));
+        apply(
             &mut state,
             0,
             settle(number, 1, answered(MAX_KEPT_BODY_BYTES)),
@@ -195,14 +199,14 @@
 }
 
 #[test]
-fn a_full_table_refuses_rather_than_forgets() {
+fn full_table_refuses_new_claims_and_evicts_none() {
     let mut state = ControlState::default();
     for number in 0..MAX_CLAIMS as u128 {
-        tell(&mut state, 0, Action::Claim(claim(number, "entry-a", 1)));
+        apply(&mut state, 0, Action::Claim(claim(number, "entry-a", 1)));
     }
     let extra = || Action::Claim(claim(u128::MAX, "entry-a", 1));
-    assert_eq!(tell(&mut state, 0, extra()), ClaimAnswer::Full);
+    assert_eq!(apply(&mut state, 0, extra()), ClaimAnswer::Full);
     assert_eq!(state.claim_count(), MAX_CLAIMS);
-    let later = tell(&mut state, CLAIM_RETENTION_MS, extra());
+    let later = apply(&mut state, CLAIM_RETENTION_MS, extra());
     assert_eq!(later, ClaimAnswer::Granted { version: 1 });
 }
--- a/crates/masticsill_catalogue/tests/common/mod.rs
+++ b/crates/masticsill_catalogue/tests/common/mod.rs
@@ -28,7 +28,7 @@
     serde_json::from_str(text).unwrap()
 }
 
-/// A put of the engine entry under another id, with a limit to tell contents apart.
+/// A put of the engine entry under another id; `requests_per_s` makes the content of puts differ.
 pub fn put(change_id: &str, entry_id: &str, expected_version: u64, requests_per_s: i64) -> Change {
     let mut json = entry_json(ENGINE_ENTRY);
     entry_id.clone_into(&mut json.id);
@@ -56,7 +56,7 @@
 pub fn send_as(state: &mut ControlState, change: &Change, scope: OperatorScope) -> ChangeAnswer {
     let answer = run(state, 1_000, Action::Change(change.clone(), scope));
     let CommandAnswer::Change(answer) = answer else {
-        panic!("a change has a change's answer, not {answer:?}");
+        panic!("expected the answer to a change, got {answer:?}");
     };
     answer
 }
--- a/crates/masticsill_catalogue/tests/copy_updates.rs
+++ b/crates/masticsill_catalogue/tests/copy_updates.rs
@@ -1,4 +1,5 @@
-//! Copies of the catalogue against a naive one that is cloned whole.
+//! Compares copies of the catalogue that are brought up to date by deltas and snapshots with a
+//! naive history of full copies.
 
 mod common;
 
@@ -23,7 +24,7 @@
     let change_id = format!("c{}", random.random::<u64>());
     let id: EntryId = entry_id.parse().unwrap();
     let held = naive.get(&id).map_or(0, |held| held.version.0);
-    // One in five expects a wrong version and must change nothing.
+    // One change in five expects a wrong version and must change nothing.
     let is_stale = random.random_ratio(1, 5);
     let expected = if is_stale { held + 1 } else { held };
     let change = if held > 0 && random.random_ratio(1, 3) {
@@ -49,7 +50,8 @@
     }
 }
 
-/// Copies learn from the source and from each other, in any order, with held-back updates.
+/// Copies get updates from the source and from each other, in any order; some updates are delayed
+/// and applied later, possibly more than once.
 fn run_schedule(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut state = ControlState::default();
@@ -80,7 +82,7 @@
         copies[to].apply(update);
         assert!(
             copies[to].version() >= asked_for,
-            "seed {seed}: version went down"
+            "seed {seed}: version decreased"
         );
         for copy in &copies {
             let version = usize::try_from(copy.version().0).unwrap();
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn a_delta_past_the_copys_version_is_not_taken() {
+fn delta_after_the_copys_version_is_not_applied() {
     let mut state = ControlState::default();
     for number in 0..4 {
         send(
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn a_copy_older_than_the_remembered_deletions_gets_a_snapshot() {
+fn copy_older_than_the_kept_deletions_gets_a_snapshot() {
     let mut state = ControlState::default();
     send(&mut state, &put("kept", "kept", 0, 1));
     send(&mut state, &put("first", "first", 0, 1));
--- a/crates/masticsill_catalogue/tests/document_sources.rs
+++ b/crates/masticsill_catalogue/tests/document_sources.rs
@@ -1,4 +1,5 @@
-//! Whom a relay asks for a document, how long it waits, and what it leaves of the link.
+//! From which replica a relay fetches a document, when a call counts as late, and how much of the
+//! link the fetch uses.
 
 use std::net::SocketAddr;
 
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn own_zone_is_asked_first() {
+fn same_zone_replica_is_preferred() {
     let mut sources = DocumentSources::default();
     sources.record_answer(at(0), address(1), source(false, 5));
     sources.record_answer(at(0), address(2), source(true, 5));
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn another_zone_is_asked_once_the_own_one_is_late() {
+fn other_zone_is_asked_after_the_same_zone_wait() {
     let mut sources = DocumentSources::default();
     sources.record_answer(at(0), address(1), source(true, 4));
     sources.record_answer(at(1_000), address(2), source(false, 5));
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn another_zone_is_asked_at_once_without_an_own_one() {
+fn other_zone_is_asked_at_once_without_same_zone_replicas() {
     let mut sources = DocumentSources::default();
     sources.record_answer(at(0), address(2), source(false, 5));
     assert_eq!(
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn replica_that_failed_or_is_behind_is_passed_over() {
+fn failed_or_stale_replica_is_skipped() {
     let mut sources = DocumentSources::default();
     sources.record_answer(at(0), address(1), source(true, 5));
     sources.record_answer(at(0), address(2), source(true, 4));
@@ -80,11 +81,11 @@
     assert_eq!(sources.choose_piece_source(4, 0, &failed), Some(address(2)));
     sources.remove(&address(3));
     assert_eq!(sources.choose_piece_source(5, 0, &failed), None);
-    assert_eq!(sources.newest(), Some(5), "a version is not forgotten");
+    assert_eq!(sources.newest(), Some(5), "the newest known version stays");
 }
 
 #[test]
-fn equal_replicas_share_the_relays() {
+fn requesters_are_distributed_over_equal_replicas() {
     let mut sources = DocumentSources::default();
     sources.record_answer(at(0), address(2), source(true, 5));
     sources.record_answer(at(0), address(1), source(true, 5));
@@ -97,40 +98,44 @@
 }
 
 #[test]
-fn late_follows_from_how_long_calls_took() {
-    let mut pace = FetchPacer::default();
-    assert_eq!(pace.late_ms(), 300);
+fn late_call_threshold_follows_the_duration_of_earlier_calls() {
+    let mut pacer = FetchPacer::default();
+    assert_eq!(pacer.late_ms(), 300);
     for _ in 0..40 {
-        pace.record_answer(5);
+        pacer.record_answer(5);
     }
-    assert_eq!(pace.late_ms(), 150);
-    pace.record_answer(200);
-    assert_eq!(pace.late_ms(), 600);
-    pace.record_answer(5);
-    assert_eq!(pace.late_ms(), 540);
-    pace.record_answer(9_000);
-    assert_eq!(pace.late_ms(), 1_000);
+    assert_eq!(pacer.late_ms(), 150);
+    pacer.record_answer(200);
+    assert_eq!(pacer.late_ms(), 600);
+    pacer.record_answer(5);
+    assert_eq!(pacer.late_ms(), 540);
+    pacer.record_answer(9_000);
+    assert_eq!(pacer.late_ms(), 1_000);
 }
 
 #[test]
-fn less_is_asked_for_after_a_silence() {
-    let mut pace = FetchPacer::default();
-    let most = pace.call_bytes();
-    pace.record_timeout();
-    assert_eq!(pace.call_bytes(), most / 2);
+fn request_size_shrinks_after_a_timeout_and_recovers() {
+    let mut pacer = FetchPacer::default();
+    let most = pacer.call_bytes();
+    pacer.record_timeout();
+    assert_eq!(pacer.call_bytes(), most / 2);
     for _ in 0..40 {
-        pace.record_timeout();
+        pacer.record_timeout();
     }
-    assert_eq!(pace.call_bytes(), 1, "one piece is always asked for");
+    assert_eq!(
+        pacer.call_bytes(),
+        1,
+        "the limit stays above zero, so one piece is requested"
+    );
     for _ in 0..40 {
-        pace.record_answer(10);
+        pacer.record_answer(10);
     }
-    assert_eq!(pace.call_bytes(), most);
+    assert_eq!(pacer.call_bytes(), most);
 }
 
 #[test]
-fn streams_have_half_of_the_link() {
-    let pace = FetchPacer::default();
-    assert_eq!(pace.pause_ms(26, true), 26);
-    assert_eq!(pace.pause_ms(26, false), 0);
+fn fetch_pauses_as_long_as_the_call_took_while_relaying() {
+    let pacer = FetchPacer::default();
+    assert_eq!(pacer.pause_ms(26, true), 26);
+    assert_eq!(pacer.pause_ms(26, false), 0);
 }
--- a/crates/masticsill_catalogue/tests/document_versions.rs
+++ b/crates/masticsill_catalogue/tests/document_versions.rs
@@ -1,4 +1,4 @@
-//! The catalogue as one document: the highest version wins, and what is invalid is refused.
+//! Route documents: the highest version is in force, and invalid documents are refused.
 
 use assert_matches::assert_matches;
 use masticsill_catalogue::{
@@ -72,7 +72,10 @@
 }
 
 fn first_remedy(document: &RouteDocument) -> String {
-    document.validate().expect_err("it must be refused")[0].to_string()
+    document
+        .validate()
+        .expect_err("the document must be refused")[0]
+        .to_string()
 }
 
 #[test]
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn documents_stand_in_the_audit_trail() {
+fn documents_are_recorded_in_the_audit_trail() {
     let mut state = ControlState::default();
     put(&mut state, stored(4, "a"));
     put(&mut state, stored(3, "b"));
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn two_routes_of_one_place_are_refused() {
+fn two_routes_with_equal_host_and_prefix_are_refused() {
     let twice = document(vec![route("h", "/a/"), route("H", "/a/")]);
     assert!(first_remedy(&twice).contains("keep one of them"));
 }
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn document_is_read_back_as_sent_in_a_tenth_of_its_bytes() {
+fn document_is_returned_as_sent_and_compresses_to_under_a_fifth() {
     let routes: Vec<String> = (0..350)
         .map(|number| format!(r#"{{"name":"r-{number}","host":"shop.example","kind":"stream"}}"#))
         .collect();
@@ -168,7 +171,7 @@
 }
 
 #[test]
-fn document_of_a_former_version_is_read() {
+fn uncompressed_document_of_an_earlier_release_is_read() {
     let former = postcard::to_stdvec(&(b"{}".to_vec(), 7_u64)).unwrap();
     let document: StoredDocument = postcard::from_bytes(&former).unwrap();
     assert_eq!(
--- a/crates/masticsill_catalogue/tests/entry_rules.rs
+++ b/crates/masticsill_catalogue/tests/entry_rules.rs
@@ -1,4 +1,4 @@
-//! Which entries are refused, and what the refusal says.
+//! Validation of catalogue entries: which entries are refused, and with which field errors.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use masticsill_catalogue::{CatalogueEntry, EntryJson};
 
 #[test]
-fn valid_entries_survive_the_way_through_json() {
+fn valid_entries_round_trip_through_json() {
     for text in [ENGINE_ENTRY, SERVICE_ENTRY] {
         let json = entry_json(text);
         let entry = CatalogueEntry::try_from(json.clone()).unwrap();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn one_refusal_names_every_wrong_field() {
+fn one_refusal_lists_every_invalid_field() {
     let mut json = entry_json(ENGINE_ENTRY);
     json.class = "x".to_owned();
     json.owner = String::new();
--- a/crates/masticsill_catalogue/tests/follower_lease.rs
+++ b/crates/masticsill_catalogue/tests/follower_lease.rs
@@ -1,4 +1,4 @@
-//! When a node may act on its copy of the catalogue.
+//! When a node's copy of the catalogue counts as fresh, so that the node may act on it.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const LEASE_MS: u64 = 3_000;
 
 #[test]
-fn the_proof_counts_from_when_the_node_asked() {
+fn proof_age_counts_from_the_time_of_the_request() {
     let mut follower = Follower::new(ClockMs(0));
     assert!(!follower.is_fresh(ClockMs(10), LEASE_MS));
     assert!(follower.renew_by_age(CatalogueVersion(0), ClockMs(5_000), 1_000));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_proof_is_taken_only_for_what_the_copy_holds() {
+fn proof_for_a_newer_version_than_the_copy_is_rejected() {
     let mut state = ControlState::default();
     send(&mut state, &put("c1", "e", 0, 1));
     let mut follower = Follower::new(ClockMs(0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_late_older_proof_changes_nothing() {
+fn delayed_older_proof_changes_nothing() {
     let mut follower = Follower::new(ClockMs(0));
     assert!(follower.renew(CatalogueVersion(0), ClockMs(2_000)));
     assert!(!follower.renew(CatalogueVersion(0), ClockMs(1_000)));
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_proof_from_before_the_restart_is_refused() {
-    // What the former life acted on may be newer than a proof of that age.
+    // The previous incarnation may have acted on a catalogue newer than a proof of that age.
     let mut follower = Follower::new(ClockMs(0));
     for (sent_at, age_ms, is_taken) in [(100, 100, false), (100, 500, false), (100, 99, true)] {
         let taken = follower.renew_by_age(CatalogueVersion(0), ClockMs(sent_at), age_ms);
--- a/crates/masticsill_catalogue/tests/state_model.rs
+++ b/crates/masticsill_catalogue/tests/state_model.rs
@@ -1,4 +1,5 @@
-//! The replicated state against a naive model, through snapshots, with resends and races.
+//! Compares the replicated state with a naive model on random schedules of changes and claims, with
+//! resends, version conflicts and restarts from a snapshot.
 
 mod common;
 
@@ -16,12 +17,12 @@
 const SCHEDULES: u64 = 10_000;
 const STEPS: usize = 40;
 
-/// Everything as lists that are searched; no windows, no versions of copies.
+/// Keeps every answer forever and has no claim expiry, no deltas and no limits.
 #[derive(Default)]
 struct Model {
     answers: Vec<(Change, ChangeAnswer)>,
     entries: IndexMap<String, u64>,
-    /// By call: version, nonce and end.
+    /// Version, nonce and end of each claim, by call.
     claims: IndexMap<u128, (u64, u64, Option<CallEnd>)>,
     version: u64,
 }
@@ -58,7 +59,7 @@
         common::accepted(self.version)
     }
 
-    /// The version granted, if any.
+    /// Returns the version granted, if any.
     fn claim(&mut self, id: u128, nonce: u64) -> Option<u64> {
         let (version, held, end) = self.claims.entry(id).or_insert((1, nonce, None));
         (*held == nonce && end.is_none()).then_some(*version)
@@ -69,28 +70,28 @@
         if *held == nonce && end.is_none() {
             return Some(*version);
         }
-        let is_movable = matches!(end, None | Some(CallEnd::NotRun));
-        if *version != expected || !is_movable {
+        let is_reassignable = matches!(end, None | Some(CallEnd::NotRun));
+        if *version != expected || !is_reassignable {
             return None;
         }
         (*version, *held, *end) = (*version + 1, nonce, None);
         Some(*version)
     }
 
-    fn settle(&mut self, id: u128, expected: u64, given: &CallEnd) -> bool {
+    fn settle(&mut self, id: u128, expected: u64, end_given: &CallEnd) -> bool {
         let Some((version, _, end)) = self.claims.get_mut(&id) else {
             return false;
         };
-        let may_follow = end.is_none() || end.as_ref() == Some(given);
-        let is_taken = *version == expected && may_follow;
+        let may_record_end = end.is_none() || end.as_ref() == Some(end_given);
+        let is_taken = *version == expected && may_record_end;
         if is_taken {
-            *end = Some(given.clone());
+            *end = Some(end_given.clone());
         }
         is_taken
     }
 }
 
-fn life() -> AgentIncarnation {
+fn agent_incarnation() -> AgentIncarnation {
     AgentIncarnation {
         agent: "agent".parse().unwrap(),
         incarnation: Incarnation(1),
@@ -134,7 +135,7 @@
     match random.random_range(0..3) {
         0 => {
             let claim = Claim {
-                agent: life(),
+                agent: agent_incarnation(),
                 caller_wall_ms: None,
                 fingerprint: 1,
                 id,
@@ -146,7 +147,7 @@
         }
         1 => {
             let reassign = Reassign {
-                agent: life(),
+                agent: agent_incarnation(),
                 expected_version: version,
                 id,
                 nonce,
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn the_state_answers_as_the_naive_model() {
+fn state_gives_the_same_answers_as_the_naive_model() {
     for seed in 0..SCHEDULES {
         run_schedule(seed);
     }
