--- a/crates/masticsill_orders/src/bucket.rs
+++ b/crates/masticsill_orders/src/bucket.rs
@@ -1,8 +1,8 @@
-//! The token bucket before the weight store.
+//! The token bucket that limits the rate of loads from the weight store.
 
 use masticsill_types::ClockMs;
 
-/// Lets loads through at a mean rate; each takes one token.
+/// Limits loads to a mean rate with bounded bursts; each load takes one token.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     burst: u32,
@@ -12,7 +12,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket with one token: a predecessor may have spent the burst just now.
+    /// A bucket with a single token, because the previous leader may just have used up the burst.
     pub(crate) fn new(now: ClockMs, burst: u32, refill_ms: u64) -> Self {
         Self {
             burst: burst.max(1),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token; returns whether one was available.
     pub(crate) fn take(&mut self, now: ClockMs) -> bool {
         self.refill(now);
         let Some(left) = self.tokens.checked_sub(1) else {
--- a/crates/masticsill_orders/src/gate.rs
+++ b/crates/masticsill_orders/src/gate.rs
@@ -1,23 +1,24 @@
-//! The gate before an engine: what lets an order pass.
+//! The fencing gate in front of an engine, which decides whether an order may be sent to it.
 
 use masticsill_types::FencingNumber;
 use masticsill_wire::engine::EngineOrder;
 
-/// Why an order may not pass.
+/// Why an order was not admitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GateRefusal {
-    /// Another order is under way; two at once could take effect in any sequence.
+    /// Another order is in flight; two concurrent orders could take effect in any sequence.
     Busy,
-    /// The highest number drawn is not known since the agent's start.
+    /// Since its start the agent has not learned the highest fencing number ever allocated.
     Closed,
-    /// This number, not lower than the order's, was seen.
+    /// The order's fencing number is not higher than this one, which was already seen.
     Fenced(FencingNumber),
 }
 
-/// Lets orders to one engine pass, each with a higher number than every one before.
+/// Admits orders to one engine, each only with a higher fencing number than all orders before.
 ///
-/// It stands in for engines that ignore the number, so an agent's restart must not reopen the way
-/// for an old order: the gate is closed until it is told the highest number ever drawn.
+/// The gate protects engines that do not check fencing numbers themselves. A restart of the agent
+/// must not let a stale order through, so the gate admits nothing until it is told the highest
+/// fencing number ever allocated.
 #[derive(Clone, Debug, Default)]
 pub struct OrderGate {
     highest: FencingNumber,
@@ -26,40 +27,42 @@
 }
 
 impl OrderGate {
-    /// Whether the gate was told the highest number drawn.
+    /// Whether the gate was told the highest fencing number allocated.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// The highest number seen or told.
+    /// The highest fencing number seen in an order or told by a leader.
     #[must_use]
     pub fn highest(&self) -> FencingNumber {
         self.highest
     }
 
-    /// The order that was admitted and has not ended.
+    /// The order that was admitted and has not ended, if any.
     #[must_use]
     pub fn under_way(&self) -> Option<&EngineOrder> {
         self.under_way.as_ref().map(|(_, order)| order)
     }
 
-    /// Opens the gate above the highest number drawn, as read from a leader with a majority.
+    /// Opens the gate for fencing numbers above the highest one allocated, which must have been
+    /// read from a leader that is followed by a majority.
     pub fn open(&mut self, highest_drawn: FencingNumber) {
         self.is_open = true;
         self.raise(highest_drawn);
     }
 
-    /// Refuses orders up to a number from now on, also one that was admitted and not sent yet.
+    /// From now on refuses orders with a fencing number up to and including `fencing`. An order
+    /// below it that was admitted but not sent yet may no longer be sent.
     pub fn raise(&mut self, fencing: FencingNumber) {
         self.highest = self.highest.max(fencing);
     }
 
-    /// Admits an order, which is then under way until [`Self::finish`].
+    /// Admits an order, which is then in flight until [`Self::finish`].
     ///
     /// # Errors
     ///
-    /// [`GateRefusal`]; the order must not be sent.
+    /// [`GateRefusal`] if the order must not be sent.
     pub fn admit(
         &mut self,
         fencing: FencingNumber,
@@ -79,14 +82,14 @@
         Ok(())
     }
 
-    /// Whether an admitted order may still be sent; asked immediately before the send.
+    /// Whether an admitted order may still be sent. To be checked immediately before sending.
     #[must_use]
     pub fn may_send(&self, fencing: FencingNumber) -> bool {
         let is_under_way = matches!(&self.under_way, Some((number, _)) if *number == fencing);
         is_under_way && self.highest == fencing
     }
 
-    /// Ends an order, whatever became of it.
+    /// Ends an order, whatever its outcome.
     pub fn finish(&mut self, fencing: FencingNumber) {
         self.under_way.take_if(|(number, _)| *number == fencing);
     }
--- a/crates/masticsill_orders/src/holders.rs
+++ b/crates/masticsill_orders/src/holders.rs
@@ -1,4 +1,4 @@
-//! Which engines hold a target, looked up many times in one step.
+//! An index of the engines that hold each target, built once per step.
 
 use indexmap::IndexMap;
 use masticsill_types::{ModelTarget, NodeId, ZoneId};
@@ -6,7 +6,8 @@
 use crate::seen::EngineSeen;
 use crate::wanted::Wanted;
 
-/// Engines by what they hold or are loading; those that leave don't count.
+/// Engines by the targets that they have loaded or are loading; engines that are leaving don't
+/// count.
 pub(crate) struct Holders<'a> {
     by_target: IndexMap<&'a ModelTarget, Vec<&'a EngineSeen>>,
 }
@@ -29,7 +30,7 @@
         Self { by_target }
     }
 
-    /// Replicas that an entry has, those being loaded included.
+    /// Number of replicas of an entry, including those being loaded.
     pub(crate) fn count(&self, wanted: &Wanted<'_>) -> usize {
         let holders = self.of(wanted.target).iter();
         let holders = holders.filter(|engine| wanted.allows(&engine.zone));
--- a/crates/masticsill_orders/src/lib.rs
+++ b/crates/masticsill_orders/src/lib.rs
@@ -1,8 +1,8 @@
-//! Orders to engines: which to give, and which to let pass.
+//! Load and unload orders to engines: planning them and fencing stale ones.
 //!
-//! Pure logic: no sockets, no threads and no clock of its own. [`LoadPlanner`] decides at the
-//! control leader what engines load and unload; [`OrderGate`] decides at an agent whether an
-//! order may still reach its engine.
+//! Pure logic: no sockets, threads or clock. [`LoadPlanner`] runs at the control leader and decides
+//! what engines load and unload. [`OrderGate`] runs at an agent and decides whether an order may
+//! still be sent to its engine.
 
 mod bucket;
 mod gate;
--- a/crates/masticsill_orders/src/plan.rs
+++ b/crates/masticsill_orders/src/plan.rs
@@ -1,29 +1,31 @@
-//! What a planner is told and what it gives out.
+//! The planner's limits, its orders and their ends.
 
 use masticsill_types::{ModelId, ModelTarget, NodeId};
 use masticsill_wire::engine::EngineOrder;
 
-/// Bounds and periods of a planner.
+/// Limits and intervals of a planner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlanLimits {
-    /// How long no entry in force must name a target before it is unloaded, in milliseconds.
-    /// Entries that have not heard of a change yet, and their queues, live on it meanwhile.
+    /// How long a target must not be referenced by any entry in force before it is unloaded, in
+    /// milliseconds. Entry nodes that have not received the change yet, and the requests queued
+    /// there, still use the target in the meantime.
     pub grace_ms: u64,
-    /// Longest random pause between two loads, in milliseconds.
+    /// Maximum random pause between two loads, in milliseconds.
     pub jitter_ms: u64,
-    /// Loads under way at once in all.
+    /// Maximum number of loads in flight, over all engines.
     pub loads_at_once: usize,
-    /// After which an order that neither ended nor took visible effect may be given again, in
+    /// Time after which an order that neither ended nor took visible effect may be issued again, in
     /// milliseconds.
     pub order_timeout_ms: u64,
-    /// How long an engine that refused is left alone, in milliseconds.
+    /// How long an engine gets no order for a target after it refused one, in milliseconds.
     pub refused_pause_ms: u64,
-    /// How long replicas must be missing before one is loaded, in milliseconds; a short fault of
-    /// an engine starts no load.
+    /// How long replicas must be missing before one is loaded, in milliseconds, so that a short
+    /// fault of an engine does not start a load.
     pub shortage_ms: u64,
-    /// Loads that the weight store bears together after a rest.
+    /// Number of loads that may start together after an idle period; a limit of the weight store.
     pub store_burst: u32,
-    /// Between two loads that the weight store bears in the long run, in milliseconds.
+    /// Minimum mean interval between loads in the long run, in milliseconds; a limit of the weight
+    /// store.
     pub store_refill_ms: u64,
 }
 
@@ -42,23 +44,23 @@
     }
 }
 
-/// An order to be given.
+/// An order that the planner has issued.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedOrder {
-    /// The agent beside the engine.
+    /// The agent of the engine that gets the order.
     pub agent: NodeId,
-    /// What the engine is to do.
+    /// The order: which target to load or unload.
     pub order: EngineOrder,
 }
 
-/// What became of an order, as far as its giver was told.
+/// How an order ended, as far as the leader that issued it was told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderEnd {
-    /// The engine took it; it is over once its effect is seen.
+    /// The engine accepted the order; the order is complete once its effect is announced.
     Done,
-    /// It had no effect.
+    /// The order was refused and had no effect.
     Refused,
-    /// It may have an effect, now or later.
+    /// The outcome is unknown: the order may have taken effect or may still do so.
     Unknown,
 }
 
--- a/crates/masticsill_orders/src/planner.rs
+++ b/crates/masticsill_orders/src/planner.rs
@@ -1,4 +1,4 @@
-//! Which engine loads or unloads what, and when.
+//! The planner: decides which engine loads or unloads which target, and when.
 
 use indexmap::{IndexMap, IndexSet};
 use masticsill_catalogue::Catalogue;
@@ -13,23 +13,25 @@
 use crate::seen::EngineSeen;
 use crate::wanted::{Wanted, list_named, list_wanted};
 
+/// An order that was issued and has not ended.
 #[derive(Clone, Debug)]
 struct UnderWay {
-    /// Whether its effect may be looked for; what is seen before the answer may have other causes.
+    /// Whether the order's effect may be looked for; before the answer, the state that the engine
+    /// announces may have another cause.
     is_answered: bool,
     order: EngineOrder,
     since: ClockMs,
 }
 
-/// Decides the next orders from the catalogue and from what engines announce.
+/// Decides the next orders from the catalogue and the state that engines announce.
 ///
-/// At any time at most one order is under way at an engine and at most one for a model, so never
-/// do all replicas of a model load at once. An order is under way from its planning until its
-/// effect is seen, it is refused, or its timeout is over.
+/// At any time at most one order is in flight per engine and at most one per model, so the replicas
+/// of a model never load all at once. An order is in flight from its planning until its effect is
+/// observed, it is refused, or it times out.
 #[derive(Clone, Debug)]
 pub struct LoadPlanner {
     bucket: TokenBucket,
-    /// The entry that was given the last load.
+    /// The entry for which the last load was issued; the next step starts with the entry after it.
     last_loaded: Option<EntryId>,
     limits: PlanLimits,
     next_load_at: ClockMs,
@@ -41,7 +43,7 @@
 }
 
 impl LoadPlanner {
-    /// A planner that has given no order yet.
+    /// A planner that has not issued any order; `seed` seeds its random choices.
     #[must_use]
     pub fn new(now: ClockMs, limits: PlanLimits, seed: u64) -> Self {
         Self {
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Takes in an order that a predecessor gave and that has not ended; this planner's own order
-    /// at the same engine goes before.
+    /// Records an order that a previous leader issued and that has not ended. Ignored if an order
+    /// is already recorded for the same agent.
     pub fn note_under_way(&mut self, now: ClockMs, agent: NodeId, order: EngineOrder) {
         let under_way = UnderWay {
             is_answered: true,
@@ -68,7 +70,7 @@
         self.under_way.entry(agent).or_insert(under_way);
     }
 
-    /// Takes in what became of an order.
+    /// Records how an order ended.
     pub fn note_end(&mut self, now: ClockMs, ended: PlannedOrder, end: OrderEnd) {
         let PlannedOrder { agent, order } = ended;
         let under_way = self.under_way.get_mut(&agent);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Decides which orders to give now. Each counts as given.
+    /// Decides which orders to issue now. Each one returned is recorded as in flight.
     pub fn step(
         &mut self,
         now: ClockMs,
@@ -102,23 +104,24 @@
         self.note_shortages(now, &wanted, &holders);
         self.note_unnamed(now, &wanted, engines);
         let mut planned = Vec::new();
-        // An empty catalogue says nothing about what was loaded before it.
+        // A catalogue at version zero is unknown rather than empty, so it is no reason to unload.
         if catalogue.version() > CatalogueVersion::default() {
-            // First, since an engine without room for both takes no load before the unload.
+            // Unloads come first, because an engine without room for both targets can't load before
+            // it has unloaded.
             self.plan_unloads(now, engines, &mut planned);
         }
         self.plan_loads(now, &wanted, engines, &holders, &mut planned);
         planned
     }
 
-    /// Ends the orders whose effect is seen, and those that are past their timeout.
+    /// Ends the orders whose effect is observed and those that have timed out.
     fn end_visible(&mut self, now: ClockMs, engines: &[EngineSeen]) {
         let timeout_ms = self.limits.order_timeout_ms;
         self.under_way.retain(|agent, under_way| {
             let engine = engines.iter().find(|engine| engine.agent == *agent);
             let is_visible = engine.is_some_and(|engine| match &under_way.order {
                 EngineOrder::Load(target) => engine.has(target),
-                // An engine that can't be used announces nothing as loaded.
+                // An engine that can't be used announces no loaded targets, which proves nothing.
                 EngineOrder::Unload(target) => engine.takes_orders && !engine.has(target),
             });
             !(under_way.is_answered && is_visible) && now.since(under_way.since) < timeout_ms
@@ -151,7 +154,8 @@
         let loaded = engines.iter().flat_map(|engine| &engine.loaded);
         let unnamed: IndexSet<&ModelTarget> =
             loaded.filter(|target| !named.contains(target)).collect();
-        // A target stays noted while no engine announces it, so that a blink starts no new grace.
+        // A target is kept while no engine announces it, so that a short absence does not restart
+        // its grace period.
         self.unnamed_since
             .retain(|target, _| !named.contains(target));
         for target in unnamed {
@@ -167,7 +171,7 @@
         holders: &Holders<'_>,
         planned: &mut Vec<PlannedOrder>,
     ) {
-        // In turn, so that an entry whose loads are refused does not keep the others waiting.
+        // Round robin, so that an entry whose loads are refused does not starve the others.
         let is_served = |it: &Wanted<'_>| self.last_loaded.as_ref() >= Some(it.entry);
         let (served, next) = wanted.split_at(wanted.partition_point(is_served));
         for wanted in next.iter().chain(served) {
@@ -198,7 +202,8 @@
             && !self.is_model_busy(&wanted.target.model)
     }
 
-    /// An engine for one more replica: in the zone with the fewest, then the emptiest.
+    /// Chooses an engine for one more replica: in the zone with the fewest replicas of the target,
+    /// and among those the engine with the fewest loaded targets.
     fn choose<'a>(
         &mut self,
         wanted: &Wanted<'_>,
@@ -214,7 +219,7 @@
         if candidates.is_empty() {
             return None;
         }
-        // Of equals the first is taken: which one that is, chance decides.
+        // `min_by_key` returns the first of equal candidates; the random rotation breaks the tie.
         let first = self.random.random_range(0..candidates.len());
         candidates.rotate_left(first);
         candidates.into_iter().min_by_key(|engine| {
--- a/crates/masticsill_orders/src/seen.rs
+++ b/crates/masticsill_orders/src/seen.rs
@@ -1,19 +1,20 @@
-//! What the planner sees of an engine.
+//! The state of an engine as the planner observes it.
 
 use masticsill_types::{ModelTarget, NodeId, ZoneId};
 
-/// An engine as its agent announces it.
+/// An engine's state as announced by its agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineSeen {
-    /// The agent beside it.
+    /// The engine's agent.
     pub agent: NodeId,
-    /// Whether it is leaving: what it holds does not count any more, and it gets no order.
+    /// Whether the engine is leaving: its targets no longer count as replicas, and it gets no
+    /// orders.
     pub is_leaving: bool,
-    /// What is loaded.
+    /// The targets that are loaded.
     pub loaded: Vec<ModelTarget>,
-    /// Whether it may be given orders now.
+    /// Whether the engine accepts orders now.
     pub takes_orders: bool,
-    /// Its availability zone.
+    /// The engine's availability zone.
     pub zone: ZoneId,
 }
 
--- a/crates/masticsill_orders/src/wanted.rs
+++ b/crates/masticsill_orders/src/wanted.rs
@@ -1,10 +1,10 @@
-//! What the catalogue wants of engines.
+//! The replicas of model targets that catalogue entries demand from engines.
 
 use indexmap::IndexSet;
 use masticsill_catalogue::{Catalogue, CatalogueEntry};
 use masticsill_types::{EntryId, ModelTarget, ZoneId};
 
-/// Replicas of a target that an entry wants.
+/// The replicas of a target that one entry demands.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wanted<'a> {
     pub(crate) entry: &'a EntryId,
@@ -28,7 +28,8 @@
     })
 }
 
-/// What the entries in force want, ordered by entry so that every planner reads it alike.
+/// The demands of all entries in force, ordered by entry id so that every planner sees the same
+/// order.
 pub(crate) fn list_wanted(catalogue: &Catalogue) -> Vec<Wanted<'_>> {
     let entries = catalogue.entries();
     let mut wanted: Vec<_> = entries.filter_map(|held| read(&held.entry)).collect();
@@ -36,7 +37,7 @@
     wanted
 }
 
-/// The targets that entries in force name.
+/// The targets that entries in force reference.
 pub(crate) fn list_named<'a>(wanted: &[Wanted<'a>]) -> IndexSet<&'a ModelTarget> {
     wanted.iter().map(|wanted| wanted.target).collect()
 }
--- a/crates/masticsill_orders/tests/load_plan.rs
+++ b/crates/masticsill_orders/tests/load_plan.rs
@@ -1,4 +1,4 @@
-//! Which orders the planner gives, in single cases and over seeded runs.
+//! The orders that the planner issues, in single cases and in seeded simulations.
 
 mod support;
 
@@ -39,7 +39,7 @@
     let mut zones = Vec::new();
     for now in 1..=3 {
         let given = planner.step(ClockMs(now), &catalogue, &engines);
-        assert_eq!(given.len(), 1, "one replica of a model at a time");
+        assert_eq!(given.len(), 1, "expected one load of a model at a time");
         assert!(planner.step(ClockMs(now), &catalogue, &engines).is_empty());
         let loading = &given[0].agent;
         let engine = engines.iter_mut().find(|it| it.agent == *loading).unwrap();
@@ -110,7 +110,7 @@
     let due = ClockMs(5) + limits.grace_ms;
     assert!(planner.step(due.before(1), &new, &engines).is_empty());
     let first = planner.step(due, &new, &engines);
-    assert_eq!(first.len(), 1, "one replica at a time");
+    assert_eq!(first.len(), 1, "expected one unload at a time");
     assert_eq!(first[0].order, EngineOrder::Unload(target("draft", "v1")));
     assert!(planner.step(due, &new, &engines).is_empty());
     let position = usize::from(first[0].agent == node("b1"));
@@ -154,7 +154,7 @@
     for now in 1..=2 {
         let given = planner.step(ClockMs(now), &catalogue, &engines);
         let EngineOrder::Load(target) = &given[0].order else {
-            panic!("nothing is loaded that could be unloaded");
+            panic!("expected a load, because no engine has anything to unload");
         };
         models.push(target.model.as_str().to_owned());
         planner.note_end(ClockMs(now), given[0].clone(), OrderEnd::Refused);
@@ -172,7 +172,7 @@
     }
 }
 
-/// Orders under way in the simulation, by agent.
+/// Orders in flight in the simulation and when they end, by agent.
 type UnderWay = IndexMap<String, (PlannedOrder, ClockMs)>;
 
 fn check_under_way(under_way: &UnderWay, limits: &PlanLimits, seed: u64) {
@@ -202,13 +202,14 @@
             let count = (last - first + 1) as u64;
             assert!(
                 count <= bearable,
-                "seed {seed}: {count} loads, {bearable} bearable"
+                "seed {seed}: {count} loads, at most {bearable} allowed"
             );
         }
     }
 }
 
-/// One seeded run: engines that take their time, refuse, forget everything and are seen late.
+/// Runs one seeded simulation: engines are slow, refuse orders, lose their targets and announce
+/// their state late. For the last 32 s nothing fails or changes, so that the cluster must converge.
 fn run(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let limits = PlanLimits {
--- a/crates/masticsill_orders/tests/order_gate.rs
+++ b/crates/masticsill_orders/tests/order_gate.rs
@@ -1,4 +1,4 @@
-//! What the gate before an engine lets pass.
+//! The fencing gate in front of an engine: which orders it admits, and when they may be sent.
 
 use assert_matches::assert_matches;
 use masticsill_orders::{GateRefusal, LeaderProof, OrderGate};
@@ -71,7 +71,7 @@
     assert_eq!(
         gate.admit(number(2, 2), &load()),
         Err(GateRefusal::Busy),
-        "both could take effect in any sequence"
+        "concurrent orders could take effect in any sequence"
     );
     assert_eq!(gate.under_way(), Some(&load()));
     gate.finish(number(1, 1));
--- a/crates/masticsill_orders/tests/support/mod.rs
+++ b/crates/masticsill_orders/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Catalogues, and engines that carry orders out.
+//! Builders of catalogues and engines, and a simulated cluster that executes orders.
 
 use masticsill_catalogue::{
     BackEnd, Catalogue, CatalogueEntry, CatalogueSnapshot, CatalogueUpdate, Limits, Placement,
@@ -73,7 +73,7 @@
     catalogue
 }
 
-/// Engines as they are and as they were seen last, and the entries in force.
+/// Engines with their actual and their last announced state, and the entries in force.
 pub(crate) struct Cluster {
     engines: Vec<EngineSeen>,
     entries: Vec<CatalogueEntry>,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Another version of an entry, or an engine that forgot everything.
+    /// Changes the version and replicas of an entry, or clears an engine as a restart does.
     pub(crate) fn change(&mut self, random: &mut ChaCha8Rng) {
         if random.random() {
             let position = random.random_range(0..self.entries.len());
@@ -116,7 +116,7 @@
         catalogue(&self.entries)
     }
 
-    /// The engines as announced, now and then brought up to date.
+    /// The announced state of the engines; one call in ten updates it to the actual state first.
     pub(crate) fn seen(&mut self, random: &mut ChaCha8Rng) -> Vec<EngineSeen> {
         if random.random_ratio(1, 10) {
             self.seen.clone_from(&self.engines);
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Every entry has its replicas, as far as there are engines, and nothing else is loaded.
+    /// Asserts that every entry has its replicas, as far as there are engines, and that nothing
+    /// else is loaded.
     pub(crate) fn check_converged(&self, seed: u64) {
         for entry in &self.entries {
             let target = entry.back_end.target().unwrap();
@@ -156,7 +157,7 @@
             let wanted = (entry.placement.replicas as usize).min(self.engines.len());
             assert!(
                 holders.count() >= wanted,
-                "seed {seed}: too few of {target:?}"
+                "seed {seed}: too few replicas of {target:?}"
             );
         }
         for loaded in self.engines.iter().flat_map(|engine| &engine.loaded) {
