--- a/crates/masticsill_agent/src/orders.rs
+++ b/crates/masticsill_agent/src/orders.rs
@@ -83,7 +83,7 @@
         gate.raise(fencing);
         FenceReply {
             highest: gate.highest(),
-            under_way: gate.under_way().cloned(),
+            under_way: gate.in_flight().cloned(),
         }
     }
 }
--- a/crates/masticsill_control/src/orders/session.rs
+++ b/crates/masticsill_control/src/orders/session.rs
@@ -6,7 +6,7 @@
 use masticsill_catalogue::Catalogue;
 use masticsill_membership::{Member, MemberState};
 use masticsill_mesh::MembershipView;
-use masticsill_orders::{EngineSeen, LoadPlanner, OrderEnd, PlanLimits, PlannedOrder};
+use masticsill_orders::{LoadPlanner, ObservedEngine, OrderEnd, PlanLimits, PlannedOrder};
 use masticsill_types::{ClockMs, EndpointKind, Incarnation, NodeId, Term, log_event};
 
 use super::calls::FenceEnd;
@@ -86,7 +86,8 @@
             FenceEnd::Fenced(reply) => {
                 self.asked.swap_remove(&life);
                 if let Some(order) = reply.under_way {
-                    self.planner.note_under_way(now, life.agent.clone(), order);
+                    self.planner
+                        .record_in_flight(now, life.agent.clone(), order);
                 }
                 self.fenced.insert(life);
             }
@@ -105,7 +106,7 @@
             order = format!("{:?}", ended.order),
             end = format!("{end:?}")
         );
-        self.planner.note_end(now, ended, end);
+        self.planner.record_end(now, ended, end);
     }
 
     /// The orders to give now.
@@ -123,8 +124,8 @@
             let (term, engines) = (self.term, self.fenced.len());
             log_event!(info, events::ORDERS_BEGUN, term = term, engines = engines);
         }
-        let engines: Vec<EngineSeen> = engine_members(view)
-            .map(|(member, loaded)| EngineSeen {
+        let engines: Vec<ObservedEngine> = engine_members(view)
+            .map(|(member, loaded)| ObservedEngine {
                 agent: member.node.clone(),
                 is_leaving: member.state == MemberState::Leaving,
                 loaded: loaded.to_vec(),
--- a/crates/masticsill_orders/src/wanted.rs
+++ b/crates/masticsill_orders/src/demand.rs
@@ -6,21 +6,21 @@
 
 /// The replicas of a target that one entry demands.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct Demand<'a> {
     pub(crate) entry: &'a EntryId,
     pub(crate) replicas: usize,
     pub(crate) target: &'a ModelTarget,
     zones: &'a [ZoneId],
 }
 
-impl Wanted<'_> {
+impl Demand<'_> {
     pub(crate) fn allows(&self, zone: &ZoneId) -> bool {
         self.zones.is_empty() || self.zones.contains(zone)
     }
 }
 
-fn read(entry: &CatalogueEntry) -> Option<Wanted<'_>> {
-    Some(Wanted {
+fn demand_of(entry: &CatalogueEntry) -> Option<Demand<'_>> {
+    Some(Demand {
         entry: &entry.id,
         replicas: entry.placement.replicas as usize,
         target: entry.back_end.target()?,
@@ -30,14 +30,14 @@
 
 /// The demands of all entries in force, ordered by entry id so that every planner sees the same
 /// order.
-pub(crate) fn list_wanted(catalogue: &Catalogue) -> Vec<Wanted<'_>> {
+pub(crate) fn list_demands(catalogue: &Catalogue) -> Vec<Demand<'_>> {
     let entries = catalogue.entries();
-    let mut wanted: Vec<_> = entries.filter_map(|held| read(&held.entry)).collect();
-    wanted.sort_by_key(|wanted| wanted.entry);
-    wanted
+    let mut demands: Vec<_> = entries.filter_map(|held| demand_of(&held.entry)).collect();
+    demands.sort_by_key(|demand| demand.entry);
+    demands
 }
 
 /// The targets that entries in force reference.
-pub(crate) fn list_named<'a>(wanted: &[Wanted<'a>]) -> IndexSet<&'a ModelTarget> {
-    wanted.iter().map(|wanted| wanted.target).collect()
+pub(crate) fn list_referenced<'a>(demands: &[Demand<'a>]) -> IndexSet<&'a ModelTarget> {
+    demands.iter().map(|demand| demand.target).collect()
 }
--- a/crates/masticsill_orders/src/gate.rs
+++ b/crates/masticsill_orders/src/gate.rs
@@ -23,7 +23,7 @@
 pub struct OrderGate {
     highest: FencingNumber,
     is_open: bool,
-    under_way: Option<(FencingNumber, EngineOrder)>,
+    in_flight: Option<(FencingNumber, EngineOrder)>,
 }
 
 impl OrderGate {
@@ -41,8 +41,8 @@
 
     /// The order that was admitted and has not ended, if any.
     #[must_use]
-    pub fn under_way(&self) -> Option<&EngineOrder> {
-        self.under_way.as_ref().map(|(_, order)| order)
+    pub fn in_flight(&self) -> Option<&EngineOrder> {
+        self.in_flight.as_ref().map(|(_, order)| order)
     }
 
     /// Opens the gate for fencing numbers above the highest one allocated, which must have been
@@ -74,23 +74,23 @@
         if fencing <= self.highest {
             return Err(GateRefusal::Fenced(self.highest));
         }
-        if self.under_way.is_some() {
+        if self.in_flight.is_some() {
             return Err(GateRefusal::Busy);
         }
         self.highest = fencing;
-        self.under_way = Some((fencing, order.clone()));
+        self.in_flight = Some((fencing, order.clone()));
         Ok(())
     }
 
     /// Whether an admitted order may still be sent. To be checked immediately before sending.
     #[must_use]
     pub fn may_send(&self, fencing: FencingNumber) -> bool {
-        let is_under_way = matches!(&self.under_way, Some((number, _)) if *number == fencing);
+        let is_under_way = matches!(&self.in_flight, Some((number, _)) if *number == fencing);
         is_under_way && self.highest == fencing
     }
 
     /// Ends an order, whatever its outcome.
     pub fn finish(&mut self, fencing: FencingNumber) {
-        self.under_way.take_if(|(number, _)| *number == fencing);
+        self.in_flight.take_if(|(number, _)| *number == fencing);
     }
 }
--- a/crates/masticsill_orders/src/lib.rs
+++ b/crates/masticsill_orders/src/lib.rs
@@ -5,16 +5,16 @@
 //! still be sent to its engine.
 
 mod bucket;
+mod demand;
 mod gate;
 mod holders;
 mod leader_proof;
+mod observed_engine;
 mod plan;
 mod planner;
-mod seen;
-mod wanted;
 
 pub use gate::{GateRefusal, OrderGate};
 pub use leader_proof::LeaderProof;
+pub use observed_engine::ObservedEngine;
 pub use plan::{OrderEnd, PlanLimits, PlannedOrder};
 pub use planner::LoadPlanner;
-pub use seen::EngineSeen;
--- a/crates/masticsill_orders/src/seen.rs
+++ b/crates/masticsill_orders/src/observed_engine.rs
@@ -4,7 +4,7 @@
 
 /// An engine's state as announced by its agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct EngineSeen {
+pub struct ObservedEngine {
     /// The engine's agent.
     pub agent: NodeId,
     /// Whether the engine is leaving: its targets no longer count as replicas, and it gets no
@@ -18,7 +18,7 @@
     pub zone: ZoneId,
 }
 
-impl EngineSeen {
+impl ObservedEngine {
     pub(crate) fn has(&self, target: &ModelTarget) -> bool {
         self.loaded.contains(target)
     }
--- a/crates/masticsill_orders/src/plan.rs
+++ b/crates/masticsill_orders/src/plan.rs
@@ -9,37 +9,37 @@
     /// How long a target must not be referenced by any entry in force before it is unloaded, in
     /// milliseconds. Entry nodes that have not received the change yet, and the requests queued
     /// there, still use the target in the meantime.
-    pub grace_ms: u64,
+    pub unload_grace_ms: u64,
     /// Maximum random pause between two loads, in milliseconds.
-    pub jitter_ms: u64,
+    pub max_load_jitter_ms: u64,
     /// Maximum number of loads in flight, over all engines.
-    pub loads_at_once: usize,
+    pub max_concurrent_loads: usize,
     /// Time after which an order that neither ended nor took visible effect may be issued again, in
     /// milliseconds.
     pub order_timeout_ms: u64,
     /// How long an engine gets no order for a target after it refused one, in milliseconds.
-    pub refused_pause_ms: u64,
+    pub refusal_backoff_ms: u64,
     /// How long replicas must be missing before one is loaded, in milliseconds, so that a short
     /// fault of an engine does not start a load.
-    pub shortage_ms: u64,
+    pub shortage_delay_ms: u64,
     /// Number of loads that may start together after an idle period; a limit of the weight store.
     pub store_burst: u32,
     /// Minimum mean interval between loads in the long run, in milliseconds; a limit of the weight
     /// store.
-    pub store_refill_ms: u64,
+    pub store_refill_interval_ms: u64,
 }
 
 impl Default for PlanLimits {
     fn default() -> Self {
         Self {
-            grace_ms: 10_000,
-            jitter_ms: 250,
-            loads_at_once: 4,
+            unload_grace_ms: 10_000,
+            max_load_jitter_ms: 250,
+            max_concurrent_loads: 4,
             order_timeout_ms: 120_000,
-            refused_pause_ms: 2_000,
-            shortage_ms: 1_000,
+            refusal_backoff_ms: 2_000,
+            shortage_delay_ms: 1_000,
             store_burst: 4,
-            store_refill_ms: 1_000,
+            store_refill_interval_ms: 1_000,
         }
     }
 }
--- a/crates/masticsill_orders/src/planner.rs
+++ b/crates/masticsill_orders/src/planner.rs
@@ -8,14 +8,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::bucket::TokenBucket;
+use crate::demand::{Demand, list_demands, list_referenced};
 use crate::holders::Holders;
+use crate::observed_engine::ObservedEngine;
 use crate::plan::{OrderEnd, PlanLimits, PlannedOrder, model, target};
-use crate::seen::EngineSeen;
-use crate::wanted::{Wanted, list_named, list_wanted};
 
 /// An order that was issued and has not ended.
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct InFlightOrder {
     /// Whether the order's effect may be looked for; before the answer, the state that the engine
     /// announces may have another cause.
     is_answered: bool,
@@ -35,11 +35,11 @@
     last_loaded: Option<EntryId>,
     limits: PlanLimits,
     next_load_at: ClockMs,
-    paused_until: IndexMap<(NodeId, ModelTarget), ClockMs>,
+    backoff_until: IndexMap<(NodeId, ModelTarget), ClockMs>,
     random: ChaCha8Rng,
-    short_since: IndexMap<EntryId, ClockMs>,
-    under_way: IndexMap<NodeId, UnderWay>,
-    unnamed_since: IndexMap<ModelTarget, ClockMs>,
+    shortage_since: IndexMap<EntryId, ClockMs>,
+    in_flight: IndexMap<NodeId, InFlightOrder>,
+    unreferenced_since: IndexMap<ModelTarget, ClockMs>,
 }
 
 impl LoadPlanner {
@@ -47,44 +47,44 @@
     #[must_use]
     pub fn new(now: ClockMs, limits: PlanLimits, seed: u64) -> Self {
         Self {
-            bucket: TokenBucket::new(now, limits.store_burst, limits.store_refill_ms),
+            bucket: TokenBucket::new(now, limits.store_burst, limits.store_refill_interval_ms),
             last_loaded: None,
             limits,
             next_load_at: now,
-            paused_until: IndexMap::new(),
+            backoff_until: IndexMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            short_since: IndexMap::new(),
-            under_way: IndexMap::new(),
-            unnamed_since: IndexMap::new(),
+            shortage_since: IndexMap::new(),
+            in_flight: IndexMap::new(),
+            unreferenced_since: IndexMap::new(),
         }
     }
 
     /// Records an order that a previous leader issued and that has not ended. Ignored if an order
     /// is already recorded for the same agent.
-    pub fn note_under_way(&mut self, now: ClockMs, agent: NodeId, order: EngineOrder) {
-        let under_way = UnderWay {
+    pub fn record_in_flight(&mut self, now: ClockMs, agent: NodeId, order: EngineOrder) {
+        let in_flight = InFlightOrder {
             is_answered: true,
             order,
             since: now,
         };
-        self.under_way.entry(agent).or_insert(under_way);
+        self.in_flight.entry(agent).or_insert(in_flight);
     }
 
     /// Records how an order ended.
-    pub fn note_end(&mut self, now: ClockMs, ended: PlannedOrder, end: OrderEnd) {
+    pub fn record_end(&mut self, now: ClockMs, ended: PlannedOrder, end: OrderEnd) {
         let PlannedOrder { agent, order } = ended;
-        let under_way = self.under_way.get_mut(&agent);
-        let under_way = under_way.filter(|under_way| under_way.order == order);
-        match (end, under_way) {
-            (OrderEnd::Done | OrderEnd::Unknown, Some(under_way)) => under_way.is_answered = true,
+        let in_flight = self.in_flight.get_mut(&agent);
+        let in_flight = in_flight.filter(|in_flight| in_flight.order == order);
+        match (end, in_flight) {
+            (OrderEnd::Done | OrderEnd::Unknown, Some(in_flight)) => in_flight.is_answered = true,
             (OrderEnd::Done | OrderEnd::Unknown, None) => {}
-            (OrderEnd::Refused, under_way) => {
-                if under_way.is_some() {
-                    self.under_way.swap_remove(&agent);
+            (OrderEnd::Refused, in_flight) => {
+                if in_flight.is_some() {
+                    self.in_flight.swap_remove(&agent);
                 }
-                let until = now + self.limits.refused_pause_ms;
-                let paused = (agent, target(&order).clone());
-                self.paused_until.insert(paused, until);
+                let until = now + self.limits.refusal_backoff_ms;
+                let refused_target = (agent, target(&order).clone());
+                self.backoff_until.insert(refused_target, until);
             }
         }
     }
@@ -94,15 +94,15 @@
         &mut self,
         now: ClockMs,
         catalogue: &Catalogue,
-        engines: &[EngineSeen],
+        engines: &[ObservedEngine],
     ) -> Vec<PlannedOrder> {
-        self.end_visible(now, engines);
-        self.paused_until.retain(|_, until| *until > now);
-        let wanted = list_wanted(catalogue);
+        self.end_completed(now, engines);
+        self.backoff_until.retain(|_, until| *until > now);
+        let demands = list_demands(catalogue);
         let loading = self.list_loading();
         let holders = Holders::list(engines, &loading);
-        self.note_shortages(now, &wanted, &holders);
-        self.note_unnamed(now, &wanted, engines);
+        self.update_shortages(now, &demands, &holders);
+        self.update_unreferenced(now, &demands, engines);
         let mut planned = Vec::new();
         // A catalogue at version zero is unknown rather than empty, so it is no reason to unload.
         if catalogue.version() > CatalogueVersion::default() {
@@ -110,112 +110,119 @@
             // it has unloaded.
             self.plan_unloads(now, engines, &mut planned);
         }
-        self.plan_loads(now, &wanted, engines, &holders, &mut planned);
+        self.plan_loads(now, &demands, engines, &holders, &mut planned);
         planned
     }
 
     /// Ends the orders whose effect is observed and those that have timed out.
-    fn end_visible(&mut self, now: ClockMs, engines: &[EngineSeen]) {
+    fn end_completed(&mut self, now: ClockMs, engines: &[ObservedEngine]) {
         let timeout_ms = self.limits.order_timeout_ms;
-        self.under_way.retain(|agent, under_way| {
+        self.in_flight.retain(|agent, in_flight| {
             let engine = engines.iter().find(|engine| engine.agent == *agent);
-            let is_visible = engine.is_some_and(|engine| match &under_way.order {
+            let is_effect_visible = engine.is_some_and(|engine| match &in_flight.order {
                 EngineOrder::Load(target) => engine.has(target),
                 // An engine that can't be used announces no loaded targets, which proves nothing.
                 EngineOrder::Unload(target) => engine.takes_orders && !engine.has(target),
             });
-            !(under_way.is_answered && is_visible) && now.since(under_way.since) < timeout_ms
+            !(in_flight.is_answered && is_effect_visible) && now.since(in_flight.since) < timeout_ms
         });
     }
 
     fn list_loading(&self) -> IndexMap<NodeId, ModelTarget> {
-        let under_way = self.under_way.iter();
-        let loading = under_way.filter_map(|(agent, under_way)| match &under_way.order {
+        let in_flight = self.in_flight.iter();
+        let loading = in_flight.filter_map(|(agent, in_flight)| match &in_flight.order {
             EngineOrder::Load(target) => Some((agent.clone(), target.clone())),
             EngineOrder::Unload(_) => None,
         });
         loading.collect()
     }
 
-    fn note_shortages(&mut self, now: ClockMs, wanted: &[Wanted<'_>], holders: &Holders<'_>) {
-        let short: IndexSet<&EntryId> = wanted
+    fn update_shortages(&mut self, now: ClockMs, demands: &[Demand<'_>], holders: &Holders<'_>) {
+        let short: IndexSet<&EntryId> = demands
             .iter()
-            .filter(|wanted| holders.count(wanted) < wanted.replicas)
-            .map(|wanted| wanted.entry)
+            .filter(|demand| holders.count(demand) < demand.replicas)
+            .map(|demand| demand.entry)
             .collect();
-        self.short_since.retain(|entry, _| short.contains(entry));
+        self.shortage_since.retain(|entry, _| short.contains(entry));
         for entry in short {
-            self.short_since.entry(entry.clone()).or_insert(now);
+            self.shortage_since.entry(entry.clone()).or_insert(now);
         }
     }
 
-    fn note_unnamed(&mut self, now: ClockMs, wanted: &[Wanted<'_>], engines: &[EngineSeen]) {
-        let named = list_named(wanted);
+    fn update_unreferenced(
+        &mut self,
+        now: ClockMs,
+        demands: &[Demand<'_>],
+        engines: &[ObservedEngine],
+    ) {
+        let referenced = list_referenced(demands);
         let loaded = engines.iter().flat_map(|engine| &engine.loaded);
-        let unnamed: IndexSet<&ModelTarget> =
-            loaded.filter(|target| !named.contains(target)).collect();
+        let unreferenced: IndexSet<&ModelTarget> = loaded
+            .filter(|target| !referenced.contains(target))
+            .collect();
         // A target is kept while no engine announces it, so that a short absence does not restart
         // its grace period.
-        self.unnamed_since
-            .retain(|target, _| !named.contains(target));
-        for target in unnamed {
-            self.unnamed_since.entry(target.clone()).or_insert(now);
+        self.unreferenced_since
+            .retain(|target, _| !referenced.contains(target));
+        for target in unreferenced {
+            self.unreferenced_since.entry(target.clone()).or_insert(now);
         }
     }
 
     fn plan_loads(
         &mut self,
         now: ClockMs,
-        wanted: &[Wanted<'_>],
-        engines: &[EngineSeen],
+        demands: &[Demand<'_>],
+        engines: &[ObservedEngine],
         holders: &Holders<'_>,
         planned: &mut Vec<PlannedOrder>,
     ) {
         // Round robin, so that an entry whose loads are refused does not starve the others.
-        let is_served = |it: &Wanted<'_>| self.last_loaded.as_ref() >= Some(it.entry);
-        let (served, next) = wanted.split_at(wanted.partition_point(is_served));
-        for wanted in next.iter().chain(served) {
-            if !self.may_load(now, wanted) {
+        let is_served = |it: &Demand<'_>| self.last_loaded.as_ref() >= Some(it.entry);
+        let (served, next) = demands.split_at(demands.partition_point(is_served));
+        for demand in next.iter().chain(served) {
+            if !self.may_start_load(now, demand) {
                 continue;
             }
-            let Some(engine) = self.choose(wanted, engines, holders) else {
+            let Some(engine) = self.choose_engine(demand, engines, holders) else {
                 continue;
             };
-            if !self.bucket.take(now) {
+            if !self.bucket.try_take(now) {
                 return;
             }
-            self.next_load_at = now + self.random.random_range(0..=self.limits.jitter_ms);
-            self.last_loaded = Some(wanted.entry.clone());
-            let order = EngineOrder::Load(wanted.target.clone());
-            self.give(now, &engine.agent, order, planned);
+            self.next_load_at = now + self.random.random_range(0..=self.limits.max_load_jitter_ms);
+            self.last_loaded = Some(demand.entry.clone());
+            let order = EngineOrder::Load(demand.target.clone());
+            self.issue(now, &engine.agent, order, planned);
         }
     }
 
-    fn may_load(&self, now: ClockMs, wanted: &Wanted<'_>) -> bool {
-        let is_short = self.short_since.get(wanted.entry);
-        let is_short = is_short.is_some_and(|since| now.since(*since) >= self.limits.shortage_ms);
-        let loads = self.under_way.values();
-        let loads = loads.filter(|under_way| matches!(under_way.order, EngineOrder::Load(_)));
+    fn may_start_load(&self, now: ClockMs, demand: &Demand<'_>) -> bool {
+        let is_short = self.shortage_since.get(demand.entry);
+        let is_short =
+            is_short.is_some_and(|since| now.since(*since) >= self.limits.shortage_delay_ms);
+        let loads = self.in_flight.values();
+        let loads = loads.filter(|in_flight| matches!(in_flight.order, EngineOrder::Load(_)));
         is_short
             && now >= self.next_load_at
-            && loads.count() < self.limits.loads_at_once
-            && !self.is_model_busy(&wanted.target.model)
+            && loads.count() < self.limits.max_concurrent_loads
+            && !self.is_model_busy(&demand.target.model)
     }
 
     /// Chooses an engine for one more replica: in the zone with the fewest replicas of the target,
     /// and among those the engine with the fewest loaded targets.
-    fn choose<'a>(
+    fn choose_engine<'a>(
         &mut self,
-        wanted: &Wanted<'_>,
-        engines: &'a [EngineSeen],
+        demand: &Demand<'_>,
+        engines: &'a [ObservedEngine],
         holders: &Holders<'_>,
-    ) -> Option<&'a EngineSeen> {
-        let is_candidate = |engine: &&EngineSeen| {
-            wanted.allows(&engine.zone)
-                && !engine.has(wanted.target)
-                && self.is_free(engine, wanted.target)
+    ) -> Option<&'a ObservedEngine> {
+        let is_candidate = |engine: &&ObservedEngine| {
+            demand.allows(&engine.zone)
+                && !engine.has(demand.target)
+                && self.is_available(engine, demand.target)
         };
-        let mut candidates: Vec<&EngineSeen> = engines.iter().filter(is_candidate).collect();
+        let mut candidates: Vec<&ObservedEngine> = engines.iter().filter(is_candidate).collect();
         if candidates.is_empty() {
             return None;
         }
@@ -223,54 +230,54 @@
         let first = self.random.random_range(0..candidates.len());
         candidates.rotate_left(first);
         candidates.into_iter().min_by_key(|engine| {
-            let in_zone = holders.count_in_zone(wanted.target, &engine.zone);
+            let in_zone = holders.count_in_zone(demand.target, &engine.zone);
             (in_zone, engine.loaded.len())
         })
     }
 
-    fn is_free(&self, engine: &EngineSeen, target: &ModelTarget) -> bool {
-        let is_paused =
+    fn is_available(&self, engine: &ObservedEngine, target: &ModelTarget) -> bool {
+        let is_backing_off =
             |(agent, it): &(NodeId, ModelTarget)| *agent == engine.agent && it == target;
         engine.takes_orders
             && !engine.is_leaving
-            && !self.under_way.contains_key(&engine.agent)
-            && !self.paused_until.keys().any(is_paused)
+            && !self.in_flight.contains_key(&engine.agent)
+            && !self.backoff_until.keys().any(is_backing_off)
     }
 
     fn plan_unloads(
         &mut self,
         now: ClockMs,
-        engines: &[EngineSeen],
+        engines: &[ObservedEngine],
         planned: &mut Vec<PlannedOrder>,
     ) {
-        let grace_ms = self.limits.grace_ms;
-        let due = self.unnamed_since.iter();
-        let due = due.filter(|(_, since)| now.since(**since) >= grace_ms);
+        let unload_grace_ms = self.limits.unload_grace_ms;
+        let due = self.unreferenced_since.iter();
+        let due = due.filter(|(_, since)| now.since(**since) >= unload_grace_ms);
         let due: Vec<ModelTarget> = due.map(|(target, _)| target.clone()).collect();
         for target in due {
             if self.is_model_busy(&target.model) {
                 continue;
             }
             let holders = engines.iter().filter(|engine| engine.has(&target));
-            let holders: Vec<&EngineSeen> = holders.collect();
+            let holders: Vec<&ObservedEngine> = holders.collect();
             if holders.is_empty() {
-                self.unnamed_since.swap_remove(&target);
+                self.unreferenced_since.swap_remove(&target);
                 continue;
             }
             let mut holders = holders.into_iter();
-            if let Some(engine) = holders.find(|engine| self.is_free(engine, &target)) {
+            if let Some(engine) = holders.find(|engine| self.is_available(engine, &target)) {
                 let order = EngineOrder::Unload(target);
-                self.give(now, &engine.agent, order, planned);
+                self.issue(now, &engine.agent, order, planned);
             }
         }
     }
 
     fn is_model_busy(&self, id: &ModelId) -> bool {
-        let mut orders = self.under_way.values();
-        orders.any(|under_way| model(&under_way.order) == id)
+        let mut orders = self.in_flight.values();
+        orders.any(|in_flight| model(&in_flight.order) == id)
     }
 
-    fn give(
+    fn issue(
         &mut self,
         now: ClockMs,
         agent: &NodeId,
@@ -278,12 +285,12 @@
         planned: &mut Vec<PlannedOrder>,
     ) {
         debug_assert!(!self.is_model_busy(&target(&order).model));
-        let under_way = UnderWay {
+        let in_flight = InFlightOrder {
             is_answered: false,
             order: order.clone(),
             since: now,
         };
-        self.under_way.insert(agent.clone(), under_way);
+        self.in_flight.insert(agent.clone(), in_flight);
         planned.push(PlannedOrder {
             agent: agent.clone(),
             order,
--- a/crates/masticsill_orders/tests/order_gate.rs
+++ b/crates/masticsill_orders/tests/order_gate.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn only_higher_numbers_pass() {
+fn only_orders_with_a_higher_fencing_number_are_admitted() {
     let cases = [
         (number(3, 6), true),
         (number(4, 1), true),
@@ -35,16 +35,16 @@
         (number(3, 4), false),
         (number(2, 9), false),
     ];
-    for (fencing, is_passing) in cases {
+    for (fencing, is_admitted) in cases {
         let mut gate = open_gate(number(3, 5));
         let admitted = gate.admit(fencing, &load());
-        assert_eq!(admitted.is_ok(), is_passing, "{fencing:?}");
-        assert_eq!(gate.may_send(fencing), is_passing, "{fencing:?}");
+        assert_eq!(admitted.is_ok(), is_admitted, "{fencing:?}");
+        assert_eq!(gate.may_send(fencing), is_admitted, "{fencing:?}");
     }
 }
 
 #[test]
-fn a_gate_is_closed_until_it_is_told_the_highest_number() {
+fn gate_admits_nothing_until_it_is_told_the_highest_number() {
     let mut gate = OrderGate::default();
     assert_matches!(gate.admit(number(9, 9), &load()), Err(GateRefusal::Closed));
     gate.raise(number(3, 0));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn orders_pass_one_at_a_time() {
+fn orders_are_admitted_one_at_a_time() {
     let mut gate = open_gate(number(1, 0));
     gate.admit(number(1, 1), &load()).unwrap();
     assert_eq!(
@@ -73,15 +73,15 @@
         Err(GateRefusal::Busy),
         "concurrent orders could take effect in any sequence"
     );
-    assert_eq!(gate.under_way(), Some(&load()));
+    assert_eq!(gate.in_flight(), Some(&load()));
     gate.finish(number(1, 1));
-    assert_eq!(gate.under_way(), None);
+    assert_eq!(gate.in_flight(), None);
     assert!(!gate.may_send(number(1, 1)));
     assert_matches!(gate.admit(number(2, 2), &load()), Ok(()));
 }
 
 #[test]
-fn a_proof_is_worth_nothing_past_the_lease() {
+fn leader_proof_expires_with_the_lease() {
     let proof = LeaderProof {
         as_of: ClockMs(1_000),
         term: Term(4),
--- a/crates/masticsill_orders/tests/support/mod.rs
+++ b/crates/masticsill_orders/tests/support/mod.rs
@@ -4,7 +4,7 @@
     BackEnd, Catalogue, CatalogueEntry, CatalogueSnapshot, CatalogueUpdate, Limits, Placement,
     VersionedEntry,
 };
-use masticsill_orders::{EngineSeen, PlannedOrder};
+use masticsill_orders::{ObservedEngine, PlannedOrder};
 use masticsill_types::{
     CatalogueVersion, Class, EntryId, ModelId, ModelTarget, NodeId, VersionId, WorkspaceId, ZoneId,
 };
@@ -26,8 +26,8 @@
     }
 }
 
-pub(crate) fn engine(name: &str, zone: &str, loaded: &[(&str, &str)]) -> EngineSeen {
-    EngineSeen {
+pub(crate) fn engine(name: &str, zone: &str, loaded: &[(&str, &str)]) -> ObservedEngine {
+    ObservedEngine {
         agent: node(name),
         is_leaving: false,
         loaded: loaded
@@ -75,9 +75,9 @@
 
 /// Engines with their actual and their last announced state, and the entries in force.
 pub(crate) struct Cluster {
-    engines: Vec<EngineSeen>,
+    engines: Vec<ObservedEngine>,
     entries: Vec<CatalogueEntry>,
-    seen: Vec<EngineSeen>,
+    announced: Vec<ObservedEngine>,
 }
 
 impl Cluster {
@@ -86,14 +86,14 @@
             let zone = ZONES[random.random_range(0..ZONES.len())];
             engine(&format!("engine-{number}"), zone, &[])
         });
-        let engines: Vec<EngineSeen> = engines.collect();
+        let engines: Vec<ObservedEngine> = engines.collect();
         let entries = (0..random.random_range(1..4)).map(|number| {
             let replicas = random.random_range(1..=3);
             entry(&format!("model-{number}"), "v1", replicas, &[])
         });
         Self {
             entries: entries.collect(),
-            seen: engines.clone(),
+            announced: engines.clone(),
             engines,
         }
     }
@@ -102,10 +102,10 @@
     pub(crate) fn change(&mut self, random: &mut ChaCha8Rng) {
         if random.random() {
             let position = random.random_range(0..self.entries.len());
-            let former = &self.entries[position];
+            let previous = &self.entries[position];
             let version = format!("v{}", random.random_range(1..4));
             let replicas = random.random_range(1..=3);
-            self.entries[position] = entry(former.id.as_str(), &version, replicas, &[]);
+            self.entries[position] = entry(previous.id.as_str(), &version, replicas, &[]);
         } else {
             let position = random.random_range(0..self.engines.len());
             self.engines[position].loaded.clear();
@@ -117,11 +117,11 @@
     }
 
     /// The announced state of the engines; one call in ten updates it to the actual state first.
-    pub(crate) fn seen(&mut self, random: &mut ChaCha8Rng) -> Vec<EngineSeen> {
+    pub(crate) fn announced(&mut self, random: &mut ChaCha8Rng) -> Vec<ObservedEngine> {
         if random.random_ratio(1, 10) {
-            self.seen.clone_from(&self.engines);
+            self.announced.clone_from(&self.engines);
         }
-        self.seen.clone()
+        self.announced.clone()
     }
 
     pub(crate) fn has(&self, agent: &NodeId, target: &ModelTarget) -> bool {
@@ -129,12 +129,12 @@
         engines.any(|engine| engine.agent == *agent && engine.loaded.contains(target))
     }
 
-    pub(crate) fn names(&self, target: &ModelTarget) -> bool {
+    pub(crate) fn references(&self, target: &ModelTarget) -> bool {
         let mut entries = self.entries.iter();
         entries.any(|entry| entry.back_end.target() == Some(target))
     }
 
-    pub(crate) fn carry_out(&mut self, planned: &PlannedOrder) {
+    pub(crate) fn execute(&mut self, planned: &PlannedOrder) {
         let mut engines = self.engines.iter_mut();
         let engine = engines
             .find(|engine| engine.agent == planned.agent)
@@ -162,7 +162,7 @@
         }
         for loaded in self.engines.iter().flat_map(|engine| &engine.loaded) {
             assert!(
-                self.names(loaded),
+                self.references(loaded),
                 "seed {seed}: {loaded:?} was not unloaded"
             );
         }
