--- a/crates/masticsill_session/src/book.rs
+++ b/crates/masticsill_session/src/book.rs
@@ -1,4 +1,4 @@
-//! Every session of this entry, and what is to be done for them.
+//! The table of all sessions of an entry node, and the actions that they require.
 
 use indexmap::IndexMap;
 use masticsill_generation::Record;
@@ -16,64 +16,64 @@
 use crate::position::Position;
 use crate::session::{Phase, Session};
 
-/// When a refused caller may come back, in milliseconds.
+/// Delay after which a refused caller may retry, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Bounds of a [`SessionBook`].
+/// Settings of a [`SessionBook`].
 #[derive(Clone, Debug)]
 pub struct BookConfig {
-    /// Sessions at most.
+    /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// The entry's name.
+    /// The node id of this entry node.
     pub node: NodeId,
-    /// How long a generation outlives its caller's connection, in milliseconds.
+    /// How long a generation is kept after its caller disconnected, in milliseconds.
     pub reattach_ms: u64,
-    /// The router's numbers.
+    /// The router's settings.
     pub router: RouterConfig,
-    /// The router's randomness.
+    /// Seed of the router's random choices.
     pub seed: u64,
-    /// How long a session may be without an endpoint, in milliseconds.
+    /// How long a session may have no usable endpoint, in milliseconds.
     pub waiting_ms: u64,
 }
 
-/// An admitted request.
+/// A request for a generation.
 #[derive(Debug)]
 pub struct Submission {
-    /// Where the caller's answer goes.
+    /// Receives the answer for the caller.
     pub sink: Box<dyn AnswerSink>,
     /// What to generate.
     pub spec: GenerationSpec,
 }
 
-/// What the sessions duty is to do.
+/// An action that the owner of the table must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The wait of a plain call is over: it has an agent, or is refused and not run.
+    /// A queued plain call is placed at an agent, or refused without having run.
     CallPlaced(GenerationId, Result<NodeId, Refusal>),
-    /// End an attempt at an agent.
+    /// Cancel an attempt at an agent.
     Cancel(NodeId, CancelRequest),
-    /// Follow an attempt that runs at an agent already.
+    /// Pull the tokens of an attempt that already runs at an agent.
     Follow(NodeId, PullCursor),
-    /// Ask every possible holder for a generation.
+    /// Ask every node that may hold a generation's record for it.
     Search(Position),
-    /// Follow an attempt no more; its new owner does.
+    /// Stop pulling an attempt's tokens, because another entry node now owns the generation.
     Unfollow(NodeId, GenerationId),
-    /// Start an attempt at an agent; once accepted it is followed.
+    /// Start an attempt at an agent, and pull its tokens once the agent has accepted it.
     Start(NodeId, Box<StartRequest>),
 }
 
-/// What a search for a generation brought.
+/// The result of a search for a generation's record.
 #[derive(Debug)]
 pub enum Found {
-    /// An agent handed its running record over.
+    /// An agent that runs the generation returned its record.
     AtAgent(NodeId, RecordSnapshot),
-    /// Another entry gave its record up; its agent is not known to run.
+    /// Another entry node released its record; no agent is known to run the generation.
     AtEntry(RecordSnapshot),
-    /// Nobody holds a record that contains what the caller saw.
+    /// No node holds a record that contains the part of the answer that the caller received.
     Nowhere,
 }
 
-/// Every session of this entry.
+/// All sessions of an entry node.
 #[derive(Debug)]
 pub struct SessionBook {
     pub(crate) actions: Vec<Action>,
@@ -85,7 +85,7 @@
 }
 
 impl SessionBook {
-    /// An empty book.
+    /// An empty table.
     #[must_use]
     pub fn new(config: BookConfig) -> Self {
         let router = Router::new(config.router.clone(), config.seed);
@@ -99,36 +99,37 @@
         }
     }
 
-    /// The endpoints known.
+    /// The known endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// Replaces the endpoints by what the membership says now.
+    /// Replaces the endpoints by the current membership.
     ///
-    /// Returns the agents that are gone or began another life; [`SessionBook::life_ended`] is to
-    /// be called for each.
+    /// Returns the agents that left or have a new incarnation; [`SessionBook::life_ended`] must be
+    /// called for each.
     pub fn replace_endpoints(&mut self, members: IndexMap<NodeId, Endpoint>) -> Vec<NodeId> {
         self.endpoints.replace(members, &mut self.router)
     }
 
-    /// The router, to be told of catalogue entries and of the entries that share the endpoints.
+    /// The router, for updates of catalogue entries and of the entry nodes that share the
+    /// endpoints.
     pub fn router_mut(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// Takes the load report that came with an agent's tokens.
+    /// Passes a load report, received with an agent's tokens, to the router.
     pub fn report(&mut self, now: ClockMs, agent: &NodeId, load: LoadReport) {
         self.router.on_load_report(now, agent, load);
     }
 
-    /// Takes what is to be done since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Begins a generation; `nonce` is random.
+    /// Starts a generation, or refuses it if the table is full; `nonce` must be random.
     pub fn submit(&mut self, now: ClockMs, submission: Submission, nonce: u32) {
         let Submission { sink, spec } = submission;
         let mut caller = Caller::new(sink, TokenIndex(0));
@@ -143,7 +144,8 @@
         self.place(now, id);
     }
 
-    /// Takes an agent's answer to a start.
+    /// Handles an agent's reply to the start of an attempt. An attempt that is no longer expected
+    /// is cancelled.
     pub fn start_replied(
         &mut self,
         now: ClockMs,
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Takes the loss of a start's answer: the attempt may run, so the next one is another.
+    /// Handles the loss of the reply to a start. The attempt may be running, so the start is not
+    /// sent again: the next attempt gets a new lineage.
     pub fn start_lost(&mut self, now: ClockMs, agent: &NodeId, id: GenerationId, lineage: Lineage) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Takes news of a stream.
+    /// Handles new tokens and the state of an attempt, as pulled from its agent.
     pub fn progress(&mut self, now: ClockMs, agent: &NodeId, news: Progress) {
         let Some(session) = self.sessions.get_mut(&news.id) else {
             return;
@@ -222,13 +225,15 @@
         }
     }
 
-    /// Moves every stream away from an agent that can't be reached or stayed silent.
+    /// Marks an agent that can't be reached or does not answer as down, and moves all its attempts
+    /// to other agents.
     pub fn agent_lost(&mut self, now: ClockMs, agent: &NodeId) {
         self.router.set_down(agent, true);
         self.life_ended(now, agent);
     }
 
-    /// Moves every stream away from an agent whose life has ended; another life may take them.
+    /// Moves all attempts away from an agent whose incarnation has ended. A new incarnation of the
+    /// same agent may get them again.
     pub fn life_ended(&mut self, now: ClockMs, agent: &NodeId) {
         let is_there = |session: &&Session| session.is_at(agent);
         let lost = self.sessions.values().filter(is_there);
@@ -240,12 +245,13 @@
         self.note_unserved(now);
     }
 
-    /// Lets an agent take new work again.
+    /// Marks an agent as reachable, so that it gets new work again.
     pub fn agent_reached(&mut self, agent: &NodeId) {
         self.router.set_down(agent, false);
     }
 
-    /// Does what time asks for: full sinks, callers gone, sessions without an endpoint.
+    /// Handles the passing of time: retries delivery to sinks that were full, removes sessions
+    /// without a caller, and retries or refuses waiting sessions.
     pub fn tick(&mut self, now: ClockMs) {
         let ids: Vec<GenerationId> = self.sessions.keys().copied().collect();
         for id in ids {
@@ -317,7 +323,7 @@
         }
     }
 
-    /// Notes that an attempt may have reached its engine.
+    /// Records that an attempt may have reached its engine.
     fn note_dispatched(&mut self, id: GenerationId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.is_dispatched = true;
--- a/crates/masticsill_session/src/caller.rs
+++ b/crates/masticsill_session/src/caller.rs
@@ -1,4 +1,4 @@
-//! Delivery of one answer to one caller.
+//! Delivery of an answer to a caller.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -8,56 +8,59 @@
 
 use crate::position::{HolderHint, Position};
 
-/// What a caller's connection is given to write.
+/// An item of an answer, to be written to the caller's connection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StreamItem {
-    /// The answer is whole.
+    /// The answer is complete.
     Finished {
-        /// Tokens of the whole answer.
+        /// Number of tokens of the whole answer.
         token_count: u32,
-        /// Where the answer ended.
+        /// Position of the end of the answer.
         position: Position,
-        /// Why it ended.
+        /// Why the answer ended.
         reason: FinishReason,
     },
-    /// The final answer is a refusal.
+    /// The generation was refused or has failed, or a newer connection of the caller gets the
+    /// answer. No more items follow.
     Refused(Refusal),
-    /// The next whole characters.
+    /// The next complete characters of the answer.
     Text {
-        /// Where the caller stands once it has them.
+        /// The caller's position once it has received the characters.
         position: Position,
         /// The characters.
         text: String,
     },
 }
 
-/// Where a caller's answer goes. An entry's connections implement it; tests use a small fake.
+/// Receives the answer for a caller. Implemented by the connections of the entry node; tests use a
+/// fake.
 pub trait AnswerSink: fmt::Debug {
-    /// Takes an item, or gives it back when there is no room for it now.
+    /// Accepts an item, if there is room for it now.
     ///
     /// # Errors
     ///
-    /// The item, when there is no room.
+    /// Returns the item if there is no room.
     fn offer(&self, item: StreamItem) -> Result<(), StreamItem>;
 
-    /// Whether the caller is gone.
+    /// Whether the caller has disconnected.
     fn is_closed(&self) -> bool;
 }
 
-/// Whether a caller still takes its answer.
+/// State of the delivery to a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Delivery {
-    /// Everything was handed over, the final item included.
+    /// All items were accepted, including the final one.
     Complete,
-    /// The connection is gone.
+    /// The caller has disconnected.
     Gone,
-    /// More will follow.
+    /// More items will follow.
     Open,
 }
 
-/// A caller's connection and how far its answer was handed over.
+/// A caller's connection and how much of the answer was delivered to it.
 ///
-/// A slow caller fills its sink; the rest stays in the record, which `max_tokens` bounds.
+/// When a slow caller's sink is full, the rest of the answer stays in the record, whose size is
+/// bounded by `max_tokens`.
 #[derive(Debug)]
 pub(crate) struct Caller {
     assembler: Utf8Assembler,
@@ -69,7 +72,7 @@
 }
 
 impl Caller {
-    /// A caller that wants the answer from `next_index` on.
+    /// A caller that needs the answer from `next_index` on.
     pub(crate) fn new(sink: Box<dyn AnswerSink>, next_index: TokenIndex) -> Self {
         Self {
             assembler: Utf8Assembler::starting_at(next_index),
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Hands over what the record has and the sink has room for; `holder` is who runs it now.
+    /// Delivers new tokens of the record as far as the sink has room; `holder` is the agent that
+    /// currently runs the generation.
     pub(crate) fn deliver(&mut self, record: &Record, holder: HolderHint) -> Delivery {
         if self.flush() == Delivery::Open && self.pending.is_empty() && !self.is_ended {
             self.holder = holder;
@@ -90,7 +94,7 @@
         self.flush()
     }
 
-    /// Ends the answer with a refusal; nothing more of the record is handed over.
+    /// Ends the answer with a refusal; no more tokens of the record are delivered.
     pub(crate) fn refuse(&mut self, refusal: Refusal) {
         if !self.is_ended {
             self.is_ended = true;
@@ -99,7 +103,7 @@
         self.flush();
     }
 
-    /// Hands over pending items.
+    /// Offers pending items to the sink until it is full.
     pub(crate) fn flush(&mut self) -> Delivery {
         while let Some(item) = self.pending.pop_front() {
             if let Err(item) = self.sink.offer(item) {
--- a/crates/masticsill_session/src/endpoint.rs
+++ b/crates/masticsill_session/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this entry knows.
+//! The endpoints that this entry node knows.
 
 use std::net::SocketAddr;
 
@@ -6,31 +6,31 @@
 use masticsill_routing::{EndpointDescription, Router};
 use masticsill_types::{EndpointKind, ModelTarget, NodeId};
 
-/// One endpoint as the membership describes it.
+/// An endpoint as described by the membership.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Endpoint {
-    /// Where its agent listens.
+    /// Address on which the endpoint's agent listens.
     pub address: SocketAddr,
-    /// What it offers.
+    /// What the endpoint offers to the router.
     pub description: EndpointDescription,
 }
 
-/// Every endpoint known.
+/// All known endpoints, by the node id of their agent.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: IndexMap<NodeId, Endpoint>,
 }
 
 impl EndpointTable {
-    /// An endpoint by its agent's name.
+    /// An endpoint, by its agent's node id.
     #[must_use]
     pub fn get(&self, agent: &NodeId) -> Option<&Endpoint> {
         self.endpoints.get(agent)
     }
 
-    /// Replaces the table by what the membership says now, and tells the router what changed.
+    /// Replaces the table by the current membership and reports the changes to the router.
     ///
-    /// Returns the agents that are gone or began another life.
+    /// Returns the agents that left or have a new incarnation.
     pub(crate) fn replace(
         &mut self,
         members: IndexMap<NodeId, Endpoint>,
@@ -57,7 +57,7 @@
         lost
     }
 
-    /// Whether any endpoint that is not gone has the model loaded, reachable or not.
+    /// Whether any endpoint in the table has the model loaded, whether it is reachable or not.
     pub(crate) fn has_model(&self, target: &ModelTarget) -> bool {
         let mut endpoints = self.endpoints.values();
         endpoints.any(|endpoint| endpoint.has_loaded(target))
--- a/crates/masticsill_session/src/lib.rs
+++ b/crates/masticsill_session/src/lib.rs
@@ -1,9 +1,10 @@
-//! The entry's sessions: generations, their callers and their attempts.
+//! The sessions of an entry node: generations, their callers and their attempts.
 //!
-//! Pure logic: no sockets, threads or wall clock. [`SessionBook`] takes requests, agents' answers
-//! and time, and says by [`Action`]s what is to be sent to agents. Each caller's answer is handed
-//! to an [`AnswerSink`]. The book's [`masticsill_routing::Router`] decides which endpoint gets
-//! which attempt, which attempt waits and which is refused; plain calls ask the same router.
+//! Pure logic: no sockets, threads or wall clock. [`SessionBook`] is driven by requests, agents'
+//! answers and time, and returns [`Action`]s to be carried out by its owner. The answer to each
+//! caller is passed to an [`AnswerSink`]. The table's [`masticsill_routing::Router`] decides which
+//! endpoint gets which attempt, which attempts are queued and which are refused; plain calls use
+//! the same router.
 
 mod book;
 mod caller;
--- a/crates/masticsill_session/src/placing.rs
+++ b/crates/masticsill_session/src/placing.rs
@@ -1,4 +1,4 @@
-//! How attempts and calls find their endpoints: admission, waiting and moving on.
+//! Placement of attempts and calls on endpoints: admission, queueing and failover.
 
 use masticsill_routing::{Admit, BackEndTarget, Dequeued, WorkEnd, WorkOutcome, WorkRequest};
 use masticsill_types::{ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
@@ -9,25 +9,28 @@
 use crate::session::{Phase, Session};
 use crate::work::describe_work;
 
-/// After this wait, in milliseconds, an agent that failed the generation may be tried again.
+/// Time after which agents that failed the generation may be tried again, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 200;
-/// Attempts that may fail without a token before the wait for the next one is bounded.
+/// Number of consecutive attempts without a token after which the unserved timeout applies even if
+/// an endpoint is usable.
 const MAX_FAILURES: u32 = 4;
 
 impl SessionBook {
-    /// Asks for a place for a plain call. A queued call is answered by [`Action::CallPlaced`],
-    /// and each that has a place ends with [`SessionBook::end_call`].
+    /// Requests a slot for a plain call. The end of the wait of a queued call is reported by
+    /// [`Action::CallPlaced`]; each call that got a slot must be ended by
+    /// [`SessionBook::end_call`].
     pub fn admit_call(&mut self, now: ClockMs, request: WorkRequest) -> Admit {
         self.router.admit(now, request)
     }
 
-    /// Notes the end of a plain call at its agent.
+    /// Records the end of a plain call at its agent.
     pub fn end_call(&mut self, now: ClockMs, id: GenerationId, outcome: WorkOutcome) {
         let end = WorkEnd { outcome, tokens: 0 };
         self.router.on_finished(now, id, end);
     }
 
-    /// Starts or refuses what waits, as far as that can be told now. Call it after each change.
+    /// Starts queued attempts and calls for which a slot is free, and refuses those whose wait is
+    /// over. Must be called after each change.
     pub fn settle(&mut self, now: ClockMs) {
         while let Some(dequeued) = self.router.next_queued(now) {
             match dequeued {
@@ -37,7 +40,7 @@
         }
     }
 
-    /// Asks the router for an endpoint.
+    /// Requests an endpoint for a session's next attempt from the router.
     pub(crate) fn place(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Leaves the current agent and begins the next attempt elsewhere.
+    /// Cancels the attempt at the current agent and requests another agent for the next attempt.
     pub(crate) fn move_on(&mut self, now: ClockMs, id: GenerationId, outcome: WorkOutcome) {
         let Some(failed) = self.leave_agent(now, id, outcome) else {
             return;
@@ -99,7 +102,7 @@
         self.place(now, id);
     }
 
-    /// Ends the attempt at the session's agent, if any, and returns that agent.
+    /// Ends and cancels the attempt at the session's agent, if any, and returns that agent.
     pub(crate) fn leave_agent(
         &mut self,
         now: ClockMs,
@@ -112,8 +115,8 @@
         Some(agent)
     }
 
-    /// Tells the router that the session needs its place no more, and returns the place's agent;
-    /// a session that waits for one waits no more.
+    /// Releases the session's slot at the router and returns its agent; a session that is queued is
+    /// withdrawn from the queue.
     pub(crate) fn end_work(
         &mut self,
         now: ClockMs,
@@ -131,7 +134,7 @@
         Some(agent)
     }
 
-    /// Ends a session that the router gives no endpoint.
+    /// Refuses a session to which the router gives no endpoint.
     fn refuse_unplaced(&mut self, now: ClockMs, id: GenerationId, refusal: Refusal) {
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -145,8 +148,8 @@
         self.refuse(now, id, refusal);
     }
 
-    /// Ends a wait that has become hopeless. The router bounds the wait for a free slot; here it
-    /// is bounded while no endpoint is usable at all, or attempts keep failing.
+    /// Refuses a waiting session once it has been unserved for too long: no endpoint is usable, or
+    /// its attempts keep failing. The router itself limits the wait for a free slot.
     pub(crate) fn go_on_waiting(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -159,7 +162,7 @@
         let target = BackEndTarget::Engine(spec.target.clone());
         let is_served = self.router.can_serve(now, &spec.catalogue_entry, &target);
         if is_served && session.failures < MAX_FAILURES {
-            // The bound is on one stretch without an endpoint, not on the whole wait.
+            // The timeout applies to one period without an endpoint, not to the whole wait.
             session.unserved_since = None;
         } else if now - *session.unserved_since.get_or_insert(now) >= self.config.waiting_ms {
             let refusal = explain_no_endpoint(&self.endpoints, session);
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Notes since when waiting sessions have no usable endpoint.
+    /// Starts the unserved timeout of waiting sessions that have no usable endpoint.
     pub(crate) fn note_unserved(&mut self, now: ClockMs) {
         for session in self.sessions.values_mut() {
             let spec = session.record.spec();
@@ -186,7 +189,8 @@
         }
     }
 
-    /// Looks for an endpoint that has come since.
+    /// Retries the placement of a parked session, or refuses the session after the unserved
+    /// timeout.
     fn look_again(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
--- a/crates/masticsill_session/src/position.rs
+++ b/crates/masticsill_session/src/position.rs
@@ -1,4 +1,4 @@
-//! The place in an answer that a caller names when it comes back.
+//! The position in an answer that a caller sends when it reconnects.
 
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -6,9 +6,10 @@
 
 use masticsill_types::{Attempt, GenerationId, Lineage, NodeId, OwnerEpoch, TokenIndex};
 
-/// Which agent ran a generation, as a hash of its name.
+/// Which agent ran a generation, as a hash of the agent's node id.
 ///
-/// It only says whom to ask first: a wrong or old hint costs time, never correctness.
+/// The hint only decides which agent is asked first: a wrong or outdated hint costs time, not
+/// correctness.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct HolderHint(pub u32);
 
@@ -21,23 +22,23 @@
     }
 }
 
-/// A point of an answer: everything before `next_index` was received, the last of it under
+/// A position in an answer: all tokens before `next_index` were received, the last one under
 /// `lineage`.
 ///
-/// As text, the `id` of a server-sent event: `GENERATION-EPOCH.ATTEMPT.NEXT_INDEX.HOLDER`.
+/// Its text form is the `id` of a server-sent event: `GENERATION-EPOCH.ATTEMPT.NEXT_INDEX.HOLDER`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Position {
-    /// Who ran the generation when the last token was handed over.
+    /// Which agent ran the generation when the last token was delivered.
     pub holder: HolderHint,
     /// The generation.
     pub id: GenerationId,
-    /// Who produced the last token received.
+    /// The owner epoch and attempt that produced the last token received.
     pub lineage: Lineage,
-    /// The next token wanted.
+    /// Index of the next token to deliver.
     pub next_index: TokenIndex,
 }
 
-/// An event id that this system never wrote.
+/// The text of an event id could not be parsed, so it was not issued by this system.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PositionError;
 
--- a/crates/masticsill_session/src/returning.rs
+++ b/crates/masticsill_session/src/returning.rs
@@ -1,4 +1,4 @@
-//! Callers that come back, and generations that change their entry.
+//! Reconnecting callers, and generations that move to another entry node.
 
 use masticsill_generation::Record;
 use masticsill_routing::WorkOutcome;
@@ -12,7 +12,8 @@
 use crate::work::describe_work;
 
 impl SessionBook {
-    /// Continues a generation for a caller that came back.
+    /// Resumes a generation for a caller that reconnected. If this entry node does not have the
+    /// generation, a search for its record is started.
     pub fn reattach(&mut self, now: ClockMs, position: Position, sink: Box<dyn AnswerSink>) {
         let Some(session) = self.sessions.get_mut(&position.id) else {
             self.search(position, sink);
@@ -37,7 +38,7 @@
         self.deliver(now, position.id);
     }
 
-    /// Takes the result of a search.
+    /// Handles the result of a search.
     pub fn found(&mut self, now: ClockMs, id: GenerationId, found: Found) {
         let Some((position, sink)) = self.searches.swap_remove(&id) else {
             return;
@@ -55,7 +56,7 @@
             caller.refuse(record_lost());
             return;
         };
-        // A later caller may have taken the place of the one that was searched for.
+        // While the search ran, a later connection may have replaced the one that started it.
         if !record.continues(position.lineage, position.next_index) {
             caller.refuse(record_lost());
             return;
@@ -66,7 +67,7 @@
         self.resume_found(now, id, agent);
     }
 
-    /// Gives a generation up to another entry, to which its caller came back.
+    /// Releases a generation to another entry node, to which its caller reconnected.
     pub fn release(&mut self, now: ClockMs, request: &AttachRequest) -> AttachReply {
         let Some(session) = self.sessions.get_mut(&request.id) else {
             return AttachReply::Unknown;
@@ -79,7 +80,7 @@
         if let Some(mut caller) = session.caller.take() {
             caller.refuse(superseded());
         }
-        // The attempt is not cancelled: its new owner may go on with it.
+        // The attempt is not cancelled, because the new owner may continue it.
         if let Some(agent) = self.end_work(now, request.id, WorkOutcome::Cancelled) {
             self.actions.push(Action::Unfollow(agent, request.id));
         }
--- a/crates/masticsill_session/src/session.rs
+++ b/crates/masticsill_session/src/session.rs
@@ -1,4 +1,4 @@
-//! One generation that this entry owns.
+//! A generation that this entry node owns.
 
 use indexmap::IndexSet;
 use masticsill_generation::Record;
@@ -8,16 +8,17 @@
 use crate::caller::Caller;
 use crate::position::HolderHint;
 
-/// Where the current attempt of a session stands.
+/// Phase of a session's current attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// The final item is being handed over, or waits for a caller that may come back.
+    /// The generation has ended. The final item is being delivered, or is kept for a caller that
+    /// may reconnect.
     Ended,
-    /// The agent's tokens are followed.
+    /// The agent accepted the attempt and its tokens are being pulled.
     Following(NodeId),
-    /// The start was sent to the agent.
+    /// The start was sent to the agent, which has not replied yet.
     Starting(NodeId),
-    /// The attempt waits in the router's queue.
+    /// The attempt has no agent: it is in the router's queue, or parked.
     Waiting,
 }
 
@@ -26,38 +27,40 @@
 pub(crate) struct Session {
     /// Index of the current attempt's first token.
     pub(crate) attempt_from: TokenIndex,
-    /// The caller, while connected.
+    /// The caller, while it is connected.
     pub(crate) caller: Option<Caller>,
-    /// Attempts that ended early since the last token.
+    /// Number of attempts that failed since the last token.
     pub(crate) failures: u32,
-    /// The agent that failed last.
+    /// The agent at which the last attempt failed.
     pub(crate) failed_at: Option<NodeId>,
-    /// Whether the router has admitted it, so that its limits have counted it.
+    /// Whether the router has admitted the session, and so has counted it against the limits.
     pub(crate) is_admitted: bool,
-    /// Who ran the latest attempt.
+    /// The agent that ran the latest attempt.
     pub(crate) holder: HolderHint,
-    /// Whether any attempt may have reached an engine; if not, a refusal is *not run*.
+    /// Whether any attempt may have reached an engine. If not, a refusal has the outcome `NotRun`.
     pub(crate) is_dispatched: bool,
-    /// Whether it waits for the first endpoint that can serve it, outside the router's queue.
+    /// Whether the session waits, outside the router's queue, for the first endpoint that can serve
+    /// it.
     pub(crate) is_parked: bool,
-    /// Where the attempt stands.
+    /// Phase of the current attempt.
     pub(crate) phase: Phase,
-    /// The record.
+    /// The record of the generation's tokens and attempts.
     pub(crate) record: Record,
-    /// The final refusal, once the generation was given up.
+    /// The final refusal, if the generation was refused or given up.
     pub(crate) refusal: Option<Refusal>,
-    /// When a waiting session may also use the agents tried before.
+    /// When a waiting session may use the agents tried before again.
     pub(crate) retry_at: ClockMs,
-    /// When the caller last came or went.
+    /// When the caller last connected or disconnected, or the generation ended.
     pub(crate) since: ClockMs,
     /// Agents tried since the last token.
     pub(crate) tried: IndexSet<NodeId>,
-    /// Since when no endpoint is usable or attempts keep failing, if that is so.
+    /// Since when the session has had no usable endpoint or its attempts have kept failing; `None`
+    /// otherwise.
     pub(crate) unserved_since: Option<ClockMs>,
 }
 
 impl Session {
-    /// A session that waits for an endpoint.
+    /// A session that waits for its first endpoint at this entry node.
     pub(crate) fn new(record: Record, caller: Caller, now: ClockMs) -> Self {
         Self {
             attempt_from: record.next_index(),
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The agent that runs or starts the attempt.
+    /// The agent that starts or runs the current attempt.
     pub(crate) fn agent(&self) -> Option<&NodeId> {
         match &self.phase {
             Phase::Following(agent) | Phase::Starting(agent) => Some(agent),
@@ -86,12 +89,12 @@
         }
     }
 
-    /// Whether the session is bound to the agent given.
+    /// Whether the current attempt is at the given agent.
     pub(crate) fn is_at(&self, agent: &NodeId) -> bool {
         self.agent() == Some(agent)
     }
 
-    /// Why the session asks for its next place.
+    /// Which kind of work the next attempt is to the router: new, a retry or a resumption.
     pub(crate) fn work_kind(&self) -> WorkKind {
         match &self.failed_at {
             _ if self.is_dispatched => WorkKind::Resume,
@@ -102,18 +105,18 @@
         }
     }
 
-    /// Whether it may wait for an endpoint when there is none. A lookup may not, and is refused
-    /// at once.
+    /// Whether the session may wait when there is no endpoint. Lookups may not and are refused at
+    /// once.
     pub(crate) fn may_park(&self) -> bool {
         !self.is_dispatched && self.record.spec().class == Class::PatientDraft
     }
 
-    /// Tokens that the current attempt brought.
+    /// Number of tokens that the current attempt has produced.
     pub(crate) fn attempt_tokens(&self) -> u32 {
         self.record.next_index().0 - self.attempt_from.0
     }
 
-    /// Whether no token was ever taken.
+    /// Whether no token was ever accepted.
     pub(crate) fn is_untouched(&self) -> bool {
         self.record.tokens().is_empty()
     }
--- a/crates/masticsill_session/src/work.rs
+++ b/crates/masticsill_session/src/work.rs
@@ -1,21 +1,23 @@
-//! What the router is told of a session's attempts.
+//! Builds the router's description of a session's next attempt.
 
 use masticsill_routing::{BackEndTarget, PrefixBlock, WorkRequest};
 use masticsill_types::GenerationSpec;
 
 use crate::session::Session;
 
-/// Prompt bytes that are taken for one token.
+/// Prompt bytes assumed per token, for estimates.
 const BYTES_PER_TOKEN: usize = 4;
-/// Prompt bytes of one block; a shorter prompt is not worth sending after its cache.
+/// Prompt bytes per block. A prompt shorter than one block has no blocks, because routing it to a
+/// cached prefix would save too little.
 const BLOCK_BYTES: usize = 256;
-/// Blocks told at most; what lies beyond them hardly changes the choice.
+/// Maximum number of blocks passed to the router; blocks beyond it hardly change the choice.
 const MAX_BLOCKS: usize = 32;
+/// Offset basis of the 64-bit FNV-1a hash.
 const HASH_START: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const HASH_FACTOR: u64 = 0x0000_0100_0000_01b3;
 
-/// The request for a session's next attempt: what is still to be generated, after everything
-/// that was accepted.
+/// The request for a session's next attempt, which continues after the tokens accepted so far.
 pub(crate) fn describe_work(session: &Session) -> WorkRequest {
     let spec = session.record.spec();
     let accepted = session.record.next_index().0;
@@ -35,7 +37,8 @@
     }
 }
 
-/// The prompt's prefixes as every entry hashes them, so that all send a prefix the same way.
+/// Hashes the prompt's prefixes, one per block. Every entry node computes the same hashes, so that
+/// all of them route a prefix alike.
 fn list_blocks(spec: &GenerationSpec) -> Vec<PrefixBlock> {
     let blocks = spec.prompt.as_bytes().chunks_exact(BLOCK_BYTES);
     let mut hash = HASH_START;
--- a/crates/masticsill_session/tests/sessions/admission.rs
+++ b/crates/masticsill_session/tests/sessions/admission.rs
@@ -1,4 +1,4 @@
-//! What the router decides reaches callers and agents.
+//! The router's admission, queueing and refusals as seen by callers and agents.
 
 use masticsill_types::{
     AttemptState, Class, FinishReason, GenerationId, GenerationSpec, Refusal, RefusalKind,
@@ -51,7 +51,7 @@
     world.submit_spec(&sinks[2], numbered(3));
     world.book.agent_lost(world.now, &started[0].0);
     world.book.settle(world.now);
-    assert_eq!(world.starts(), [], "the other slot is taken");
+    assert_eq!(world.starts(), [], "the only other slot is in use");
     world.push(&started[1], 1, &[b"b"], STOPPED);
     world.book.settle(world.now);
     assert_eq!(world.starts(), [(started[1].0.clone(), 1)]);
@@ -71,7 +71,7 @@
     }
     world.submit_spec(&sinks[2], numbered(3));
     world.book.agent_lost(world.now, &started[0].0);
-    // Time passes in ticks: the first lets the agents tried before be used again.
+    // The first tick makes the agents that were tried before available again.
     world.pass(WAITING_MS / 2);
     world.pass(EXPIRY_MS);
     let failed = Some((RefusedOutcome::Failed, RefusalKind::BackEndFailed));
@@ -161,5 +161,9 @@
     world.book.agent_reached(&other);
     world.pass(WAITING_MS / 2);
     assert_eq!(sinks.map(|sink| sink.refusal()), [None, None]);
-    assert_eq!(world.starts().len(), 1, "the slot is used again");
+    assert_eq!(
+        world.starts().len(),
+        1,
+        "expected one start in the slot that is reachable again"
+    );
 }
--- a/crates/masticsill_session/tests/sessions/caller_return.rs
+++ b/crates/masticsill_session/tests/sessions/caller_return.rs
@@ -1,4 +1,4 @@
-//! Callers that leave, come back, or come back through another entry.
+//! Callers that disconnect, reconnect, or reconnect through another entry node.
 
 use masticsill_session::{Action, Found, HolderHint, Position};
 use masticsill_types::{AttemptState, Lineage, RefusalKind, RefusedOutcome};
@@ -18,7 +18,7 @@
     started
 }
 
-/// What another entry asks when the caller of a position comes back to it.
+/// The request of another entry node to which the caller reconnects at a position.
 fn ask_for(position: Position, nonce: u32) -> AttachRequest {
     AttachRequest {
         entry: node("other"),
@@ -88,7 +88,7 @@
     );
 
     let AttachReply::Attached(snapshot) = reply else {
-        panic!("the record is handed over");
+        panic!("expected the record to be released");
     };
     let mut other = World::new();
     let again = FakeSink::new(100);
@@ -174,7 +174,7 @@
     let position = sink.position();
     let request = ask_for(position, 8);
     let AttachReply::Attached(snapshot) = world.book.release(world.now, &request) else {
-        panic!("the record is handed over");
+        panic!("expected the record to be released");
     };
     let mut other = World::new();
     let sinks = [FakeSink::new(100), FakeSink::new(100)];
@@ -189,6 +189,10 @@
         .book
         .found(other.now, position.id, Found::AtEntry(*snapshot));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
-    assert_eq!(sinks[1].refusal(), lost, "it saw another branch");
+    assert_eq!(
+        sinks[1].refusal(),
+        lost,
+        "this caller received tokens of another lineage"
+    );
     assert_eq!(sinks[1].text(), "");
 }
--- a/crates/masticsill_session/tests/sessions/exact_resume.rs
+++ b/crates/masticsill_session/tests/sessions/exact_resume.rs
@@ -1,4 +1,4 @@
-//! Answers stay whole when engines and agents die on the way.
+//! Answers stay complete, without gaps or repeated tokens, when engines and agents fail.
 
 use masticsill_types::{AttemptFailure, AttemptState, FinishReason};
 
@@ -51,7 +51,7 @@
     assert_eq!(sink.text(), "abc");
     assert!(
         !sink.is_finished(),
-        "an end beyond a gap is not the answer's end"
+        "an end after missing tokens must not end the answer"
     );
 }
 
--- a/crates/masticsill_session/tests/sessions/main.rs
+++ b/crates/masticsill_session/tests/sessions/main.rs
@@ -1,4 +1,4 @@
-//! Sessions under failure, with fake engines and callers.
+//! Sessions under failures, with fake agents and callers.
 
 mod admission;
 mod caller_return;
--- a/crates/masticsill_session/tests/sessions/support.rs
+++ b/crates/masticsill_session/tests/sessions/support.rs
@@ -1,4 +1,4 @@
-//! A book with two fake engines and sinks that remember what they were offered.
+//! A session table with fake agents, and sinks that record the items offered to them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
     room: Cell<usize>,
 }
 
-/// A caller that takes up to `room` items.
+/// A caller's sink that accepts up to `room` items.
 #[derive(Clone, Debug)]
 pub(crate) struct FakeSink(Rc<SinkState>);
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// A book that knows the agents `a` and `b`.
+/// A session table, by default with the agents `a` and `b`, and the current time.
 pub(crate) struct World {
     pub(crate) book: SessionBook,
     pub(crate) now: ClockMs,
@@ -122,13 +122,13 @@
         Self { book, now }
     }
 
-    /// Replaces the agents by first lives of those named.
+    /// Replaces the agents by the first incarnations of those named.
     pub(crate) fn set_agents(&mut self, names: &[&str], slots: u32) {
         let members = names.iter().map(|name| (node(name), endpoint(slots)));
         self.replace_agents(members.collect());
     }
 
-    /// Lets an agent begin its second life.
+    /// Replaces all agents by the second incarnation of one agent.
     pub(crate) fn restart_agent(&mut self, name: &str, slots: u32) {
         let mut restarted = endpoint(slots);
         restarted.description.incarnation = Incarnation(2);
@@ -154,7 +154,7 @@
         self.book.settle(self.now);
     }
 
-    /// The attempts that were started since the last look.
+    /// Takes the attempts started since the last call; other actions are dropped.
     pub(crate) fn started(&mut self) -> Vec<Started> {
         let actions = self.book.take_actions().into_iter();
         let starts = actions.filter_map(|action| match action {
@@ -164,7 +164,7 @@
         starts.collect()
     }
 
-    /// The agents and generations of [`World::started`].
+    /// As [`World::started`], but returns only the agents and generations.
     pub(crate) fn starts(&mut self) -> Vec<(NodeId, u128)> {
         let started = self.started().into_iter();
         started
@@ -172,7 +172,7 @@
             .collect()
     }
 
-    /// The one start among the actions, with its agent.
+    /// Takes the first attempt started since the last call, with its agent.
     pub(crate) fn taken_start(&mut self) -> Started {
         let mut starts = self.started().into_iter();
         starts.next().expect("an attempt is started")
@@ -213,7 +213,7 @@
     }
 }
 
-/// An attempt as it was started, with its agent.
+/// The agent and the start request of an attempt.
 pub(crate) type Started = (NodeId, StartRequest);
 
 pub(crate) fn node(name: &str) -> NodeId {
--- a/crates/masticsill_session/tests/sessions/true_refusals.rs
+++ b/crates/masticsill_session/tests/sessions/true_refusals.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only when no engine can have begun.
+//! A refusal has the outcome `NotRun` only if no engine can have started the generation.
 
 use masticsill_types::{Refusal, RefusalKind, RefusedOutcome};
 use masticsill_wire::agent::StartReply;
