--- a/crates/masticsill_entry/src/link_reporter.rs
+++ b/crates/masticsill_entry/src/link_reporter.rs
@@ -25,7 +25,7 @@
 impl LinkOwner for LinkReporter {
     fn on_start_lost(&self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
         self.sessions
-            .with_book(|book, now| book.start_lost(now, agent, id, lineage));
+            .with_book(|book, now| book.start_reply_lost(now, agent, id, lineage));
     }
 
     fn on_started(&self, agent: &NodeId, id: GenerationId, lineage: Lineage, reply: StartReply) {
@@ -37,7 +37,7 @@
         let is_current = self.is_current(agent);
         self.sessions.with_book(|book, now| {
             if is_current {
-                book.report(now, agent, reply.load);
+                book.record_load(now, agent, reply.load);
             }
             for news in reply.progress {
                 book.progress(now, agent, news);
@@ -54,7 +54,8 @@
 
     fn on_reached(&self, agent: &NodeId) {
         if self.is_current(agent) {
-            self.sessions.with_book(|book, _| book.agent_reached(agent));
+            self.sessions
+                .with_book(|book, _| book.agent_reachable(agent));
         }
     }
 }
--- a/crates/masticsill_entry/src/search.rs
+++ b/crates/masticsill_entry/src/search.rs
@@ -8,7 +8,7 @@
 use futures::stream::FuturesUnordered;
 use masticsill_membership::{MemberState, Role};
 use masticsill_runtime::{call_context, connect_transport};
-use masticsill_session::{Found, HolderHint, Position};
+use masticsill_session::{HolderHint, Position, SearchResult};
 use masticsill_types::{NodeId, TokenIndex};
 use masticsill_wire::ServiceKind;
 use masticsill_wire::agent::{
@@ -34,21 +34,25 @@
 
 /// Asks the agent that the caller's position hints at, and if it can't continue the answer, every
 /// other agent and entry at once.
-pub(crate) async fn search_holders(sessions: &Rc<Sessions>, position: Position) -> Found {
+pub(crate) async fn search_holders(sessions: &Rc<Sessions>, position: Position) -> SearchResult {
     let is_hinted = |holder: &Holder| match holder {
         Holder::Agent(agent, _) => HolderHint::from(agent) == position.holder,
         Holder::Entry(_) => false,
     };
     let (hinted, others) = list_holders(sessions).into_iter().partition(is_hinted);
     match ask_holders(sessions, hinted, position).await {
-        Found::Nowhere => ask_holders(sessions, others, position).await,
+        SearchResult::NotFound => ask_holders(sessions, others, position).await,
         found => found,
     }
 }
 
 /// Asks holders at once, and takes the best record that contains what the caller saw. An agent's
 /// record is preferred to an entry's, because its engine goes on.
-async fn ask_holders(sessions: &Rc<Sessions>, holders: Vec<Holder>, position: Position) -> Found {
+async fn ask_holders(
+    sessions: &Rc<Sessions>,
+    holders: Vec<Holder>,
+    position: Position,
+) -> SearchResult {
     let asked: FuturesUnordered<_> = holders
         .into_iter()
         .map(|holder| ask_holder(sessions, holder, position))
@@ -57,14 +61,14 @@
         asked.filter_map(async |answer| answer).collect().await;
     answers.sort_by_key(|(holder, snapshot)| rank(holder, snapshot));
     let Some((holder, snapshot)) = answers.pop() else {
-        return Found::Nowhere;
+        return SearchResult::NotFound;
     };
     for (other, record) in answers {
         cancel_other(&other, &record);
     }
     match holder {
-        Holder::Agent(agent, _) => Found::AtAgent(agent, snapshot),
-        Holder::Entry(_) => Found::AtEntry(snapshot),
+        Holder::Agent(agent, _) => SearchResult::AtAgent(agent, snapshot),
+        Holder::Entry(_) => SearchResult::AtEntry(snapshot),
     }
 }
 
--- a/crates/masticsill_entry/src/sessions_duty.rs
+++ b/crates/masticsill_entry/src/sessions_duty.rs
@@ -11,7 +11,8 @@
 use masticsill_routing::{Admit, EndpointDescription, RouterConfig, WorkOutcome, WorkRequest};
 use masticsill_runtime::{Metrics, Ring};
 use masticsill_session::{
-    Action, AnswerSink, BookConfig, Endpoint, Found, Position, SessionBook, StreamItem, Submission,
+    Action, AnswerSink, Endpoint, Position, SearchResult, SessionTable, SessionTableConfig,
+    StreamItem, Submission,
 };
 use masticsill_types::{
     ClockMs, GenerationId, GenerationSpec, Incarnation, MonotonicClock, NodeId, Refusal,
@@ -60,7 +61,7 @@
 /// What the duty, its links and its calls share; all run on the duty's thread.
 #[derive(Debug)]
 pub(crate) struct Sessions {
-    book: RefCell<SessionBook>,
+    book: RefCell<SessionTable>,
     /// The process's clock.
     pub(crate) clock: MonotonicClock,
     /// The entry's configuration.
@@ -83,16 +84,16 @@
     metrics: Metrics,
     clock: MonotonicClock,
 ) {
-    let book_config = BookConfig {
+    let book_config = SessionTableConfig {
         max_sessions: MAX_SESSIONS,
         node: config.node.clone(),
         reattach_ms: config.reattach_ms,
         router: RouterConfig::in_zone(config.zone.clone()),
         seed: rand::rng().random(),
-        waiting_ms: WAITING_MS,
+        unserved_timeout_ms: WAITING_MS,
     };
     let sessions = Rc::new(Sessions {
-        book: RefCell::new(SessionBook::new(book_config)),
+        book: RefCell::new(SessionTable::new(book_config)),
         clock,
         config: Rc::new(config),
         links: RefCell::new(IndexMap::new()),
@@ -178,13 +179,13 @@
     /// Changes the book, then does what it asks for.
     pub(crate) fn with_book<T>(
         self: &Rc<Self>,
-        change: impl FnOnce(&mut SessionBook, ClockMs) -> T,
+        change: impl FnOnce(&mut SessionTable, ClockMs) -> T,
     ) -> T {
         let now = self.clock.now();
         let (result, actions) = {
             let mut book = self.book.borrow_mut();
             let result = change(&mut book, now);
-            book.settle(now);
+            book.dispatch_queued(now);
             (result, book.take_actions())
         };
         for action in actions {
@@ -194,7 +195,7 @@
     }
 
     fn tick(self: &Rc<Self>) {
-        self.with_book(SessionBook::tick);
+        self.with_book(SessionTable::tick);
         let ticks = self.ticks.get() + 1;
         self.ticks.set(ticks);
         if ticks.is_multiple_of(REFRESH_TICKS) {
@@ -290,9 +291,9 @@
                 info,
                 events::GENERATION_TAKEN_OVER,
                 generation = position.id,
-                is_found = !matches!(found, Found::Nowhere)
+                is_found = !matches!(found, SearchResult::NotFound)
             );
-            sessions.with_book(|book, now| book.found(now, position.id, found));
+            sessions.with_book(|book, now| book.search_finished(now, position.id, found));
         });
     }
 
@@ -311,7 +312,7 @@
         let sessions = Rc::clone(self);
         let agent = agent.clone();
         spawn_local(async move {
-            sessions.with_book(|book, now| book.life_ended(now, &agent));
+            sessions.with_book(|book, now| book.incarnation_ended(now, &agent));
         });
     }
 
@@ -350,7 +351,7 @@
             if let Some(ring) = self.links.borrow_mut().swap_remove(&agent) {
                 ring.close();
             }
-            self.with_book(|book, now| book.life_ended(now, &agent));
+            self.with_book(|book, now| book.incarnation_ended(now, &agent));
         }
     }
 
--- a/crates/masticsill_session/src/book.rs
+++ b/crates/masticsill_session/src/book.rs
@@ -19,9 +19,9 @@
 /// Delay after which a refused caller may retry, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Settings of a [`SessionBook`].
+/// Settings of a [`SessionTable`].
 #[derive(Clone, Debug)]
-pub struct BookConfig {
+pub struct SessionTableConfig {
     /// Maximum number of sessions.
     pub max_sessions: usize,
     /// The node id of this entry node.
@@ -33,7 +33,7 @@
     /// Seed of the router's random choices.
     pub seed: u64,
     /// How long a session may have no usable endpoint, in milliseconds.
-    pub waiting_ms: u64,
+    pub unserved_timeout_ms: u64,
 }
 
 /// A request for a generation.
@@ -64,30 +64,30 @@
 
 /// The result of a search for a generation's record.
 #[derive(Debug)]
-pub enum Found {
+pub enum SearchResult {
     /// An agent that runs the generation returned its record.
     AtAgent(NodeId, RecordSnapshot),
     /// Another entry node released its record; no agent is known to run the generation.
     AtEntry(RecordSnapshot),
     /// No node holds a record that contains the part of the answer that the caller received.
-    Nowhere,
+    NotFound,
 }
 
 /// All sessions of an entry node.
 #[derive(Debug)]
-pub struct SessionBook {
+pub struct SessionTable {
     pub(crate) actions: Vec<Action>,
-    pub(crate) config: BookConfig,
+    pub(crate) config: SessionTableConfig,
     pub(crate) endpoints: EndpointTable,
     pub(crate) router: Router,
     pub(crate) searches: IndexMap<GenerationId, (Position, Box<dyn AnswerSink>)>,
     pub(crate) sessions: IndexMap<GenerationId, Session>,
 }
 
-impl SessionBook {
+impl SessionTable {
     /// An empty table.
     #[must_use]
-    pub fn new(config: BookConfig) -> Self {
+    pub fn new(config: SessionTableConfig) -> Self {
         let router = Router::new(config.router.clone(), config.seed);
         Self {
             actions: Vec::new(),
@@ -107,7 +107,7 @@
 
     /// Replaces the endpoints by the current membership.
     ///
-    /// Returns the agents that left or have a new incarnation; [`SessionBook::life_ended`] must be
+    /// Returns the agents that left or have a new incarnation; [`SessionTable::incarnation_ended`] must be
     /// called for each.
     pub fn replace_endpoints(&mut self, members: IndexMap<NodeId, Endpoint>) -> Vec<NodeId> {
         self.endpoints.replace(members, &mut self.router)
@@ -120,7 +120,7 @@
     }
 
     /// Passes a load report, received with an agent's tokens, to the router.
-    pub fn report(&mut self, now: ClockMs, agent: &NodeId, load: LoadReport) {
+    pub fn record_load(&mut self, now: ClockMs, agent: &NodeId, load: LoadReport) {
         self.router.on_load_report(now, agent, load);
     }
 
@@ -175,7 +175,13 @@
 
     /// Handles the loss of the reply to a start. The attempt may be running, so the start is not
     /// sent again: the next attempt gets a new lineage.
-    pub fn start_lost(&mut self, now: ClockMs, agent: &NodeId, id: GenerationId, lineage: Lineage) {
+    pub fn start_reply_lost(
+        &mut self,
+        now: ClockMs,
+        agent: &NodeId,
+        id: GenerationId,
+        lineage: Lineage,
+    ) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -229,12 +235,12 @@
     /// to other agents.
     pub fn agent_lost(&mut self, now: ClockMs, agent: &NodeId) {
         self.router.set_down(agent, true);
-        self.life_ended(now, agent);
+        self.incarnation_ended(now, agent);
     }
 
     /// Moves all attempts away from an agent whose incarnation has ended. A new incarnation of the
     /// same agent may get them again.
-    pub fn life_ended(&mut self, now: ClockMs, agent: &NodeId) {
+    pub fn incarnation_ended(&mut self, now: ClockMs, agent: &NodeId) {
         let is_there = |session: &&Session| session.is_at(agent);
         let lost = self.sessions.values().filter(is_there);
         let ids: Vec<GenerationId> = lost.map(|session| session.record.id()).collect();
@@ -246,7 +252,7 @@
     }
 
     /// Marks an agent as reachable, so that it gets new work again.
-    pub fn agent_reached(&mut self, agent: &NodeId) {
+    pub fn agent_reachable(&mut self, agent: &NodeId) {
         self.router.set_down(agent, false);
     }
 
@@ -258,7 +264,7 @@
             self.deliver(now, id);
             self.expire(now, id);
         }
-        self.settle(now);
+        self.dispatch_queued(now);
     }
 
     pub(crate) fn cancel_at(&mut self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
--- a/crates/masticsill_session/src/lib.rs
+++ b/crates/masticsill_session/src/lib.rs
@@ -1,6 +1,6 @@
 //! The sessions of an entry node: generations, their callers and their attempts.
 //!
-//! Pure logic: no sockets, threads or wall clock. [`SessionBook`] is driven by requests, agents'
+//! Pure logic: no sockets, threads or wall clock. [`SessionTable`] is driven by requests, agents'
 //! answers and time, and returns [`Action`]s to be carried out by its owner. The answer to each
 //! caller is passed to an [`AnswerSink`]. The table's [`masticsill_routing::Router`] decides which
 //! endpoint gets which attempt, which attempts are queued and which are refused; plain calls use
@@ -15,7 +15,7 @@
 mod session;
 mod work;
 
-pub use book::{Action, BookConfig, Found, SessionBook, Submission};
+pub use book::{Action, SearchResult, SessionTable, SessionTableConfig, Submission};
 pub use caller::{AnswerSink, StreamItem};
 pub use endpoint::{Endpoint, EndpointTable};
 pub use position::{HolderHint, Position, PositionError};
--- a/crates/masticsill_session/src/placing.rs
+++ b/crates/masticsill_session/src/placing.rs
@@ -3,7 +3,7 @@
 use masticsill_routing::{Admit, BackEndTarget, Dequeued, WorkEnd, WorkOutcome, WorkRequest};
 use masticsill_types::{ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
 
-use crate::book::{Action, RETRY_AFTER_MS, SessionBook};
+use crate::book::{Action, RETRY_AFTER_MS, SessionTable};
 use crate::endpoint::EndpointTable;
 use crate::position::HolderHint;
 use crate::session::{Phase, Session};
@@ -15,10 +15,10 @@
 /// an endpoint is usable.
 const MAX_FAILURES: u32 = 4;
 
-impl SessionBook {
+impl SessionTable {
     /// Requests a slot for a plain call. The end of the wait of a queued call is reported by
     /// [`Action::CallPlaced`]; each call that got a slot must be ended by
-    /// [`SessionBook::end_call`].
+    /// [`SessionTable::end_call`].
     pub fn admit_call(&mut self, now: ClockMs, request: WorkRequest) -> Admit {
         self.router.admit(now, request)
     }
@@ -31,7 +31,7 @@
 
     /// Starts queued attempts and calls for which a slot is free, and refuses those whose wait is
     /// over. Must be called after each change.
-    pub fn settle(&mut self, now: ClockMs) {
+    pub fn dispatch_queued(&mut self, now: ClockMs) {
         while let Some(dequeued) = self.router.next_queued(now) {
             match dequeued {
                 Dequeued::Start(id, placement) => self.dequeue(now, id, Ok(placement.node)),
@@ -164,7 +164,9 @@
         if is_served && session.failures < MAX_FAILURES {
             // The timeout applies to one period without an endpoint, not to the whole wait.
             session.unserved_since = None;
-        } else if now - *session.unserved_since.get_or_insert(now) >= self.config.waiting_ms {
+        } else if now - *session.unserved_since.get_or_insert(now)
+            >= self.config.unserved_timeout_ms
+        {
             let refusal = explain_no_endpoint(&self.endpoints, session);
             self.refuse(now, id, refusal);
             return;
@@ -196,7 +198,7 @@
             return;
         };
         let unserved_since = *session.unserved_since.get_or_insert(now);
-        if now - unserved_since >= self.config.waiting_ms {
+        if now - unserved_since >= self.config.unserved_timeout_ms {
             let refusal = explain_no_endpoint(&self.endpoints, session);
             self.refuse(now, id, refusal);
         } else if now >= session.retry_at {
--- a/crates/masticsill_session/src/returning.rs
+++ b/crates/masticsill_session/src/returning.rs
@@ -5,13 +5,13 @@
 use masticsill_types::{AttemptState, ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
 use masticsill_wire::agent::{AttachReply, AttachRequest, PullCursor};
 
-use crate::book::{Action, Found, SessionBook, superseded};
+use crate::book::{Action, SearchResult, SessionTable, superseded};
 use crate::caller::{AnswerSink, Caller};
 use crate::position::{HolderHint, Position};
 use crate::session::{Phase, Session};
 use crate::work::describe_work;
 
-impl SessionBook {
+impl SessionTable {
     /// Resumes a generation for a caller that reconnected. If this entry node does not have the
     /// generation, a search for its record is started.
     pub fn reattach(&mut self, now: ClockMs, position: Position, sink: Box<dyn AnswerSink>) {
@@ -39,15 +39,15 @@
     }
 
     /// Handles the result of a search.
-    pub fn found(&mut self, now: ClockMs, id: GenerationId, found: Found) {
+    pub fn search_finished(&mut self, now: ClockMs, id: GenerationId, found: SearchResult) {
         let Some((position, sink)) = self.searches.swap_remove(&id) else {
             return;
         };
         let mut caller = Caller::new(sink, position.next_index);
         let (agent, snapshot) = match found {
-            Found::AtAgent(agent, snapshot) => (Some(agent), snapshot),
-            Found::AtEntry(snapshot) => (None, snapshot),
-            Found::Nowhere => {
+            SearchResult::AtAgent(agent, snapshot) => (Some(agent), snapshot),
+            SearchResult::AtEntry(snapshot) => (None, snapshot),
+            SearchResult::NotFound => {
                 caller.refuse(record_lost());
                 return;
             }
--- a/crates/masticsill_session/tests/sessions/admission.rs
+++ b/crates/masticsill_session/tests/sessions/admission.rs
@@ -31,7 +31,7 @@
     world.submit_spec(&sinks[1], numbered(2));
     assert_eq!(world.starts(), []);
     world.push(&first, 0, &[b"a"], STOPPED);
-    world.book.settle(world.now);
+    world.book.dispatch_queued(world.now);
     assert_eq!(world.starts(), [(node("a"), 2)]);
 }
 
@@ -50,10 +50,10 @@
     }
     world.submit_spec(&sinks[2], numbered(3));
     world.book.agent_lost(world.now, &started[0].0);
-    world.book.settle(world.now);
+    world.book.dispatch_queued(world.now);
     assert_eq!(world.starts(), [], "the only other slot is in use");
     world.push(&started[1], 1, &[b"b"], STOPPED);
-    world.book.settle(world.now);
+    world.book.dispatch_queued(world.now);
     assert_eq!(world.starts(), [(started[1].0.clone(), 1)]);
 }
 
@@ -158,7 +158,7 @@
     let other = started[1].0.clone();
     world.book.agent_lost(world.now, &other);
     world.pass(WAITING_MS / 2);
-    world.book.agent_reached(&other);
+    world.book.agent_reachable(&other);
     world.pass(WAITING_MS / 2);
     assert_eq!(sinks.map(|sink| sink.refusal()), [None, None]);
     assert_eq!(
--- a/crates/masticsill_session/tests/sessions/caller_return.rs
+++ b/crates/masticsill_session/tests/sessions/caller_return.rs
@@ -1,6 +1,6 @@
 //! Callers that disconnect, reconnect, or reconnect through another entry node.
 
-use masticsill_session::{Action, Found, HolderHint, Position};
+use masticsill_session::{Action, HolderHint, Position, SearchResult};
 use masticsill_types::{AttemptState, Lineage, RefusalKind, RefusedOutcome};
 use masticsill_wire::agent::{AttachReply, AttachRequest};
 
@@ -98,7 +98,7 @@
     assert_matches!(other.book.take_actions().as_slice(), [Action::Search(_)]);
     other
         .book
-        .found(other.now, position.id, Found::AtEntry(*snapshot));
+        .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
     let resumed = other.taken_start();
     assert_eq!(resumed.1.accepted.len(), 2);
     other.accept(&resumed);
@@ -117,7 +117,9 @@
     other
         .book
         .reattach(other.now, position, Box::new(again.clone()));
-    other.book.found(other.now, spec().id, Found::Nowhere);
+    other
+        .book
+        .search_finished(other.now, spec().id, SearchResult::NotFound);
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
     assert_eq!(again.refusal(), lost);
 }
@@ -187,7 +189,7 @@
     }
     other
         .book
-        .found(other.now, position.id, Found::AtEntry(*snapshot));
+        .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
     assert_eq!(
         sinks[1].refusal(),
--- a/crates/masticsill_session/tests/sessions/exact_resume.rs
+++ b/crates/masticsill_session/tests/sessions/exact_resume.rs
@@ -107,7 +107,9 @@
     let first = world.taken_start();
     let lineage = first.1.history[0].lineage;
     let id = first.1.spec.id;
-    world.book.start_lost(world.now, &first.0, id, lineage);
+    world
+        .book
+        .start_reply_lost(world.now, &first.0, id, lineage);
     let second = world.taken_start();
     let again = second.1.history.last().expect("a history").lineage;
     assert_ne!(again, lineage);
--- a/crates/masticsill_session/tests/sessions/support.rs
+++ b/crates/masticsill_session/tests/sessions/support.rs
@@ -8,7 +8,8 @@
     BackEndTarget, EndpointDescription, EntryPolicy, LocalLimits, RouterConfig,
 };
 use masticsill_session::{
-    Action, AnswerSink, BookConfig, Endpoint, Position, SessionBook, StreamItem, Submission,
+    Action, AnswerSink, Endpoint, Position, SessionTable, SessionTableConfig, StreamItem,
+    Submission,
 };
 use masticsill_types::{
     AttemptState, Class, ClockMs, EndpointKind, EntryId, GenerationId, GenerationSpec, Incarnation,
@@ -96,7 +97,7 @@
 
 /// A session table, by default with the agents `a` and `b`, and the current time.
 pub(crate) struct World {
-    pub(crate) book: SessionBook,
+    pub(crate) book: SessionTable,
     pub(crate) now: ClockMs,
 }
 
@@ -108,13 +109,13 @@
     }
 
     pub(crate) fn without_agents() -> Self {
-        let mut book = SessionBook::new(BookConfig {
+        let mut book = SessionTable::new(SessionTableConfig {
             max_sessions: 4,
             node: node("entry"),
             reattach_ms: REATTACH_MS,
             router: RouterConfig::in_zone(zone()),
             seed: 1,
-            waiting_ms: WAITING_MS,
+            unserved_timeout_ms: WAITING_MS,
         });
         let now = ClockMs(1_000);
         book.router_mut()
@@ -137,7 +138,7 @@
 
     fn replace_agents(&mut self, members: IndexMap<NodeId, Endpoint>) {
         for lost in self.book.replace_endpoints(members) {
-            self.book.life_ended(self.now, &lost);
+            self.book.incarnation_ended(self.now, &lost);
         }
     }
 
@@ -151,7 +152,7 @@
             spec,
         };
         self.book.submit(self.now, submission, 7);
-        self.book.settle(self.now);
+        self.book.dispatch_queued(self.now);
     }
 
     /// Takes the attempts started since the last call; other actions are dropped.
