--- a/crates/masticsill_session/src/caller.rs
+++ b/crates/masticsill_session/src/caller.rs
@@ -66,7 +66,7 @@
     assembler: Utf8Assembler,
     holder: HolderHint,
     is_ended: bool,
-    next_fed: TokenIndex,
+    next_unread: TokenIndex,
     pending: VecDeque<StreamItem>,
     sink: Box<dyn AnswerSink>,
 }
@@ -78,7 +78,7 @@
             assembler: Utf8Assembler::starting_at(next_index),
             holder: HolderHint::default(),
             is_ended: false,
-            next_fed: next_index,
+            next_unread: next_index,
             pending: VecDeque::new(),
             sink,
         }
@@ -89,7 +89,7 @@
     pub(crate) fn deliver(&mut self, record: &Record, holder: HolderHint) -> Delivery {
         if self.flush() == Delivery::Open && self.pending.is_empty() && !self.is_ended {
             self.holder = holder;
-            self.feed(record);
+            self.queue_new_items(record);
         }
         self.flush()
     }
@@ -120,10 +120,10 @@
         Delivery::Open
     }
 
-    fn feed(&mut self, record: &Record) {
+    fn queue_new_items(&mut self, record: &Record) {
         let mut text = String::new();
-        for token in record.tokens_from(self.next_fed) {
-            self.next_fed = self.next_fed.next();
+        for token in record.tokens_from(self.next_unread) {
+            self.next_unread = self.next_unread.next();
             if let Some(part) = self.assembler.push(&token.bytes) {
                 text.push_str(&part);
             }
--- a/crates/masticsill_session/src/endpoint.rs
+++ b/crates/masticsill_session/src/endpoint.rs
@@ -36,25 +36,25 @@
         members: IndexMap<NodeId, Endpoint>,
         router: &mut Router,
     ) -> Vec<NodeId> {
-        let former = std::mem::replace(&mut self.endpoints, members);
+        let previous = std::mem::replace(&mut self.endpoints, members);
         for (node, endpoint) in &self.endpoints {
-            let known = former.get(node).map(|known| &known.description);
+            let known = previous.get(node).map(|known| &known.description);
             if known != Some(&endpoint.description) {
                 router.on_member_change(node, Some(endpoint.description.clone()));
             }
         }
-        let mut lost = Vec::new();
-        for (node, known) in former {
+        let mut ended = Vec::new();
+        for (node, known) in previous {
             let current = self.endpoints.get(&node);
             if current.is_none() {
                 router.on_member_change(&node, None);
             }
-            let life = current.map(|endpoint| endpoint.description.incarnation);
-            if life != Some(known.description.incarnation) {
-                lost.push(node);
+            let incarnation = current.map(|endpoint| endpoint.description.incarnation);
+            if incarnation != Some(known.description.incarnation) {
+                ended.push(node);
             }
         }
-        lost
+        ended
     }
 
     /// Whether any endpoint in the table has the model loaded, whether it is reachable or not.
--- a/crates/masticsill_session/src/lib.rs
+++ b/crates/masticsill_session/src/lib.rs
@@ -6,16 +6,16 @@
 //! endpoint gets which attempt, which attempts are queued and which are refused; plain calls use
 //! the same router.
 
-mod book;
 mod caller;
 mod endpoint;
-mod placing;
+mod placement;
 mod position;
-mod returning;
+mod reconnect;
 mod session;
-mod work;
+mod session_table;
+mod work_request;
 
-pub use book::{Action, SearchResult, SessionTable, SessionTableConfig, Submission};
 pub use caller::{AnswerSink, StreamItem};
 pub use endpoint::{Endpoint, EndpointTable};
 pub use position::{HolderHint, Position, PositionError};
+pub use session_table::{Action, SearchResult, SessionTable, SessionTableConfig, Submission};
--- a/crates/masticsill_session/src/placing.rs
+++ b/crates/masticsill_session/src/placement.rs
@@ -3,17 +3,17 @@
 use masticsill_routing::{Admit, BackEndTarget, Dequeued, WorkEnd, WorkOutcome, WorkRequest};
 use masticsill_types::{ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
 
-use crate::book::{Action, RETRY_AFTER_MS, SessionTable};
 use crate::endpoint::EndpointTable;
 use crate::position::HolderHint;
 use crate::session::{Phase, Session};
-use crate::work::describe_work;
+use crate::session_table::{Action, RETRY_AFTER_MS, SessionTable};
+use crate::work_request::build_work_request;
 
 /// Time after which agents that failed the generation may be tried again, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 200;
 /// Number of consecutive attempts without a token after which the unserved timeout applies even if
 /// an endpoint is usable.
-const MAX_FAILURES: u32 = 4;
+const MAX_FAILURES_WITHOUT_TIMEOUT: u32 = 4;
 
 impl SessionTable {
     /// Requests a slot for a plain call. The end of the wait of a queued call is reported by
@@ -34,8 +34,8 @@
     pub fn dispatch_queued(&mut self, now: ClockMs) {
         while let Some(dequeued) = self.router.next_queued(now) {
             match dequeued {
-                Dequeued::Start(id, placement) => self.dequeue(now, id, Ok(placement.node)),
-                Dequeued::Refused(id, refusal) => self.dequeue(now, id, Err(refusal)),
+                Dequeued::Start(id, placement) => self.handle_dequeued(now, id, Ok(placement.node)),
+                Dequeued::Refused(id, refusal) => self.handle_dequeued(now, id, Err(refusal)),
             }
         }
     }
@@ -48,10 +48,10 @@
         session.phase = Phase::Waiting;
         session.retry_at = now + RETRY_INTERVAL_MS;
         session.is_parked = false;
-        match self.router.admit(now, describe_work(session)) {
+        match self.router.admit(now, build_work_request(session)) {
             Admit::Start(placement) => {
                 session.is_admitted = true;
-                self.start(id, placement.node);
+                self.start_attempt(id, placement.node);
             }
             Admit::Queued => session.is_admitted = true,
             Admit::Refused(refusal) => {
@@ -65,59 +65,59 @@
         }
     }
 
-    fn start(&mut self, id: GenerationId, agent: NodeId) {
+    fn start_attempt(&mut self, id: GenerationId, agent: NodeId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         let request = session.record.start_request(self.config.node.clone());
-        session.attempt_from = session.record.next_index();
+        session.attempt_first_index = session.record.next_index();
         session.phase = Phase::Starting(agent.clone());
         session.holder = HolderHint::from(&agent);
         self.actions.push(Action::Start(agent, Box::new(request)));
     }
 
-    fn dequeue(&mut self, now: ClockMs, id: GenerationId, placed: Result<NodeId, Refusal>) {
+    fn handle_dequeued(&mut self, now: ClockMs, id: GenerationId, placed: Result<NodeId, Refusal>) {
         if !self.sessions.contains_key(&id) {
             self.actions.push(Action::CallPlaced(id, placed));
             return;
         }
         match placed {
-            Ok(agent) => self.start(id, agent),
+            Ok(agent) => self.start_attempt(id, agent),
             Err(refusal) => self.refuse_unplaced(now, id, refusal),
         }
     }
 
     /// Cancels the attempt at the current agent and requests another agent for the next attempt.
-    pub(crate) fn move_on(&mut self, now: ClockMs, id: GenerationId, outcome: WorkOutcome) {
-        let Some(failed) = self.leave_agent(now, id, outcome) else {
+    pub(crate) fn fail_over(&mut self, now: ClockMs, id: GenerationId, outcome: WorkOutcome) {
+        let Some(failed) = self.cancel_attempt(now, id, outcome) else {
             return;
         };
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         session.failures += 1;
-        session.tried.insert(failed.clone());
-        session.failed_at = Some(failed);
+        session.tried_agents.insert(failed.clone());
+        session.last_failed_agent = Some(failed);
         session.record.begin_attempt();
         self.place(now, id);
     }
 
     /// Ends and cancels the attempt at the session's agent, if any, and returns that agent.
-    pub(crate) fn leave_agent(
+    pub(crate) fn cancel_attempt(
         &mut self,
         now: ClockMs,
         id: GenerationId,
         outcome: WorkOutcome,
     ) -> Option<NodeId> {
-        let agent = self.end_work(now, id, outcome)?;
+        let agent = self.release_slot(now, id, outcome)?;
         let lineage = self.sessions.get(&id)?.record.lineage();
-        self.cancel_at(&agent, id, lineage);
+        self.send_cancel(&agent, id, lineage);
         Some(agent)
     }
 
     /// Releases the session's slot at the router and returns its agent; a session that is queued is
     /// withdrawn from the queue.
-    pub(crate) fn end_work(
+    pub(crate) fn release_slot(
         &mut self,
         now: ClockMs,
         id: GenerationId,
@@ -150,18 +150,18 @@
 
     /// Refuses a waiting session once it has been unserved for too long: no endpoint is usable, or
     /// its attempts keep failing. The router itself limits the wait for a free slot.
-    pub(crate) fn go_on_waiting(&mut self, now: ClockMs, id: GenerationId) {
+    pub(crate) fn check_wait(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         if session.is_parked {
-            self.look_again(now, id);
+            self.retry_parked(now, id);
             return;
         }
         let spec = session.record.spec();
         let target = BackEndTarget::Engine(spec.target.clone());
-        let is_served = self.router.can_serve(now, &spec.catalogue_entry, &target);
-        if is_served && session.failures < MAX_FAILURES {
+        let is_servable = self.router.can_serve(now, &spec.catalogue_entry, &target);
+        if is_servable && session.failures < MAX_FAILURES_WITHOUT_TIMEOUT {
             // The timeout applies to one period without an endpoint, not to the whole wait.
             session.unserved_since = None;
         } else if now - *session.unserved_since.get_or_insert(now)
@@ -171,16 +171,16 @@
             self.refuse(now, id, refusal);
             return;
         }
-        let may_try_again = session.is_dispatched && !session.tried.is_empty();
+        let may_try_again = session.is_dispatched && !session.tried_agents.is_empty();
         if may_try_again && now >= session.retry_at {
-            session.tried.clear();
+            session.tried_agents.clear();
             self.router.withdraw(id);
             self.place(now, id);
         }
     }
 
     /// Starts the unserved timeout of waiting sessions that have no usable endpoint.
-    pub(crate) fn note_unserved(&mut self, now: ClockMs) {
+    pub(crate) fn start_unserved_timeouts(&mut self, now: ClockMs) {
         for session in self.sessions.values_mut() {
             let spec = session.record.spec();
             let target = BackEndTarget::Engine(spec.target.clone());
@@ -193,7 +193,7 @@
 
     /// Retries the placement of a parked session, or refuses the session after the unserved
     /// timeout.
-    fn look_again(&mut self, now: ClockMs, id: GenerationId) {
+    fn retry_parked(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -202,7 +202,7 @@
             let refusal = explain_no_endpoint(&self.endpoints, session);
             self.refuse(now, id, refusal);
         } else if now >= session.retry_at {
-            session.tried.clear();
+            session.tried_agents.clear();
             self.place(now, id);
         }
     }
@@ -213,7 +213,7 @@
     let detail = format!("no endpoint can run {} {}", target.model, target.version);
     let refusal = if !session.is_dispatched {
         Refusal::not_run(RefusalKind::NoEndpoint, detail)
-    } else if session.is_untouched() || endpoints.has_model(target) {
+    } else if session.has_no_tokens() || endpoints.has_model(target) {
         Refusal::failed(RefusalKind::BackEndFailed, detail)
     } else {
         Refusal::failed(RefusalKind::VersionGone, detail)
--- a/crates/masticsill_session/src/returning.rs
+++ b/crates/masticsill_session/src/reconnect.rs
@@ -5,11 +5,11 @@
 use masticsill_types::{AttemptState, ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
 use masticsill_wire::agent::{AttachReply, AttachRequest, PullCursor};
 
-use crate::book::{Action, SearchResult, SessionTable, superseded};
 use crate::caller::{AnswerSink, Caller};
 use crate::position::{HolderHint, Position};
 use crate::session::{Phase, Session};
-use crate::work::describe_work;
+use crate::session_table::{Action, SearchResult, SessionTable, superseded};
+use crate::work_request::build_work_request;
 
 impl SessionTable {
     /// Resumes a generation for a caller that reconnected. If this entry node does not have the
@@ -31,10 +31,10 @@
             caller.refuse(refusal);
             return;
         }
-        if let Some(mut former) = session.caller.replace(caller) {
-            former.refuse(superseded());
+        if let Some(mut previous) = session.caller.replace(caller) {
+            previous.refuse(superseded());
         }
-        session.since = now;
+        session.last_activity_at = now;
         self.deliver(now, position.id);
     }
 
@@ -81,7 +81,7 @@
             caller.refuse(superseded());
         }
         // The attempt is not cancelled, because the new owner may continue it.
-        if let Some(agent) = self.end_work(now, request.id, WorkOutcome::Cancelled) {
+        if let Some(agent) = self.release_slot(now, request.id, WorkOutcome::Cancelled) {
             self.actions.push(Action::Unfollow(agent, request.id));
         }
         self.sessions.swap_remove(&request.id);
@@ -89,8 +89,8 @@
     }
 
     fn search(&mut self, position: Position, sink: Box<dyn AnswerSink>) {
-        let former = self.searches.insert(position.id, (position, sink));
-        match former {
+        let previous = self.searches.insert(position.id, (position, sink));
+        match previous {
             Some((seen, sink)) => Caller::new(sink, seen.next_index).refuse(superseded()),
             None => self.actions.push(Action::Search(position)),
         }
@@ -110,7 +110,7 @@
                 };
                 session.holder = HolderHint::from(&agent);
                 session.phase = Phase::Following(agent.clone());
-                let request = describe_work(session);
+                let request = build_work_request(session);
                 self.router.adopt(now, &request, &agent);
                 self.actions.push(Action::Follow(agent, cursor));
                 self.deliver(now, id);
--- a/crates/masticsill_session/src/session.rs
+++ b/crates/masticsill_session/src/session.rs
@@ -26,13 +26,13 @@
 #[derive(Debug)]
 pub(crate) struct Session {
     /// Index of the current attempt's first token.
-    pub(crate) attempt_from: TokenIndex,
+    pub(crate) attempt_first_index: TokenIndex,
     /// The caller, while it is connected.
     pub(crate) caller: Option<Caller>,
     /// Number of attempts that failed since the last token.
     pub(crate) failures: u32,
     /// The agent at which the last attempt failed.
-    pub(crate) failed_at: Option<NodeId>,
+    pub(crate) last_failed_agent: Option<NodeId>,
     /// Whether the router has admitted the session, and so has counted it against the limits.
     pub(crate) is_admitted: bool,
     /// The agent that ran the latest attempt.
@@ -51,9 +51,9 @@
     /// When a waiting session may use the agents tried before again.
     pub(crate) retry_at: ClockMs,
     /// When the caller last connected or disconnected, or the generation ended.
-    pub(crate) since: ClockMs,
+    pub(crate) last_activity_at: ClockMs,
     /// Agents tried since the last token.
-    pub(crate) tried: IndexSet<NodeId>,
+    pub(crate) tried_agents: IndexSet<NodeId>,
     /// Since when the session has had no usable endpoint or its attempts have kept failing; `None`
     /// otherwise.
     pub(crate) unserved_since: Option<ClockMs>,
@@ -63,9 +63,9 @@
     /// A session that waits for its first endpoint at this entry node.
     pub(crate) fn new(record: Record, caller: Caller, now: ClockMs) -> Self {
         Self {
-            attempt_from: record.next_index(),
+            attempt_first_index: record.next_index(),
             caller: Some(caller),
-            failed_at: None,
+            last_failed_agent: None,
             failures: 0,
             holder: HolderHint::default(),
             is_admitted: false,
@@ -75,8 +75,8 @@
             record,
             refusal: None,
             retry_at: now,
-            since: now,
-            tried: IndexSet::new(),
+            last_activity_at: now,
+            tried_agents: IndexSet::new(),
             unserved_since: None,
         }
     }
@@ -96,7 +96,7 @@
 
     /// Which kind of work the next attempt is to the router: new, a retry or a resumption.
     pub(crate) fn work_kind(&self) -> WorkKind {
-        match &self.failed_at {
+        match &self.last_failed_agent {
             _ if self.is_dispatched => WorkKind::Resume,
             Some(failed) if self.is_admitted => WorkKind::Retry {
                 failed: failed.clone(),
@@ -113,11 +113,11 @@
 
     /// Number of tokens that the current attempt has produced.
     pub(crate) fn attempt_tokens(&self) -> u32 {
-        self.record.next_index().0 - self.attempt_from.0
+        self.record.next_index().0 - self.attempt_first_index.0
     }
 
     /// Whether no token was ever accepted.
-    pub(crate) fn is_untouched(&self) -> bool {
+    pub(crate) fn has_no_tokens(&self) -> bool {
         self.record.tokens().is_empty()
     }
 }
--- a/crates/masticsill_session/src/book.rs
+++ b/crates/masticsill_session/src/session_table.rs
@@ -155,12 +155,12 @@
         reply: &StartReply,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else {
-            self.cancel_at(agent, id, lineage);
+            self.send_cancel(agent, id, lineage);
             return;
         };
         let is_awaited = session.phase == Phase::Starting(agent.clone());
         if !is_awaited || session.record.lineage() != lineage {
-            self.cancel_at(agent, id, lineage);
+            self.send_cancel(agent, id, lineage);
             return;
         }
         match reply {
@@ -169,7 +169,7 @@
                 session.phase = Phase::Following(agent.clone());
             }
             StartReply::Fenced(_) => self.refuse(now, id, superseded()),
-            StartReply::Refused(_) => self.move_on(now, id, WorkOutcome::Failed),
+            StartReply::Refused(_) => self.fail_over(now, id, WorkOutcome::Failed),
         }
     }
 
@@ -188,44 +188,45 @@
         let is_awaited = session.phase == Phase::Starting(agent.clone());
         if is_awaited && session.record.lineage() == lineage {
             session.is_dispatched = true;
-            self.move_on(now, id, WorkOutcome::Failed);
+            self.fail_over(now, id, WorkOutcome::Failed);
         }
     }
 
     /// Handles new tokens and the state of an attempt, as pulled from its agent.
-    pub fn progress(&mut self, now: ClockMs, agent: &NodeId, news: Progress) {
-        let Some(session) = self.sessions.get_mut(&news.id) else {
+    pub fn progress(&mut self, now: ClockMs, agent: &NodeId, update: Progress) {
+        let Some(session) = self.sessions.get_mut(&update.id) else {
             return;
         };
-        if !session.is_at(agent) || session.record.lineage() != news.lineage {
+        if !session.is_at(agent) || session.record.lineage() != update.lineage {
             return;
         }
-        let id = news.id;
-        let end_index = news.first_index.0 + u32::try_from(news.tokens.len()).unwrap_or(u32::MAX);
+        let id = update.id;
+        let end_index =
+            update.first_index.0 + u32::try_from(update.tokens.len()).unwrap_or(u32::MAX);
         let taken = session
             .record
-            .take(news.lineage, news.first_index, news.tokens);
+            .take(update.lineage, update.first_index, update.tokens);
         if taken.accepted > 0 {
             session.failures = 0;
-            session.tried.clear();
+            session.tried_agents.clear();
             session.unserved_since = None;
         }
-        match news.state {
+        match update.state {
             ProgressState::Attempt(AttemptState::Running) => self.deliver(now, id),
             ProgressState::Attempt(AttemptState::Finished(reason)) => {
                 let end = AttemptState::Finished(reason);
                 let end_index = TokenIndex(end_index);
-                if session.record.conclude(news.lineage, end_index, end) {
+                if session.record.conclude(update.lineage, end_index, end) {
                     self.finish(now, id);
                 }
             }
             ProgressState::Attempt(AttemptState::Failed(failure)) => {
                 self.deliver(now, id);
-                self.move_on(now, id, outcome_of(failure));
+                self.fail_over(now, id, outcome_of_failure(failure));
             }
             ProgressState::Unknown => {
                 self.deliver(now, id);
-                self.move_on(now, id, WorkOutcome::Failed);
+                self.fail_over(now, id, WorkOutcome::Failed);
             }
             ProgressState::Fenced(_) => self.refuse(now, id, superseded()),
         }
@@ -241,14 +242,14 @@
     /// Moves all attempts away from an agent whose incarnation has ended. A new incarnation of the
     /// same agent may get them again.
     pub fn incarnation_ended(&mut self, now: ClockMs, agent: &NodeId) {
-        let is_there = |session: &&Session| session.is_at(agent);
-        let lost = self.sessions.values().filter(is_there);
+        let is_at_agent = |session: &&Session| session.is_at(agent);
+        let lost = self.sessions.values().filter(is_at_agent);
         let ids: Vec<GenerationId> = lost.map(|session| session.record.id()).collect();
         for id in ids {
-            self.note_dispatched(id);
-            self.move_on(now, id, WorkOutcome::Failed);
+            self.record_dispatched(id);
+            self.fail_over(now, id, WorkOutcome::Failed);
         }
-        self.note_unserved(now);
+        self.start_unserved_timeouts(now);
     }
 
     /// Marks an agent as reachable, so that it gets new work again.
@@ -262,12 +263,12 @@
         let ids: Vec<GenerationId> = self.sessions.keys().copied().collect();
         for id in ids {
             self.deliver(now, id);
-            self.expire(now, id);
+            self.expire_session(now, id);
         }
         self.dispatch_queued(now);
     }
 
-    pub(crate) fn cancel_at(&mut self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
+    pub(crate) fn send_cancel(&mut self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
         let request = CancelRequest { id, lineage };
         self.actions.push(Action::Cancel(agent.clone(), request));
     }
@@ -283,7 +284,7 @@
             Delivery::Open => {}
             Delivery::Complete | Delivery::Gone => {
                 session.caller = None;
-                session.since = now;
+                session.last_activity_at = now;
             }
         }
     }
@@ -298,46 +299,46 @@
         };
         self.router.on_finished(now, id, end);
         session.phase = Phase::Ended;
-        session.since = now;
+        session.last_activity_at = now;
         self.deliver(now, id);
     }
 
     pub(crate) fn refuse(&mut self, now: ClockMs, id: GenerationId, refusal: Refusal) {
-        self.leave_agent(now, id, WorkOutcome::Cancelled);
+        self.cancel_attempt(now, id, WorkOutcome::Cancelled);
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         session.phase = Phase::Ended;
-        session.since = now;
+        session.last_activity_at = now;
         if let Some(caller) = &mut session.caller {
             caller.refuse(refusal.clone());
         }
         session.refusal = Some(refusal);
     }
 
-    fn expire(&mut self, now: ClockMs, id: GenerationId) {
+    fn expire_session(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        if session.caller.is_none() && now - session.since >= self.config.reattach_ms {
-            self.leave_agent(now, id, WorkOutcome::Cancelled);
+        if session.caller.is_none() && now - session.last_activity_at >= self.config.reattach_ms {
+            self.cancel_attempt(now, id, WorkOutcome::Cancelled);
             self.sessions.swap_remove(&id);
             return;
         }
         if session.phase == Phase::Waiting {
-            self.go_on_waiting(now, id);
+            self.check_wait(now, id);
         }
     }
 
     /// Records that an attempt may have reached its engine.
-    fn note_dispatched(&mut self, id: GenerationId) {
+    fn record_dispatched(&mut self, id: GenerationId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.is_dispatched = true;
         }
     }
 }
 
-fn outcome_of(failure: AttemptFailure) -> WorkOutcome {
+fn outcome_of_failure(failure: AttemptFailure) -> WorkOutcome {
     match failure {
         AttemptFailure::Leaving | AttemptFailure::Cancelled => WorkOutcome::Cancelled,
         AttemptFailure::EngineLost
--- a/crates/masticsill_session/tests/sessions/admission.rs
+++ b/crates/masticsill_session/tests/sessions/admission.rs
@@ -6,12 +6,12 @@
 };
 use masticsill_wire::agent::StartReply;
 
-use crate::support::{FakeSink, WAITING_MS, World, node, spec};
+use crate::support::{FakeSink, Fixture, UNSERVED_TIMEOUT_MS, node, spec};
 
 const STOPPED: AttemptState = AttemptState::Finished(FinishReason::Stop);
 const RUNNING: AttemptState = AttemptState::Running;
 /// Longer than any wait in the router's queue.
-const EXPIRY_MS: u64 = 70_000;
+const BEYOND_QUEUE_TIMEOUT_MS: u64 = 70_000;
 
 fn numbered(number: u128) -> GenerationSpec {
     GenerationSpec {
@@ -22,58 +22,58 @@
 
 #[test]
 fn the_next_in_the_queue_starts_when_a_slot_is_free() {
-    let mut world = World::without_agents();
-    world.set_agents(&["a"], 1);
+    let mut fixture = Fixture::without_agents();
+    fixture.set_agents(&["a"], 1);
     let sinks = [FakeSink::new(10), FakeSink::new(10)];
-    world.submit_spec(&sinks[0], numbered(1));
-    let first = world.taken_start();
-    world.accept(&first);
-    world.submit_spec(&sinks[1], numbered(2));
-    assert_eq!(world.starts(), []);
-    world.push(&first, 0, &[b"a"], STOPPED);
-    world.book.dispatch_queued(world.now);
-    assert_eq!(world.starts(), [(node("a"), 2)]);
+    fixture.submit_spec(&sinks[0], numbered(1));
+    let first = fixture.take_start();
+    fixture.accept(&first);
+    fixture.submit_spec(&sinks[1], numbered(2));
+    assert_eq!(fixture.take_starts(), []);
+    fixture.push_progress(&first, 0, &[b"a"], STOPPED);
+    fixture.book.dispatch_queued(fixture.now);
+    assert_eq!(fixture.take_starts(), [(node("a"), 2)]);
 }
 
 #[test]
-fn a_broken_generation_goes_before_new_work() {
-    let mut world = World::without_agents();
-    world.set_agents(&["a", "b"], 1);
+fn interrupted_generation_resumes_before_new_work() {
+    let mut fixture = Fixture::without_agents();
+    fixture.set_agents(&["a", "b"], 1);
     let sinks: Vec<FakeSink> = (0..3).map(|_| FakeSink::new(10)).collect();
     let mut started = Vec::new();
     for (number, sink) in (1..).zip(&sinks[..2]) {
-        world.submit_spec(sink, numbered(number));
-        let start = world.taken_start();
-        world.accept(&start);
-        world.push(&start, 0, &[b"a"], RUNNING);
+        fixture.submit_spec(sink, numbered(number));
+        let start = fixture.take_start();
+        fixture.accept(&start);
+        fixture.push_progress(&start, 0, &[b"a"], RUNNING);
         started.push(start);
     }
-    world.submit_spec(&sinks[2], numbered(3));
-    world.book.agent_lost(world.now, &started[0].0);
-    world.book.dispatch_queued(world.now);
-    assert_eq!(world.starts(), [], "the only other slot is in use");
-    world.push(&started[1], 1, &[b"b"], STOPPED);
-    world.book.dispatch_queued(world.now);
-    assert_eq!(world.starts(), [(started[1].0.clone(), 1)]);
+    fixture.submit_spec(&sinks[2], numbered(3));
+    fixture.book.agent_lost(fixture.now, &started[0].0);
+    fixture.book.dispatch_queued(fixture.now);
+    assert_eq!(fixture.take_starts(), [], "the only other slot is in use");
+    fixture.push_progress(&started[1], 1, &[b"b"], STOPPED);
+    fixture.book.dispatch_queued(fixture.now);
+    assert_eq!(fixture.take_starts(), [(started[1].0.clone(), 1)]);
 }
 
 #[test]
-fn a_wait_that_is_over_is_told_truly() {
-    let mut world = World::without_agents();
-    world.set_agents(&["a", "b"], 1);
+fn refusal_after_a_wait_says_whether_the_generation_may_have_run() {
+    let mut fixture = Fixture::without_agents();
+    fixture.set_agents(&["a", "b"], 1);
     let sinks: Vec<FakeSink> = (0..3).map(|_| FakeSink::new(10)).collect();
     let mut started = Vec::new();
     for (number, sink) in (1..).zip(&sinks[..2]) {
-        world.submit_spec(sink, numbered(number));
-        let start = world.taken_start();
-        world.accept(&start);
+        fixture.submit_spec(sink, numbered(number));
+        let start = fixture.take_start();
+        fixture.accept(&start);
         started.push(start);
     }
-    world.submit_spec(&sinks[2], numbered(3));
-    world.book.agent_lost(world.now, &started[0].0);
+    fixture.submit_spec(&sinks[2], numbered(3));
+    fixture.book.agent_lost(fixture.now, &started[0].0);
     // The first tick makes the agents that were tried before available again.
-    world.pass(WAITING_MS / 2);
-    world.pass(EXPIRY_MS);
+    fixture.advance(UNSERVED_TIMEOUT_MS / 2);
+    fixture.advance(BEYOND_QUEUE_TIMEOUT_MS);
     let failed = Some((RefusedOutcome::Failed, RefusalKind::BackEndFailed));
     assert_eq!(sinks[0].refusal(), failed, "its attempt may have run");
     assert_eq!(sinks[1].refusal(), None);
@@ -82,87 +82,87 @@
 }
 
 #[test]
-fn without_an_endpoint_a_lookup_is_refused_at_once_and_a_draft_waits_a_while() {
+fn without_an_endpoint_a_lookup_is_refused_at_once_and_a_draft_after_a_wait() {
     let not_run = Some((RefusedOutcome::NotRun, RefusalKind::NoEndpoint));
     let cases = [(Class::InstantLookup, not_run), (Class::PatientDraft, None)];
     for (class, at_once) in cases {
-        let mut world = World::without_agents();
+        let mut fixture = Fixture::without_agents();
         let sink = FakeSink::new(10);
-        world.submit_spec(&sink, GenerationSpec { class, ..spec() });
+        fixture.submit_spec(&sink, GenerationSpec { class, ..spec() });
         assert_eq!(sink.refusal(), at_once);
-        world.pass(WAITING_MS);
+        fixture.advance(UNSERVED_TIMEOUT_MS);
         assert_eq!(sink.refusal(), not_run);
     }
 }
 
 #[test]
-fn a_waiting_draft_takes_the_first_endpoint_that_comes() {
-    let mut world = World::without_agents();
+fn waiting_draft_starts_at_the_first_endpoint_that_joins() {
+    let mut fixture = Fixture::without_agents();
     let sink = FakeSink::new(10);
-    world.submit(&sink);
-    world.set_agents(&["a"], 4);
-    world.pass(WAITING_MS / 2);
-    assert_eq!(world.starts(), [(node("a"), spec().id.0)]);
+    fixture.submit(&sink);
+    fixture.set_agents(&["a"], 4);
+    fixture.advance(UNSERVED_TIMEOUT_MS / 2);
+    assert_eq!(fixture.take_starts(), [(node("a"), spec().id.0)]);
 }
 
 #[test]
 fn a_restarted_agent_is_used_again() {
-    let mut world = World::without_agents();
-    world.set_agents(&["a"], 4);
+    let mut fixture = Fixture::without_agents();
+    fixture.set_agents(&["a"], 4);
     let sink = FakeSink::new(10);
-    world.submit(&sink);
-    let first = world.taken_start();
-    world.accept(&first);
-    world.push(&first, 0, &[b"a"], RUNNING);
-    world.restart_agent("a", 4);
-    world.pass(WAITING_MS / 2);
-    let again = world.taken_start();
-    assert_eq!((&again.0, again.1.accepted.len()), (&first.0, 1));
+    fixture.submit(&sink);
+    let first = fixture.take_start();
+    fixture.accept(&first);
+    fixture.push_progress(&first, 0, &[b"a"], RUNNING);
+    fixture.restart_agent("a", 4);
+    fixture.advance(UNSERVED_TIMEOUT_MS / 2);
+    let restarted = fixture.take_start();
+    assert_eq!((&restarted.0, restarted.1.accepted.len()), (&first.0, 1));
 }
 
 #[test]
-fn endpoints_that_keep_refusing_use_up_the_retries() {
-    let mut world = World::new();
+fn attempts_at_endpoints_that_keep_refusing_are_bounded() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(10);
-    world.submit(&sink);
+    fixture.submit(&sink);
     let busy = Refusal::not_run(RefusalKind::Overloaded, "no room");
     let mut attempts = 0;
     while sink.refusal().is_none() {
-        for started in world.started() {
+        for started in fixture.take_started() {
             attempts += 1;
-            world.reply(&started, &StartReply::Refused(busy.clone()));
+            fixture.reply(&started, &StartReply::Refused(busy.clone()));
         }
-        world.pass(100);
+        fixture.advance(100);
     }
     let not_run = RefusedOutcome::NotRun;
-    assert_eq!(sink.refusal().map(|told| told.0), Some(not_run));
+    assert_eq!(sink.refusal().map(|refused| refused.0), Some(not_run));
     assert!(attempts <= 12, "{attempts} attempts");
 }
 
 #[test]
-fn a_short_gap_in_a_long_wait_ends_nothing() {
-    let mut world = World::without_agents();
-    world.set_agents(&["a", "b"], 1);
+fn short_period_without_an_endpoint_does_not_end_a_long_wait() {
+    let mut fixture = Fixture::without_agents();
+    fixture.set_agents(&["a", "b"], 1);
     let sinks = [FakeSink::new(10), FakeSink::new(10)];
     let mut started = Vec::new();
     for (number, sink) in (1..).zip(&sinks) {
-        world.submit_spec(sink, numbered(number));
-        let start = world.taken_start();
-        world.accept(&start);
+        fixture.submit_spec(sink, numbered(number));
+        let start = fixture.take_start();
+        fixture.accept(&start);
         started.push(start);
     }
-    world.book.agent_lost(world.now, &started[0].0);
+    fixture.book.agent_lost(fixture.now, &started[0].0);
     for _ in 0..4 {
-        world.pass(WAITING_MS / 2);
+        fixture.advance(UNSERVED_TIMEOUT_MS / 2);
     }
     let other = started[1].0.clone();
-    world.book.agent_lost(world.now, &other);
-    world.pass(WAITING_MS / 2);
-    world.book.agent_reachable(&other);
-    world.pass(WAITING_MS / 2);
+    fixture.book.agent_lost(fixture.now, &other);
+    fixture.advance(UNSERVED_TIMEOUT_MS / 2);
+    fixture.book.agent_reachable(&other);
+    fixture.advance(UNSERVED_TIMEOUT_MS / 2);
     assert_eq!(sinks.map(|sink| sink.refusal()), [None, None]);
     assert_eq!(
-        world.starts().len(),
+        fixture.take_starts().len(),
         1,
         "expected one start in the slot that is reachable again"
     );
--- a/crates/masticsill_session/tests/sessions/caller_return.rs
+++ b/crates/masticsill_session/tests/sessions/caller_return.rs
@@ -6,20 +6,20 @@
 
 use assert_matches::assert_matches;
 
-use crate::support::{FakeSink, REATTACH_MS, WAITING_MS, World, node, spec};
+use crate::support::{FakeSink, Fixture, REATTACH_MS, UNSERVED_TIMEOUT_MS, node, spec};
 
 const RUNNING: AttemptState = AttemptState::Running;
 
-fn follow_two_tokens(world: &mut World, sink: &FakeSink) -> crate::support::Started {
-    world.submit(sink);
-    let started = world.taken_start();
-    world.accept(&started);
-    world.push(&started, 0, &[b"a", b"b"], RUNNING);
+fn follow_two_tokens(fixture: &mut Fixture, sink: &FakeSink) -> crate::support::Started {
+    fixture.submit(sink);
+    let started = fixture.take_start();
+    fixture.accept(&started);
+    fixture.push_progress(&started, 0, &[b"a", b"b"], RUNNING);
     started
 }
 
 /// The request of another entry node to which the caller reconnects at a position.
-fn ask_for(position: Position, nonce: u32) -> AttachRequest {
+fn attach_request(position: Position, nonce: u32) -> AttachRequest {
     AttachRequest {
         entry: node("other"),
         id: position.id,
@@ -30,139 +30,142 @@
 }
 
 #[test]
-fn a_returning_caller_gets_the_rest_and_the_old_connection_is_superseded() {
-    let mut world = World::new();
+fn reconnecting_caller_gets_the_rest_and_the_old_connection_is_superseded() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    let started = follow_two_tokens(&mut world, &sink);
-    let again = FakeSink::new(100);
-    world
+    let started = follow_two_tokens(&mut fixture, &sink);
+    let returned = FakeSink::new(100);
+    fixture
         .book
-        .reattach(world.now, sink.position(), Box::new(again.clone()));
-    world.push(&started, 2, &[b"c"], RUNNING);
-    assert_eq!(again.text(), "c");
+        .reattach(fixture.now, sink.position(), Box::new(returned.clone()));
+    fixture.push_progress(&started, 2, &[b"c"], RUNNING);
+    assert_eq!(returned.text(), "c");
     let superseded = Some((RefusedOutcome::Failed, RefusalKind::Superseded));
     assert_eq!(sink.refusal(), superseded);
 }
 
 #[test]
-fn a_position_of_another_branch_is_refused() {
-    let mut world = World::new();
+fn position_with_an_unknown_lineage_is_refused() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let mut position = sink.position();
     position.lineage = Lineage::first(999);
-    let again = FakeSink::new(100);
-    world
+    let returned = FakeSink::new(100);
+    fixture
         .book
-        .reattach(world.now, position, Box::new(again.clone()));
+        .reattach(fixture.now, position, Box::new(returned.clone()));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
-    assert_eq!(again.refusal(), lost);
+    assert_eq!(returned.refusal(), lost);
 }
 
 #[test]
-fn a_generation_without_its_caller_is_cancelled_after_a_while() {
-    let mut world = World::new();
+fn generation_is_cancelled_when_its_caller_does_not_reconnect_in_time() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     sink.close();
-    world.pass(20);
-    world.pass(REATTACH_MS / 2);
-    assert_eq!(world.book.take_actions(), []);
-    world.pass(REATTACH_MS);
-    assert_matches!(world.book.take_actions().as_slice(), [Action::Cancel(_, _)]);
+    fixture.advance(20);
+    fixture.advance(REATTACH_MS / 2);
+    assert_eq!(fixture.book.take_actions(), []);
+    fixture.advance(REATTACH_MS);
+    assert_matches!(
+        fixture.book.take_actions().as_slice(),
+        [Action::Cancel(_, _)]
+    );
 }
 
 #[test]
 fn a_released_generation_is_owned_by_one_entry_only() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    let started = follow_two_tokens(&mut world, &sink);
+    let started = follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let request = ask_for(position, 8);
-    let reply = world.book.release(world.now, &request);
-    world.push(&started, 2, &[b"c"], RUNNING);
+    let request = attach_request(position, 8);
+    let reply = fixture.book.release(fixture.now, &request);
+    fixture.push_progress(&started, 2, &[b"c"], RUNNING);
     assert_eq!(sink.text(), "ab", "nothing is delivered after the release");
     assert_matches!(
-        world.book.release(world.now, &request),
+        fixture.book.release(fixture.now, &request),
         AttachReply::Unknown
     );
 
     let AttachReply::Attached(snapshot) = reply else {
         panic!("expected the record to be released");
     };
-    let mut other = World::new();
-    let again = FakeSink::new(100);
+    let mut other = Fixture::new();
+    let returned = FakeSink::new(100);
     other
         .book
-        .reattach(other.now, position, Box::new(again.clone()));
+        .reattach(other.now, position, Box::new(returned.clone()));
     assert_matches!(other.book.take_actions().as_slice(), [Action::Search(_)]);
     other
         .book
         .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
-    let resumed = other.taken_start();
+    let resumed = other.take_start();
     assert_eq!(resumed.1.accepted.len(), 2);
     other.accept(&resumed);
-    other.push(&resumed, 2, &[b"c"], RUNNING);
-    assert_eq!(again.text(), "c");
+    other.push_progress(&resumed, 2, &[b"c"], RUNNING);
+    assert_eq!(returned.text(), "c");
 }
 
 #[test]
-fn a_record_that_nobody_holds_is_told_at_once() {
-    let mut world = World::new();
+fn caller_is_refused_at_once_if_no_node_holds_the_record() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let mut other = World::new();
-    let again = FakeSink::new(100);
+    let mut other = Fixture::new();
+    let returned = FakeSink::new(100);
     other
         .book
-        .reattach(other.now, position, Box::new(again.clone()));
+        .reattach(other.now, position, Box::new(returned.clone()));
     other
         .book
         .search_finished(other.now, spec().id, SearchResult::NotFound);
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
-    assert_eq!(again.refusal(), lost);
+    assert_eq!(returned.refusal(), lost);
 }
 
 #[test]
-fn a_caller_that_returns_after_a_refusal_is_refused_again_at_once() {
-    let mut world = World::new();
+fn caller_that_reconnects_after_a_refusal_is_refused_again_at_once() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     for agent in ["a", "b"] {
-        world.book.agent_lost(world.now, &node(agent));
+        fixture.book.agent_lost(fixture.now, &node(agent));
     }
-    world.pass(WAITING_MS);
+    fixture.advance(UNSERVED_TIMEOUT_MS);
     let refusal = sink.refusal();
     assert_matches!(refusal, Some((RefusedOutcome::Failed, _)));
-    let again = FakeSink::new(100);
-    world
+    let returned = FakeSink::new(100);
+    fixture
         .book
-        .reattach(world.now, position, Box::new(again.clone()));
-    assert_eq!(again.refusal(), refusal);
+        .reattach(fixture.now, position, Box::new(returned.clone()));
+    assert_eq!(returned.refusal(), refusal);
 }
 
 #[test]
-fn a_release_does_not_end_the_attempt_that_its_new_owner_goes_on_with() {
-    let mut world = World::new();
+fn release_does_not_cancel_the_attempt_that_the_new_owner_continues() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let request = ask_for(position, u32::MAX);
+    let request = attach_request(position, u32::MAX);
     assert_matches!(
-        world.book.release(world.now, &request),
+        fixture.book.release(fixture.now, &request),
         AttachReply::Attached(_)
     );
-    let actions = world.book.take_actions();
+    let actions = fixture.book.take_actions();
     assert_matches!(actions.as_slice(), [Action::Unfollow(_, _)]);
 }
 
 #[test]
 fn a_position_names_the_agent_that_runs_the_generation() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    let started = follow_two_tokens(&mut world, &sink);
+    let started = follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     assert_eq!(position.holder, HolderHint::from(&started.0));
     assert_eq!(position.to_string().parse(), Ok(position));
@@ -170,19 +173,19 @@
 
 #[test]
 fn a_record_found_for_one_position_does_not_continue_another() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let request = ask_for(position, 8);
-    let AttachReply::Attached(snapshot) = world.book.release(world.now, &request) else {
+    let request = attach_request(position, 8);
+    let AttachReply::Attached(snapshot) = fixture.book.release(fixture.now, &request) else {
         panic!("expected the record to be released");
     };
-    let mut other = World::new();
+    let mut other = Fixture::new();
     let sinks = [FakeSink::new(100), FakeSink::new(100)];
-    let mut elsewhere = position;
-    elsewhere.lineage = Lineage::first(999);
-    for (sink, position) in sinks.iter().zip([position, elsewhere]) {
+    let mut other_position = position;
+    other_position.lineage = Lineage::first(999);
+    for (sink, position) in sinks.iter().zip([position, other_position]) {
         other
             .book
             .reattach(other.now, position, Box::new(sink.clone()));
--- a/crates/masticsill_session/tests/sessions/exact_resume.rs
+++ b/crates/masticsill_session/tests/sessions/exact_resume.rs
@@ -2,23 +2,23 @@
 
 use masticsill_types::{AttemptFailure, AttemptState, FinishReason};
 
-use crate::support::{FakeSink, World};
+use crate::support::{FakeSink, Fixture};
 
 const RUNNING: AttemptState = AttemptState::Running;
 const STOPPED: AttemptState = AttemptState::Finished(FinishReason::Stop);
 
 #[test]
-fn a_dead_engine_is_continued_elsewhere_from_the_accepted_tokens() {
-    let mut world = World::new();
+fn generation_of_a_lost_engine_resumes_elsewhere_after_the_accepted_tokens() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    world.submit(&sink);
-    let first = world.taken_start();
-    world.accept(&first);
-    world.push(&first, 0, &[b"a", b"b"], RUNNING);
+    fixture.submit(&sink);
+    let first = fixture.take_start();
+    fixture.accept(&first);
+    fixture.push_progress(&first, 0, &[b"a", b"b"], RUNNING);
     let lost = AttemptState::Failed(AttemptFailure::EngineLost);
-    world.push(&first, 2, &[b"c"], lost);
+    fixture.push_progress(&first, 2, &[b"c"], lost);
 
-    let second = world.taken_start();
+    let second = fixture.take_start();
     assert_ne!(second.0, first.0, "the failed agent is not tried again");
     let accepted: Vec<u32> = second.1.accepted.iter().map(|token| token.id).collect();
     assert_eq!(
@@ -26,9 +26,9 @@
         [u32::from(b'a'), u32::from(b'b'), u32::from(b'c')]
     );
 
-    world.accept(&second);
-    world.push(&first, 3, &[b"X"], RUNNING);
-    world.push(&second, 3, &[b"d"], STOPPED);
+    fixture.accept(&second);
+    fixture.push_progress(&first, 3, &[b"X"], RUNNING);
+    fixture.push_progress(&second, 3, &[b"d"], STOPPED);
     assert_eq!(
         sink.text(),
         "abcd",
@@ -38,16 +38,16 @@
 }
 
 #[test]
-fn repeated_and_gapped_news_change_nothing() {
-    let mut world = World::new();
+fn repeated_tokens_and_an_end_after_a_gap_are_ignored() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    world.submit(&sink);
-    let started = world.taken_start();
-    world.accept(&started);
-    world.push(&started, 0, &[b"a", b"b"], RUNNING);
-    world.push(&started, 0, &[b"a", b"b"], RUNNING);
-    world.push(&started, 1, &[b"b", b"c"], RUNNING);
-    world.push(&started, 7, &[b"h"], STOPPED);
+    fixture.submit(&sink);
+    let started = fixture.take_start();
+    fixture.accept(&started);
+    fixture.push_progress(&started, 0, &[b"a", b"b"], RUNNING);
+    fixture.push_progress(&started, 0, &[b"a", b"b"], RUNNING);
+    fixture.push_progress(&started, 1, &[b"b", b"c"], RUNNING);
+    fixture.push_progress(&started, 7, &[b"h"], STOPPED);
     assert_eq!(sink.text(), "abc");
     assert!(
         !sink.is_finished(),
@@ -56,65 +56,65 @@
 }
 
 #[test]
-fn a_lost_agent_gives_up_all_its_streams() {
-    let mut world = World::new();
+fn attempt_of_a_lost_agent_moves_to_another_agent() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    world.submit(&sink);
-    let first = world.taken_start();
-    world.accept(&first);
-    world.book.agent_lost(world.now, &first.0);
-    let second = world.taken_start();
+    fixture.submit(&sink);
+    let first = fixture.take_start();
+    fixture.accept(&first);
+    fixture.book.agent_lost(fixture.now, &first.0);
+    let second = fixture.take_start();
     assert_ne!(second.0, first.0);
 }
 
 #[test]
-fn a_slow_caller_loses_nothing() {
-    let mut world = World::new();
+fn slow_caller_gets_the_complete_answer() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(1);
-    world.submit(&sink);
-    let started = world.taken_start();
-    world.accept(&started);
+    fixture.submit(&sink);
+    let started = fixture.take_start();
+    fixture.accept(&started);
     for (index, bytes) in [b"a", b"b", b"c"].into_iter().enumerate() {
         let index = u32::try_from(index).expect("a small index");
-        world.push(&started, index, &[bytes], RUNNING);
+        fixture.push_progress(&started, index, &[bytes], RUNNING);
     }
-    world.push(&started, 3, &[b"d"], STOPPED);
+    fixture.push_progress(&started, 3, &[b"d"], STOPPED);
     assert_eq!(sink.text(), "a");
-    sink.make_room(10);
-    world.pass(20);
+    sink.add_room(10);
+    fixture.advance(20);
     assert_eq!(sink.text(), "abcd");
     assert!(sink.is_finished());
 }
 
 #[test]
 fn a_character_split_over_two_tokens_arrives_whole() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    world.submit(&sink);
-    let started = world.taken_start();
-    world.accept(&started);
-    world.push(&started, 0, &[b"\xc3"], RUNNING);
+    fixture.submit(&sink);
+    let started = fixture.take_start();
+    fixture.accept(&started);
+    fixture.push_progress(&started, 0, &[b"\xc3"], RUNNING);
     assert_eq!(sink.text(), "");
-    world.push(&started, 1, &[b"\xbc"], STOPPED);
+    fixture.push_progress(&started, 1, &[b"\xbc"], STOPPED);
     assert_eq!(sink.text(), "ü");
 }
 
 #[test]
-fn a_start_whose_answer_is_lost_is_never_sent_again_under_its_lineage() {
-    let mut world = World::new();
+fn start_whose_reply_is_lost_is_never_sent_again_under_its_lineage() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    world.submit(&sink);
-    let first = world.taken_start();
+    fixture.submit(&sink);
+    let first = fixture.take_start();
     let lineage = first.1.history[0].lineage;
     let id = first.1.spec.id;
-    world
+    fixture
         .book
-        .start_reply_lost(world.now, &first.0, id, lineage);
-    let second = world.taken_start();
-    let again = second.1.history.last().expect("a history").lineage;
-    assert_ne!(again, lineage);
-    world.push(&first, 0, &[b"X"], RUNNING);
-    world.accept(&second);
-    world.push(&second, 0, &[b"a"], STOPPED);
+        .start_reply_lost(fixture.now, &first.0, id, lineage);
+    let second = fixture.take_start();
+    let second_lineage = second.1.history.last().expect("a history").lineage;
+    assert_ne!(second_lineage, lineage);
+    fixture.push_progress(&first, 0, &[b"X"], RUNNING);
+    fixture.accept(&second);
+    fixture.push_progress(&second, 0, &[b"a"], STOPPED);
     assert_eq!(sink.text(), "a");
 }
--- a/crates/masticsill_session/tests/sessions/support.rs
+++ b/crates/masticsill_session/tests/sessions/support.rs
@@ -19,7 +19,7 @@
 use masticsill_wire::agent::{Progress, ProgressState, StartReply, StartRequest};
 
 pub(crate) const REATTACH_MS: u64 = 1_000;
-pub(crate) const WAITING_MS: u64 = 3_000;
+pub(crate) const UNSERVED_TIMEOUT_MS: u64 = 3_000;
 
 #[derive(Debug)]
 struct SinkState {
@@ -45,7 +45,7 @@
         self.0.is_closed.set(true);
     }
 
-    pub(crate) fn make_room(&self, room: usize) {
+    pub(crate) fn add_room(&self, room: usize) {
         self.0.room.set(self.0.room.get() + room);
     }
 
@@ -96,16 +96,16 @@
 }
 
 /// A session table, by default with the agents `a` and `b`, and the current time.
-pub(crate) struct World {
+pub(crate) struct Fixture {
     pub(crate) book: SessionTable,
     pub(crate) now: ClockMs,
 }
 
-impl World {
+impl Fixture {
     pub(crate) fn new() -> Self {
-        let mut world = Self::without_agents();
-        world.set_agents(&["a", "b"], 4);
-        world
+        let mut fixture = Self::without_agents();
+        fixture.set_agents(&["a", "b"], 4);
+        fixture
     }
 
     pub(crate) fn without_agents() -> Self {
@@ -115,7 +115,7 @@
             reattach_ms: REATTACH_MS,
             router: RouterConfig::in_zone(zone()),
             seed: 1,
-            unserved_timeout_ms: WAITING_MS,
+            unserved_timeout_ms: UNSERVED_TIMEOUT_MS,
         });
         let now = ClockMs(1_000);
         book.router_mut()
@@ -156,27 +156,27 @@
     }
 
     /// Takes the attempts started since the last call; other actions are dropped.
-    pub(crate) fn started(&mut self) -> Vec<Started> {
+    pub(crate) fn take_started(&mut self) -> Vec<Started> {
         let actions = self.book.take_actions().into_iter();
-        let starts = actions.filter_map(|action| match action {
+        let take_starts = actions.filter_map(|action| match action {
             Action::Start(agent, request) => Some((agent, *request)),
             _ => None,
         });
-        starts.collect()
+        take_starts.collect()
     }
 
-    /// As [`World::started`], but returns only the agents and generations.
-    pub(crate) fn starts(&mut self) -> Vec<(NodeId, u128)> {
-        let started = self.started().into_iter();
+    /// As [`Fixture::take_started`], but returns only the agents and generations.
+    pub(crate) fn take_starts(&mut self) -> Vec<(NodeId, u128)> {
+        let started = self.take_started().into_iter();
         started
             .map(|(agent, request)| (agent, request.spec.id.0))
             .collect()
     }
 
     /// Takes the first attempt started since the last call, with its agent.
-    pub(crate) fn taken_start(&mut self) -> Started {
-        let mut starts = self.started().into_iter();
-        starts.next().expect("an attempt is started")
+    pub(crate) fn take_start(&mut self) -> Started {
+        let mut take_starts = self.take_started().into_iter();
+        take_starts.next().expect("an attempt is started")
     }
 
     pub(crate) fn reply(&mut self, started: &Started, reply: &StartReply) {
@@ -190,7 +190,7 @@
         self.reply(started, &StartReply::Accepted);
     }
 
-    pub(crate) fn push(
+    pub(crate) fn push_progress(
         &mut self,
         started: &Started,
         first_index: u32,
@@ -208,7 +208,7 @@
         self.book.progress(self.now, agent, news);
     }
 
-    pub(crate) fn pass(&mut self, duration_ms: u64) {
+    pub(crate) fn advance(&mut self, duration_ms: u64) {
         self.now = self.now + duration_ms;
         self.book.tick(self.now);
     }
--- a/crates/masticsill_session/tests/sessions/true_refusals.rs
+++ b/crates/masticsill_session/tests/sessions/true_refusals.rs
@@ -3,46 +3,50 @@
 use masticsill_types::{Refusal, RefusalKind, RefusedOutcome};
 use masticsill_wire::agent::StartReply;
 
-use crate::support::{FakeSink, WAITING_MS, World};
+use crate::support::{FakeSink, Fixture, UNSERVED_TIMEOUT_MS};
 
-fn full() -> StartReply {
+fn no_free_slot() -> StartReply {
     StartReply::Refused(Refusal::not_run(RefusalKind::Overloaded, "no slot"))
 }
 
 #[test]
-fn refused_everywhere_is_not_run() {
-    let mut world = World::new();
+fn refused_by_every_agent_is_not_run() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(10);
-    world.submit(&sink);
+    fixture.submit(&sink);
     for _ in 0..2 {
-        let started = world.taken_start();
-        world.reply(&started, &full());
+        let started = fixture.take_start();
+        fixture.reply(&started, &no_free_slot());
     }
-    world.book.agent_lost(world.now, &crate::support::node("a"));
-    world.book.agent_lost(world.now, &crate::support::node("b"));
-    world.pass(WAITING_MS);
+    fixture
+        .book
+        .agent_lost(fixture.now, &crate::support::node("a"));
+    fixture
+        .book
+        .agent_lost(fixture.now, &crate::support::node("b"));
+    fixture.advance(UNSERVED_TIMEOUT_MS);
     let not_run = Some((RefusedOutcome::NotRun, RefusalKind::NoEndpoint));
     assert_eq!(sink.refusal(), not_run);
 }
 
 #[test]
-fn lost_after_the_start_was_sent_is_failed() {
-    let mut world = World::new();
+fn agent_lost_after_the_start_was_sent_is_failed() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(10);
-    world.submit(&sink);
-    let started = world.taken_start();
-    world.book.agent_lost(world.now, &started.0);
-    let second = world.taken_start();
-    world.reply(&second, &full());
-    world.book.agent_lost(world.now, &second.0);
-    world.pass(WAITING_MS);
+    fixture.submit(&sink);
+    let started = fixture.take_start();
+    fixture.book.agent_lost(fixture.now, &started.0);
+    let second = fixture.take_start();
+    fixture.reply(&second, &no_free_slot());
+    fixture.book.agent_lost(fixture.now, &second.0);
+    fixture.advance(UNSERVED_TIMEOUT_MS);
     let failed = Some((RefusedOutcome::Failed, RefusalKind::BackEndFailed));
     assert_eq!(sink.refusal(), failed);
 }
 
 #[test]
-fn a_full_book_refuses_at_once() {
-    let mut world = World::new();
+fn full_table_refuses_new_sessions_at_once() {
+    let mut fixture = Fixture::new();
     let sinks: Vec<FakeSink> = (0..5).map(|_| FakeSink::new(10)).collect();
     for (index, sink) in sinks.iter().enumerate() {
         let mut spec = crate::support::spec();
@@ -51,7 +55,7 @@
             sink: Box::new(sink.clone()),
             spec,
         };
-        world.book.submit(world.now, submission, 7);
+        fixture.book.submit(fixture.now, submission, 7);
     }
     let overloaded = Some((RefusedOutcome::NotRun, RefusalKind::Overloaded));
     assert_eq!(sinks[4].refusal(), overloaded);
