--- a/crates/masticsill_catalogue/src/catalogue.rs
+++ b/crates/masticsill_catalogue/src/catalogue.rs
@@ -10,7 +10,8 @@
 use crate::entry::CatalogueEntry;
 use crate::update::{ApplyOutcome, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
 
-/// Maximum number of deletions kept for deltas; a copy older than the oldest one needs a snapshot.
+/// Maximum number of deletions kept for deltas; a copy that lacks an older deletion gets a
+/// snapshot.
 pub const MAX_TOMBSTONES: usize = 4096;
 
 /// An entry and the catalogue version in which it last changed.
--- a/crates/masticsill_catalogue/src/claim.rs
+++ b/crates/masticsill_catalogue/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: a call that is not idempotent is dispatched by one entry to one agent incarnation.
+//! Claims: a call that is not idempotent is dispatched by one entry node to one agent incarnation.
 //!
 //! A claim must be granted before the call is dispatched. It can move to another agent only through
 //! [`Reassign`], after the previous agent has answered that the call was not run and never will be.
@@ -19,7 +19,7 @@
 /// Maximum number of keys of expired claims kept; beyond it the oldest are evicted.
 pub const MAX_EXPIRED_KEYS: usize = 131_072;
 
-/// One incarnation of an agent: the agent process between a start and the next.
+/// One incarnation of an agent, that is, one run of the agent's process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AgentIncarnation {
     /// The agent.
@@ -42,7 +42,7 @@
     pub id: GenerationId,
     /// Random number that identifies this command: a resend gets the same grant.
     pub nonce: u64,
-    /// The entry that would dispatch the call.
+    /// The entry node that would dispatch the call.
     pub owner: NodeId,
 }
 
@@ -57,7 +57,7 @@
     pub id: GenerationId,
     /// Random number that identifies this command: a resend gets the same grant.
     pub nonce: u64,
-    /// The entry that would dispatch the call.
+    /// The entry node that would dispatch the call.
     pub owner: NodeId,
 }
 
@@ -110,7 +110,8 @@
 /// An answer's body or its digest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum StoredBody {
-    /// The body was not kept: the call is known to be answered, but the answer can't be repeated.
+    /// The body was too large to keep, or was evicted in favour of newer ones: the call is known to
+    /// be answered, but the answer can't be repeated.
     Digest {
         /// BLAKE3 hash of the body.
         hash: [u8; 32],
@@ -153,7 +154,7 @@
     pub fingerprint: u128,
     /// Random number of the command that was granted this version.
     pub nonce: u64,
-    /// The entry that dispatches the call.
+    /// The entry node that dispatches the call.
     pub owner: NodeId,
     /// Number of grants so far: one for the claim and one for each reassignment.
     pub version: u64,
@@ -170,7 +171,8 @@
     Expired,
     /// The key was already used for a call with different content.
     FingerprintDiffers,
-    /// The table holds the maximum number of claims; nothing was claimed.
+    /// The table holds the maximum number of claims and nothing was claimed. There is room again
+    /// once older claims expire.
     Full,
     /// The owner may dispatch the call under this version.
     Granted {
--- a/crates/masticsill_catalogue/src/document/routes.rs
+++ b/crates/masticsill_catalogue/src/document/routes.rs
@@ -73,7 +73,7 @@
     pub weight: u64,
 }
 
-/// A service: a group of interchangeable endpoints.
+/// A service, which is offered by endpoints of one kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceEntry {
     /// Properties of the service's engines; `None` for a plain service.
@@ -110,7 +110,7 @@
     pub idle_timeout_ms: u64,
 }
 
-/// A secret that identifies a caller's workspace. Its `Debug` output hides it.
+/// A secret that identifies a caller's workspace. It must not be logged; `Debug` hides it.
 #[derive(Clone, Eq, Hash, PartialEq)]
 pub struct ApiKey(pub String);
 
--- a/crates/masticsill_catalogue/src/document/sources.rs
+++ b/crates/masticsill_catalogue/src/document/sources.rs
@@ -41,7 +41,7 @@
         self.replicas.shift_remove(address);
     }
 
-    /// The last answer of a replica; `None` if it did not answer.
+    /// The last answer of a replica; `None` if it has never answered or was removed.
     #[must_use]
     pub fn get(&self, address: &SocketAddr) -> Option<DocumentSource> {
         self.replicas.get(address).copied()
--- a/crates/masticsill_catalogue/src/validation.rs
+++ b/crates/masticsill_catalogue/src/validation.rs
@@ -21,12 +21,12 @@
     pub field: String,
     /// How to correct the value.
     pub remedy: String,
-    /// The invalid value, truncated to 64 characters.
+    /// The invalid value, truncated for display.
     pub value: String,
 }
 
 impl FieldError {
-    /// Creates an error for a field; the value is truncated to 64 characters.
+    /// Creates an error for a field; the value is truncated for display.
     pub fn new(
         field: impl Into<String>,
         value: impl fmt::Display,
--- a/crates/masticsill_orders/src/planner.rs
+++ b/crates/masticsill_orders/src/planner.rs
@@ -104,7 +104,8 @@
         self.update_shortages(now, &demands, &holders);
         self.update_unreferenced(now, &demands, engines);
         let mut planned = Vec::new();
-        // A catalogue at version zero is unknown rather than empty, so it is no reason to unload.
+        // A catalogue at version zero never had an entry, so it says nothing about what was loaded
+        // before.
         if catalogue.version() > CatalogueVersion::default() {
             // Unloads come first, because an engine without room for both targets can't load before
             // it has unloaded.
@@ -121,7 +122,8 @@
             let engine = engines.iter().find(|engine| engine.agent == *agent);
             let is_effect_visible = engine.is_some_and(|engine| match &in_flight.order {
                 EngineOrder::Load(target) => engine.has(target),
-                // An engine that can't be used announces no loaded targets, which proves nothing.
+                // An engine that can't be used announces no loaded targets, which does not prove
+                // that the target was unloaded.
                 EngineOrder::Unload(target) => engine.takes_orders && !engine.has(target),
             });
             !(in_flight.is_answered && is_effect_visible) && now.since(in_flight.since) < timeout_ms
--- a/crates/masticsill_orders/tests/load_plan.rs
+++ b/crates/masticsill_orders/tests/load_plan.rs
@@ -213,7 +213,8 @@
 }
 
 /// Runs one seeded simulation: engines are slow, refuse orders, lose their targets and announce
-/// their state late. For the last 32 s nothing fails or changes, so that the cluster must converge.
+/// their state late. In the last 32 simulated seconds nothing is refused or lost and no entry
+/// changes, so the cluster must converge.
 fn run_simulation(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let limits = PlanLimits {
--- a/crates/masticsill_session/src/placement.rs
+++ b/crates/masticsill_session/src/placement.rs
@@ -9,7 +9,7 @@
 use crate::session_table::{Action, RETRY_AFTER_MS, SessionTable};
 use crate::work_request::build_work_request;
 
-/// Time after which agents that failed the generation may be tried again, in milliseconds.
+/// Time after which agents at which attempts failed may be tried again, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 200;
 /// Number of consecutive attempts without a token after which the unserved timeout applies even if
 /// an endpoint is usable.
--- a/crates/masticsill_session/src/position.rs
+++ b/crates/masticsill_session/src/position.rs
@@ -38,7 +38,7 @@
     pub next_index: TokenIndex,
 }
 
-/// The text of an event id could not be parsed, so it was not issued by this system.
+/// An event id that can't be parsed, and so was not issued by this system.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PositionError;
 
--- a/crates/masticsill_session/src/session_table.rs
+++ b/crates/masticsill_session/src/session_table.rs
@@ -107,8 +107,8 @@
 
     /// Replaces the endpoints by the current membership.
     ///
-    /// Returns the agents that left or have a new incarnation; [`SessionTable::incarnation_ended`] must be
-    /// called for each.
+    /// Returns the agents that left or have a new incarnation; [`SessionTable::incarnation_ended`]
+    /// must be called for each.
     pub fn replace_endpoints(&mut self, members: IndexMap<NodeId, Endpoint>) -> Vec<NodeId> {
         self.endpoints.replace(members, &mut self.router)
     }
--- a/crates/masticsill_session/tests/sessions/admission.rs
+++ b/crates/masticsill_session/tests/sessions/admission.rs
@@ -31,7 +31,7 @@
     fixture.submit_spec(&sinks[1], numbered(2));
     assert_eq!(fixture.take_starts(), []);
     fixture.push_progress(&first, 0, &[b"a"], STOPPED);
-    fixture.book.dispatch_queued(fixture.now);
+    fixture.table.dispatch_queued(fixture.now);
     assert_eq!(fixture.take_starts(), [(node("a"), 2)]);
 }
 
@@ -49,11 +49,11 @@
         started.push(start);
     }
     fixture.submit_spec(&sinks[2], numbered(3));
-    fixture.book.agent_lost(fixture.now, &started[0].0);
-    fixture.book.dispatch_queued(fixture.now);
+    fixture.table.agent_lost(fixture.now, &started[0].0);
+    fixture.table.dispatch_queued(fixture.now);
     assert_eq!(fixture.take_starts(), [], "the only other slot is in use");
     fixture.push_progress(&started[1], 1, &[b"b"], STOPPED);
-    fixture.book.dispatch_queued(fixture.now);
+    fixture.table.dispatch_queued(fixture.now);
     assert_eq!(fixture.take_starts(), [(started[1].0.clone(), 1)]);
 }
 
@@ -70,7 +70,7 @@
         started.push(start);
     }
     fixture.submit_spec(&sinks[2], numbered(3));
-    fixture.book.agent_lost(fixture.now, &started[0].0);
+    fixture.table.agent_lost(fixture.now, &started[0].0);
     // The first tick makes the agents that were tried before available again.
     fixture.advance(UNSERVED_TIMEOUT_MS / 2);
     fixture.advance(BEYOND_QUEUE_TIMEOUT_MS);
@@ -151,14 +151,14 @@
         fixture.accept(&start);
         started.push(start);
     }
-    fixture.book.agent_lost(fixture.now, &started[0].0);
+    fixture.table.agent_lost(fixture.now, &started[0].0);
     for _ in 0..4 {
         fixture.advance(UNSERVED_TIMEOUT_MS / 2);
     }
     let other = started[1].0.clone();
-    fixture.book.agent_lost(fixture.now, &other);
+    fixture.table.agent_lost(fixture.now, &other);
     fixture.advance(UNSERVED_TIMEOUT_MS / 2);
-    fixture.book.agent_reachable(&other);
+    fixture.table.agent_reachable(&other);
     fixture.advance(UNSERVED_TIMEOUT_MS / 2);
     assert_eq!(sinks.map(|sink| sink.refusal()), [None, None]);
     assert_eq!(
--- a/crates/masticsill_session/tests/sessions/caller_return.rs
+++ b/crates/masticsill_session/tests/sessions/caller_return.rs
@@ -36,7 +36,7 @@
     let started = follow_two_tokens(&mut fixture, &sink);
     let returned = FakeSink::new(100);
     fixture
-        .book
+        .table
         .reattach(fixture.now, sink.position(), Box::new(returned.clone()));
     fixture.push_progress(&started, 2, &[b"c"], RUNNING);
     assert_eq!(returned.text(), "c");
@@ -53,7 +53,7 @@
     position.lineage = Lineage::first(999);
     let returned = FakeSink::new(100);
     fixture
-        .book
+        .table
         .reattach(fixture.now, position, Box::new(returned.clone()));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
     assert_eq!(returned.refusal(), lost);
@@ -67,10 +67,10 @@
     sink.close();
     fixture.advance(20);
     fixture.advance(REATTACH_MS / 2);
-    assert_eq!(fixture.book.take_actions(), []);
+    assert_eq!(fixture.table.take_actions(), []);
     fixture.advance(REATTACH_MS);
     assert_matches!(
-        fixture.book.take_actions().as_slice(),
+        fixture.table.take_actions().as_slice(),
         [Action::Cancel(_, _)]
     );
 }
@@ -82,11 +82,11 @@
     let started = follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     let request = attach_request(position, 8);
-    let reply = fixture.book.release(fixture.now, &request);
+    let reply = fixture.table.release(fixture.now, &request);
     fixture.push_progress(&started, 2, &[b"c"], RUNNING);
     assert_eq!(sink.text(), "ab", "nothing is delivered after the release");
     assert_matches!(
-        fixture.book.release(fixture.now, &request),
+        fixture.table.release(fixture.now, &request),
         AttachReply::Unknown
     );
 
@@ -96,11 +96,11 @@
     let mut other = Fixture::new();
     let returned = FakeSink::new(100);
     other
-        .book
+        .table
         .reattach(other.now, position, Box::new(returned.clone()));
-    assert_matches!(other.book.take_actions().as_slice(), [Action::Search(_)]);
+    assert_matches!(other.table.take_actions().as_slice(), [Action::Search(_)]);
     other
-        .book
+        .table
         .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
     let resumed = other.take_start();
     assert_eq!(resumed.1.accepted.len(), 2);
@@ -118,10 +118,10 @@
     let mut other = Fixture::new();
     let returned = FakeSink::new(100);
     other
-        .book
+        .table
         .reattach(other.now, position, Box::new(returned.clone()));
     other
-        .book
+        .table
         .search_finished(other.now, spec().id, SearchResult::NotFound);
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
     assert_eq!(returned.refusal(), lost);
@@ -134,14 +134,14 @@
     follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     for agent in ["a", "b"] {
-        fixture.book.agent_lost(fixture.now, &node(agent));
+        fixture.table.agent_lost(fixture.now, &node(agent));
     }
     fixture.advance(UNSERVED_TIMEOUT_MS);
     let refusal = sink.refusal();
     assert_matches!(refusal, Some((RefusedOutcome::Failed, _)));
     let returned = FakeSink::new(100);
     fixture
-        .book
+        .table
         .reattach(fixture.now, position, Box::new(returned.clone()));
     assert_eq!(returned.refusal(), refusal);
 }
@@ -154,10 +154,10 @@
     let position = sink.position();
     let request = attach_request(position, u32::MAX);
     assert_matches!(
-        fixture.book.release(fixture.now, &request),
+        fixture.table.release(fixture.now, &request),
         AttachReply::Attached(_)
     );
-    let actions = fixture.book.take_actions();
+    let actions = fixture.table.take_actions();
     assert_matches!(actions.as_slice(), [Action::Unfollow(_, _)]);
 }
 
@@ -178,7 +178,7 @@
     follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     let request = attach_request(position, 8);
-    let AttachReply::Attached(snapshot) = fixture.book.release(fixture.now, &request) else {
+    let AttachReply::Attached(snapshot) = fixture.table.release(fixture.now, &request) else {
         panic!("expected the record to be released");
     };
     let mut other = Fixture::new();
@@ -187,11 +187,11 @@
     other_position.lineage = Lineage::first(999);
     for (sink, position) in sinks.iter().zip([position, other_position]) {
         other
-            .book
+            .table
             .reattach(other.now, position, Box::new(sink.clone()));
     }
     other
-        .book
+        .table
         .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
     assert_eq!(
--- a/crates/masticsill_session/tests/sessions/exact_resume.rs
+++ b/crates/masticsill_session/tests/sessions/exact_resume.rs
@@ -62,7 +62,7 @@
     fixture.submit(&sink);
     let first = fixture.take_start();
     fixture.accept(&first);
-    fixture.book.agent_lost(fixture.now, &first.0);
+    fixture.table.agent_lost(fixture.now, &first.0);
     let second = fixture.take_start();
     assert_ne!(second.0, first.0);
 }
@@ -108,7 +108,7 @@
     let lineage = first.1.history[0].lineage;
     let id = first.1.spec.id;
     fixture
-        .book
+        .table
         .start_reply_lost(fixture.now, &first.0, id, lineage);
     let second = fixture.take_start();
     let second_lineage = second.1.history.last().expect("a history").lineage;
--- a/crates/masticsill_session/tests/sessions/support.rs
+++ b/crates/masticsill_session/tests/sessions/support.rs
@@ -97,7 +97,7 @@
 
 /// A session table, by default with the agents `a` and `b`, and the current time.
 pub(crate) struct Fixture {
-    pub(crate) book: SessionTable,
+    pub(crate) table: SessionTable,
     pub(crate) now: ClockMs,
 }
 
@@ -109,7 +109,7 @@
     }
 
     pub(crate) fn without_agents() -> Self {
-        let mut book = SessionTable::new(SessionTableConfig {
+        let mut table = SessionTable::new(SessionTableConfig {
             max_sessions: 4,
             node: node("entry"),
             reattach_ms: REATTACH_MS,
@@ -118,9 +118,10 @@
             unserved_timeout_ms: UNSERVED_TIMEOUT_MS,
         });
         let now = ClockMs(1_000);
-        book.router_mut()
+        table
+            .router_mut()
             .set_entry(now, &spec().catalogue_entry, policy());
-        Self { book, now }
+        Self { table, now }
     }
 
     /// Replaces the agents by the first incarnations of those named.
@@ -137,8 +138,8 @@
     }
 
     fn replace_agents(&mut self, members: IndexMap<NodeId, Endpoint>) {
-        for lost in self.book.replace_endpoints(members) {
-            self.book.incarnation_ended(self.now, &lost);
+        for lost in self.table.replace_endpoints(members) {
+            self.table.incarnation_ended(self.now, &lost);
         }
     }
 
@@ -151,13 +152,13 @@
             sink: Box::new(sink.clone()),
             spec,
         };
-        self.book.submit(self.now, submission, 7);
-        self.book.dispatch_queued(self.now);
+        self.table.submit(self.now, submission, 7);
+        self.table.dispatch_queued(self.now);
     }
 
     /// Takes the attempts started since the last call; other actions are dropped.
     pub(crate) fn take_started(&mut self) -> Vec<Started> {
-        let actions = self.book.take_actions().into_iter();
+        let actions = self.table.take_actions().into_iter();
         let take_starts = actions.filter_map(|action| match action {
             Action::Start(agent, request) => Some((agent, *request)),
             _ => None,
@@ -183,7 +184,8 @@
         let (agent, request) = started;
         let lineage = request.history.last().expect("a history").lineage;
         let id = request.spec.id;
-        self.book.start_replied(self.now, agent, id, lineage, reply);
+        self.table
+            .start_replied(self.now, agent, id, lineage, reply);
     }
 
     pub(crate) fn accept(&mut self, started: &Started) {
@@ -198,19 +200,19 @@
         state: AttemptState,
     ) {
         let (agent, request) = started;
-        let news = Progress {
+        let update = Progress {
             first_index: TokenIndex(first_index),
             id: request.spec.id,
             lineage: request.history.last().expect("a history").lineage,
             state: ProgressState::Attempt(state),
             tokens: tokens.iter().map(|bytes| token(bytes)).collect(),
         };
-        self.book.progress(self.now, agent, news);
+        self.table.progress(self.now, agent, update);
     }
 
     pub(crate) fn advance(&mut self, duration_ms: u64) {
         self.now = self.now + duration_ms;
-        self.book.tick(self.now);
+        self.table.tick(self.now);
     }
 }
 
--- a/crates/masticsill_session/tests/sessions/true_refusals.rs
+++ b/crates/masticsill_session/tests/sessions/true_refusals.rs
@@ -19,10 +19,10 @@
         fixture.reply(&started, &no_free_slot());
     }
     fixture
-        .book
+        .table
         .agent_lost(fixture.now, &crate::support::node("a"));
     fixture
-        .book
+        .table
         .agent_lost(fixture.now, &crate::support::node("b"));
     fixture.advance(UNSERVED_TIMEOUT_MS);
     let not_run = Some((RefusedOutcome::NotRun, RefusalKind::NoEndpoint));
@@ -35,10 +35,10 @@
     let sink = FakeSink::new(10);
     fixture.submit(&sink);
     let started = fixture.take_start();
-    fixture.book.agent_lost(fixture.now, &started.0);
+    fixture.table.agent_lost(fixture.now, &started.0);
     let second = fixture.take_start();
     fixture.reply(&second, &no_free_slot());
-    fixture.book.agent_lost(fixture.now, &second.0);
+    fixture.table.agent_lost(fixture.now, &second.0);
     fixture.advance(UNSERVED_TIMEOUT_MS);
     let failed = Some((RefusedOutcome::Failed, RefusalKind::BackEndFailed));
     assert_eq!(sink.refusal(), failed);
@@ -55,7 +55,7 @@
             sink: Box::new(sink.clone()),
             spec,
         };
-        fixture.book.submit(fixture.now, submission, 7);
+        fixture.table.submit(fixture.now, submission, 7);
     }
     let overloaded = Some((RefusedOutcome::NotRun, RefusalKind::Overloaded));
     assert_eq!(sinks[4].refusal(), overloaded);
