--- a/crates/masticsill_control/src/orders/duty.rs
+++ b/crates/masticsill_control/src/orders/duty.rs
@@ -11,7 +11,7 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::calls::{FenceEnd, Giver};
-use super::session::{AgentLife, Session};
+use super::session::{AgentIncarnation, Session};
 use crate::quorum::{PublishedState, QuorumHandle};
 
 const TICK: Duration = Duration::from_millis(100);
@@ -21,7 +21,7 @@
 /// What a call of an agent came to.
 #[derive(Debug)]
 enum Report {
-    Fenced(AgentLife, FenceEnd),
+    Fenced(AgentIncarnation, FenceEnd),
     Ended(PlannedOrder, OrderEnd),
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    fn spawn_fence(&self, term: Term, life: AgentLife, reports: &Ring<(Term, Report)>) {
+    fn spawn_fence(&self, term: Term, life: AgentIncarnation, reports: &Ring<(Term, Report)>) {
         let (giver, reports) = (self.giver(term), reports.clone());
         spawn_local(async move {
             let end = giver.fence(life.address).await;
--- a/crates/masticsill_control/src/orders/session.rs
+++ b/crates/masticsill_control/src/orders/session.rs
@@ -6,7 +6,7 @@
 use masticsill_catalogue::Catalogue;
 use masticsill_membership::{Member, MemberState};
 use masticsill_mesh::MembershipView;
-use masticsill_orders::{EngineSeen, LoadPlanner, OrderEnd, PlanLimits, PlannedOrder};
+use masticsill_orders::{LoadPlanner, ObservedEngine, OrderEnd, PlanLimits, PlannedOrder};
 use masticsill_types::{ClockMs, EndpointKind, Incarnation, NodeId, Term, log_event};
 
 use super::calls::FenceEnd;
@@ -20,7 +20,7 @@
 
 /// One life of an agent, and where it listens.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct AgentLife {
+pub(crate) struct AgentIncarnation {
     pub(crate) address: SocketAddr,
     pub(crate) agent: NodeId,
     pub(crate) incarnation: Incarnation,
@@ -30,10 +30,10 @@
 #[derive(Debug)]
 pub(crate) struct Session {
     /// Nobody listened there when it was asked last; asked again, as it may be a short cut.
-    absent: IndexSet<AgentLife>,
+    absent: IndexSet<AgentIncarnation>,
     /// Being asked, or not to be asked again before then.
-    asked: IndexMap<AgentLife, Option<ClockMs>>,
-    fenced: IndexSet<AgentLife>,
+    asked: IndexMap<AgentIncarnation, Option<ClockMs>>,
+    fenced: IndexSet<AgentIncarnation>,
     is_begun: bool,
     limits: PlanLimits,
     planner: LoadPlanner,
@@ -56,18 +56,22 @@
     }
 
     /// Agents that are to be fenced now; each counts as asked.
-    pub(crate) fn take_unfenced(&mut self, now: ClockMs, view: &MembershipView) -> Vec<AgentLife> {
-        let lives: IndexSet<AgentLife> = engine_members(view).map(|it| life(it.0)).collect();
+    pub(crate) fn take_unfenced(
+        &mut self,
+        now: ClockMs,
+        view: &MembershipView,
+    ) -> Vec<AgentIncarnation> {
+        let lives: IndexSet<AgentIncarnation> = engine_members(view).map(|it| life(it.0)).collect();
         self.fenced.retain(|life| lives.contains(life));
         self.absent.retain(|life| lives.contains(life));
         self.asked.retain(|life, _| lives.contains(life));
-        let is_due = |life: &AgentLife| match self.asked.get(life) {
+        let is_due = |life: &AgentIncarnation| match self.asked.get(life) {
             Some(retry_at) => retry_at.is_some_and(|retry_at| retry_at <= now),
             None => !self.fenced.contains(life),
         };
         let being_asked = self.asked.values().filter(|it| it.is_none()).count();
         let due = lives.into_iter().filter(is_due);
-        let due: Vec<AgentLife> = due
+        let due: Vec<AgentIncarnation> = due
             .take(FENCES_AT_ONCE.saturating_sub(being_asked))
             .collect();
         for life in &due {
@@ -76,7 +80,7 @@
         due
     }
 
-    pub(crate) fn note_fence(&mut self, now: ClockMs, life: AgentLife, end: FenceEnd) {
+    pub(crate) fn note_fence(&mut self, now: ClockMs, life: AgentIncarnation, end: FenceEnd) {
         self.absent.swap_remove(&life);
         match end {
             FenceEnd::Absent => {
@@ -86,7 +90,8 @@
             FenceEnd::Fenced(reply) => {
                 self.asked.swap_remove(&life);
                 if let Some(order) = reply.under_way {
-                    self.planner.note_under_way(now, life.agent.clone(), order);
+                    self.planner
+                        .record_in_flight(now, life.agent.clone(), order);
                 }
                 self.fenced.insert(life);
             }
@@ -105,7 +110,7 @@
             order = format!("{:?}", ended.order),
             end = format!("{end:?}")
         );
-        self.planner.note_end(now, ended, end);
+        self.planner.record_end(now, ended, end);
     }
 
     /// The orders to give now.
@@ -123,8 +128,8 @@
             let (term, engines) = (self.term, self.fenced.len());
             log_event!(info, events::ORDERS_BEGUN, term = term, engines = engines);
         }
-        let engines: Vec<EngineSeen> = engine_members(view)
-            .map(|(member, loaded)| EngineSeen {
+        let engines: Vec<ObservedEngine> = engine_members(view)
+            .map(|(member, loaded)| ObservedEngine {
                 agent: member.node.clone(),
                 is_leaving: member.state == MemberState::Leaving,
                 loaded: loaded.to_vec(),
@@ -148,8 +153,8 @@
     }
 }
 
-fn life(member: &Member) -> AgentLife {
-    AgentLife {
+fn life(member: &Member) -> AgentIncarnation {
+    AgentIncarnation {
         address: member.address,
         agent: member.node.clone(),
         incarnation: member.incarnation,
--- a/crates/masticsill_orders/src/lib.rs
+++ b/crates/masticsill_orders/src/lib.rs
@@ -1,20 +1,20 @@
-//! Orders to engines: which to give, and which to let pass.
+//! Load and unload orders to engines: planning them and fencing stale ones.
 //!
-//! Pure logic: no sockets, no threads and no clock of its own. [`LoadPlanner`] decides at the
-//! control leader what engines load and unload; [`OrderGate`] decides at an agent whether an
-//! order may still reach its engine.
+//! Pure logic: no sockets, threads or clock. [`LoadPlanner`] runs at the control leader and decides
+//! what engines load and unload. [`OrderGate`] runs at an agent and decides whether an order may
+//! still be sent to its engine.
 
 mod bucket;
+mod demand;
 mod gate;
 mod holders;
 mod leader_proof;
+mod observed_engine;
 mod plan;
 mod planner;
-mod seen;
-mod wanted;
 
 pub use gate::{GateRefusal, OrderGate};
 pub use leader_proof::LeaderProof;
+pub use observed_engine::ObservedEngine;
 pub use plan::{OrderEnd, PlanLimits, PlannedOrder};
 pub use planner::LoadPlanner;
-pub use seen::EngineSeen;
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -12,7 +12,7 @@
 use futures::stream::FuturesUnordered;
 use indexmap::IndexSet;
 use masticsill_catalogue::{
-    DocumentSources, FetchPace, JoinedDocument, PackedPiece, PieceFetch, PieceHash, PieceList,
+    DocumentSources, FetchPacer, JoinedDocument, PackedPiece, PieceFetch, PieceHash, PieceList,
     RouteIndex,
 };
 use masticsill_control_client::{AddressBook, ControlClient};
@@ -65,7 +65,7 @@
     let mut duty = DocumentDuty {
         client: ControlClient::new(AddressBook::default()),
         fetch: PieceFetch::default(),
-        pace: FetchPace::default(),
+        pace: FetchPacer::default(),
         parts,
         parsed_version: None,
         slow_replicas: IndexSet::new(),
@@ -98,7 +98,7 @@
     /// Client with its own connections, so that pieces do not delay endpoint updates.
     client: ControlClient,
     fetch: PieceFetch,
-    pace: FetchPace,
+    pace: FetchPacer,
     parts: DocumentParts,
     /// The last version that was parsed.
     parsed_version: Option<u64>,
@@ -144,7 +144,7 @@
                 Ok(None) => {
                     if !self.fetch_next().await {
                         // The pieces received so far are kept for the next version.
-                        self.fetch.give_up();
+                        self.fetch.abandon();
                     }
                 }
                 Err(cause) => {
@@ -185,7 +185,7 @@
     fn choose_list_source(&self, skipped: &IndexSet<SocketAddr>) -> Option<(u64, SocketAddr)> {
         let sources = self.parts.sources.borrow();
         let now = self.parts.clock.now();
-        let address = sources.lister(now, self.rotation, skipped)?;
+        let address = sources.choose_list_source(now, self.rotation, skipped)?;
         Some((sources.newest()?, address))
     }
 
@@ -232,7 +232,7 @@
     fn choose_piece_source(&self, skipped: &IndexSet<SocketAddr>) -> Option<SocketAddr> {
         let version = self.fetch.version()?;
         let sources = self.parts.sources.borrow();
-        sources.holder(version, self.rotation, skipped)
+        sources.choose_piece_source(version, self.rotation, skipped)
     }
 
     /// Requests pieces from a replica. If the reply is late, requests the first piece alone from
@@ -258,8 +258,8 @@
             }
         };
         match &reply.pieces {
-            Some(_) => self.pace.note_answer(self.parts.clock.now().since(began)),
-            None => self.pace.note_silence(),
+            Some(_) => self.pace.record_answer(self.parts.clock.now().since(began)),
+            None => self.pace.record_timeout(),
         }
         reply
     }
@@ -268,7 +268,7 @@
     fn store_pieces(&mut self, pieces: Option<Pieces>) -> bool {
         let mut has_progress = false;
         for (hash, piece) in pieces.into_iter().flatten() {
-            match self.fetch.take(hash, &piece) {
+            match self.fetch.accept_piece(hash, &piece) {
                 Ok(is_missing) => has_progress |= is_missing,
                 Err(cause) => log_event!(
                     error,
--- a/crates/masticsill_session/src/book.rs
+++ b/crates/masticsill_session/src/session_table.rs
@@ -1,4 +1,4 @@
-//! Every session of this entry, and what is to be done for them.
+//! The table of all sessions of an entry node, and the actions that they require.
 
 use indexmap::IndexMap;
 use masticsill_generation::Record;
@@ -16,78 +16,78 @@
 use crate::position::Position;
 use crate::session::{Phase, Session};
 
-/// When a refused caller may come back, in milliseconds.
+/// Delay after which a refused caller may retry, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Bounds of a [`SessionBook`].
+/// Settings of a [`SessionTable`].
 #[derive(Clone, Debug)]
-pub struct BookConfig {
-    /// Sessions at most.
+pub struct SessionTableConfig {
+    /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// The entry's name.
+    /// The node id of this entry node.
     pub node: NodeId,
-    /// How long a generation outlives its caller's connection, in milliseconds.
+    /// How long a generation is kept after its caller disconnected, in milliseconds.
     pub reattach_ms: u64,
-    /// The router's numbers.
+    /// The router's settings.
     pub router: RouterConfig,
-    /// The router's randomness.
+    /// Seed of the router's random choices.
     pub seed: u64,
-    /// How long a session may be without an endpoint, in milliseconds.
-    pub waiting_ms: u64,
+    /// How long a session may have no usable endpoint, in milliseconds.
+    pub unserved_timeout_ms: u64,
 }
 
-/// An admitted request.
+/// A request for a generation.
 #[derive(Debug)]
 pub struct Submission {
-    /// Where the caller's answer goes.
+    /// Receives the answer for the caller.
     pub sink: Box<dyn AnswerSink>,
     /// What to generate.
     pub spec: GenerationSpec,
 }
 
-/// What the sessions duty is to do.
+/// An action that the owner of the table must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The wait of a plain call is over: it has an agent, or is refused and not run.
+    /// A queued plain call is placed at an agent, or refused without having run.
     CallPlaced(GenerationId, Result<NodeId, Refusal>),
-    /// End an attempt at an agent.
+    /// Cancel an attempt at an agent.
     Cancel(NodeId, CancelRequest),
-    /// Follow an attempt that runs at an agent already.
+    /// Pull the tokens of an attempt that already runs at an agent.
     Follow(NodeId, PullCursor),
-    /// Ask every possible holder for a generation.
+    /// Ask every node that may hold a generation's record for it.
     Search(Position),
-    /// Follow an attempt no more; its new owner does.
+    /// Stop pulling an attempt's tokens, because another entry node now owns the generation.
     Unfollow(NodeId, GenerationId),
-    /// Start an attempt at an agent; once accepted it is followed.
+    /// Start an attempt at an agent, and pull its tokens once the agent has accepted it.
     Start(NodeId, Box<StartRequest>),
 }
 
-/// What a search for a generation brought.
+/// The result of a search for a generation's record.
 #[derive(Debug)]
-pub enum Found {
-    /// An agent handed its running record over.
+pub enum SearchResult {
+    /// An agent that runs the generation returned its record.
     AtAgent(NodeId, RecordSnapshot),
-    /// Another entry gave its record up; its agent is not known to run.
+    /// Another entry node released its record; no agent is known to run the generation.
     AtEntry(RecordSnapshot),
-    /// Nobody holds a record that contains what the caller saw.
-    Nowhere,
+    /// No node holds a record that contains the part of the answer that the caller received.
+    NotFound,
 }
 
-/// Every session of this entry.
+/// All sessions of an entry node.
 #[derive(Debug)]
-pub struct SessionBook {
+pub struct SessionTable {
     pub(crate) actions: Vec<Action>,
-    pub(crate) config: BookConfig,
+    pub(crate) config: SessionTableConfig,
     pub(crate) endpoints: EndpointTable,
     pub(crate) router: Router,
     pub(crate) searches: IndexMap<GenerationId, (Position, Box<dyn AnswerSink>)>,
     pub(crate) sessions: IndexMap<GenerationId, Session>,
 }
 
-impl SessionBook {
-    /// An empty book.
+impl SessionTable {
+    /// An empty table.
     #[must_use]
-    pub fn new(config: BookConfig) -> Self {
+    pub fn new(config: SessionTableConfig) -> Self {
         let router = Router::new(config.router.clone(), config.seed);
         Self {
             actions: Vec::new(),
@@ -99,36 +99,37 @@
         }
     }
 
-    /// The endpoints known.
+    /// The known endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// Replaces the endpoints by what the membership says now.
+    /// Replaces the endpoints by the current membership.
     ///
-    /// Returns the agents that are gone or began another life; [`SessionBook::life_ended`] is to
-    /// be called for each.
+    /// Returns the agents that left or have a new incarnation; [`SessionTable::incarnation_ended`]
+    /// must be called for each.
     pub fn replace_endpoints(&mut self, members: IndexMap<NodeId, Endpoint>) -> Vec<NodeId> {
         self.endpoints.replace(members, &mut self.router)
     }
 
-    /// The router, to be told of catalogue entries and of the entries that share the endpoints.
+    /// The router, for updates of catalogue entries and of the entry nodes that share the
+    /// endpoints.
     pub fn router_mut(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// Takes the load report that came with an agent's tokens.
-    pub fn report(&mut self, now: ClockMs, agent: &NodeId, load: LoadReport) {
+    /// Passes a load report, received with an agent's tokens, to the router.
+    pub fn record_load(&mut self, now: ClockMs, agent: &NodeId, load: LoadReport) {
         self.router.on_load_report(now, agent, load);
     }
 
-    /// Takes what is to be done since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Begins a generation; `nonce` is random.
+    /// Starts a generation, or refuses it if the table is full; `nonce` must be random.
     pub fn submit(&mut self, now: ClockMs, submission: Submission, nonce: u32) {
         let Submission { sink, spec } = submission;
         let mut caller = Caller::new(sink, TokenIndex(0));
@@ -143,7 +144,8 @@
         self.place(now, id);
     }
 
-    /// Takes an agent's answer to a start.
+    /// Handles an agent's reply to the start of an attempt. An attempt that is no longer expected
+    /// is cancelled.
     pub fn start_replied(
         &mut self,
         now: ClockMs,
@@ -153,12 +155,12 @@
         reply: &StartReply,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else {
-            self.cancel_at(agent, id, lineage);
+            self.send_cancel(agent, id, lineage);
             return;
         };
         let is_awaited = session.phase == Phase::Starting(agent.clone());
         if !is_awaited || session.record.lineage() != lineage {
-            self.cancel_at(agent, id, lineage);
+            self.send_cancel(agent, id, lineage);
             return;
         }
         match reply {
@@ -167,95 +169,106 @@
                 session.phase = Phase::Following(agent.clone());
             }
             StartReply::Fenced(_) => self.refuse(now, id, superseded()),
-            StartReply::Refused(_) => self.move_on(now, id, WorkOutcome::Failed),
+            StartReply::Refused(_) => self.fail_over(now, id, WorkOutcome::Failed),
         }
     }
 
-    /// Takes the loss of a start's answer: the attempt may run, so the next one is another.
-    pub fn start_lost(&mut self, now: ClockMs, agent: &NodeId, id: GenerationId, lineage: Lineage) {
+    /// Handles the loss of the reply to a start. The attempt may be running, so the start is not
+    /// sent again: the next attempt gets a new lineage.
+    pub fn start_reply_lost(
+        &mut self,
+        now: ClockMs,
+        agent: &NodeId,
+        id: GenerationId,
+        lineage: Lineage,
+    ) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         let is_awaited = session.phase == Phase::Starting(agent.clone());
         if is_awaited && session.record.lineage() == lineage {
             session.is_dispatched = true;
-            self.move_on(now, id, WorkOutcome::Failed);
+            self.fail_over(now, id, WorkOutcome::Failed);
         }
     }
 
-    /// Takes news of a stream.
-    pub fn progress(&mut self, now: ClockMs, agent: &NodeId, news: Progress) {
-        let Some(session) = self.sessions.get_mut(&news.id) else {
+    /// Handles new tokens and the state of an attempt, as pulled from its agent.
+    pub fn progress(&mut self, now: ClockMs, agent: &NodeId, update: Progress) {
+        let Some(session) = self.sessions.get_mut(&update.id) else {
             return;
         };
-        if !session.is_at(agent) || session.record.lineage() != news.lineage {
+        if !session.is_at(agent) || session.record.lineage() != update.lineage {
             return;
         }
-        let id = news.id;
-        let end_index = news.first_index.0 + u32::try_from(news.tokens.len()).unwrap_or(u32::MAX);
+        let id = update.id;
+        let end_index =
+            update.first_index.0 + u32::try_from(update.tokens.len()).unwrap_or(u32::MAX);
         let taken = session
             .record
-            .take(news.lineage, news.first_index, news.tokens);
+            .take(update.lineage, update.first_index, update.tokens);
         if taken.accepted > 0 {
             session.failures = 0;
-            session.tried.clear();
+            session.tried_agents.clear();
             session.unserved_since = None;
         }
-        match news.state {
+        match update.state {
             ProgressState::Attempt(AttemptState::Running) => self.deliver(now, id),
             ProgressState::Attempt(AttemptState::Finished(reason)) => {
                 let end = AttemptState::Finished(reason);
                 let end_index = TokenIndex(end_index);
-                if session.record.conclude(news.lineage, end_index, end) {
+                if session.record.conclude(update.lineage, end_index, end) {
                     self.finish(now, id);
                 }
             }
             ProgressState::Attempt(AttemptState::Failed(failure)) => {
                 self.deliver(now, id);
-                self.move_on(now, id, outcome_of(failure));
+                self.fail_over(now, id, outcome_of_failure(failure));
             }
             ProgressState::Unknown => {
                 self.deliver(now, id);
-                self.move_on(now, id, WorkOutcome::Failed);
+                self.fail_over(now, id, WorkOutcome::Failed);
             }
             ProgressState::Fenced(_) => self.refuse(now, id, superseded()),
         }
     }
 
-    /// Moves every stream away from an agent that can't be reached or stayed silent.
+    /// Marks an agent that can't be reached or does not answer as down, and moves all its attempts
+    /// to other agents.
     pub fn agent_lost(&mut self, now: ClockMs, agent: &NodeId) {
         self.router.set_unreachable(agent, true);
-        self.life_ended(now, agent);
+        self.incarnation_ended(now, agent);
     }
 
-    /// Moves every stream away from an agent whose life has ended; another life may take them.
-    pub fn life_ended(&mut self, now: ClockMs, agent: &NodeId) {
-        let is_there = |session: &&Session| session.is_at(agent);
-        let lost = self.sessions.values().filter(is_there);
+    /// Moves all attempts away from an agent whose incarnation has ended. A new incarnation of the
+    /// same agent may get them again.
+    pub fn incarnation_ended(&mut self, now: ClockMs, agent: &NodeId) {
+        let is_at_agent = |session: &&Session| session.is_at(agent);
+        let lost = self.sessions.values().filter(is_at_agent);
         let ids: Vec<GenerationId> = lost.map(|session| session.record.id()).collect();
         for id in ids {
-            self.note_dispatched(id);
-            self.move_on(now, id, WorkOutcome::Failed);
+            self.record_dispatched(id);
+            self.fail_over(now, id, WorkOutcome::Failed);
         }
-        self.note_unserved(now);
+        self.start_unserved_timeouts(now);
     }
 
-    /// Lets an agent take new work again.
-    pub fn agent_reached(&mut self, agent: &NodeId) {
+    /// Marks an agent as reachable, so that it gets new work again.
+    pub fn agent_reachable(&mut self, agent: &NodeId) {
         self.router.set_unreachable(agent, false);
     }
 
-    /// Does what time asks for: full sinks, callers gone, sessions without an endpoint.
+    /// Handles the passing of time: retries delivery to sinks that were full, removes sessions
+    /// without a caller, and retries or refuses waiting sessions.
     pub fn tick(&mut self, now: ClockMs) {
         let ids: Vec<GenerationId> = self.sessions.keys().copied().collect();
         for id in ids {
             self.deliver(now, id);
-            self.expire(now, id);
+            self.expire_session(now, id);
         }
-        self.settle(now);
+        self.dispatch_queued(now);
     }
 
-    pub(crate) fn cancel_at(&mut self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
+    pub(crate) fn send_cancel(&mut self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
         let request = CancelRequest { id, lineage };
         self.actions.push(Action::Cancel(agent.clone(), request));
     }
@@ -271,7 +284,7 @@
             Delivery::Open => {}
             Delivery::Complete | Delivery::Gone => {
                 session.caller = None;
-                session.since = now;
+                session.last_activity_at = now;
             }
         }
     }
@@ -286,46 +299,46 @@
         };
         self.router.on_finished(now, id, end);
         session.phase = Phase::Ended;
-        session.since = now;
+        session.last_activity_at = now;
         self.deliver(now, id);
     }
 
     pub(crate) fn refuse(&mut self, now: ClockMs, id: GenerationId, refusal: Refusal) {
-        self.leave_agent(now, id, WorkOutcome::Cancelled);
+        self.cancel_attempt(now, id, WorkOutcome::Cancelled);
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         session.phase = Phase::Ended;
-        session.since = now;
+        session.last_activity_at = now;
         if let Some(caller) = &mut session.caller {
             caller.refuse(refusal.clone());
         }
         session.refusal = Some(refusal);
     }
 
-    fn expire(&mut self, now: ClockMs, id: GenerationId) {
+    fn expire_session(&mut self, now: ClockMs, id: GenerationId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        if session.caller.is_none() && now - session.since >= self.config.reattach_ms {
-            self.leave_agent(now, id, WorkOutcome::Cancelled);
+        if session.caller.is_none() && now - session.last_activity_at >= self.config.reattach_ms {
+            self.cancel_attempt(now, id, WorkOutcome::Cancelled);
             self.sessions.swap_remove(&id);
             return;
         }
         if session.phase == Phase::Waiting {
-            self.go_on_waiting(now, id);
+            self.check_wait(now, id);
         }
     }
 
-    /// Notes that an attempt may have reached its engine.
-    fn note_dispatched(&mut self, id: GenerationId) {
+    /// Records that an attempt may have reached its engine.
+    fn record_dispatched(&mut self, id: GenerationId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.is_dispatched = true;
         }
     }
 }
 
-fn outcome_of(failure: AttemptFailure) -> WorkOutcome {
+fn outcome_of_failure(failure: AttemptFailure) -> WorkOutcome {
     match failure {
         AttemptFailure::Leaving | AttemptFailure::Cancelled => WorkOutcome::Cancelled,
         AttemptFailure::EngineLost
--- a/crates/masticsill_session/tests/sessions/caller_return.rs
+++ b/crates/masticsill_session/tests/sessions/caller_return.rs
@@ -1,25 +1,25 @@
-//! Callers that leave, come back, or come back through another entry.
+//! Callers that disconnect, reconnect, or reconnect through another entry node.
 
-use masticsill_session::{Action, Found, HolderHint, Position};
+use masticsill_session::{Action, HolderHint, Position, SearchResult};
 use masticsill_types::{AttemptState, Lineage, RefusalKind, RefusedOutcome};
 use masticsill_wire::agent::{AttachReply, AttachRequest};
 
 use assert_matches::assert_matches;
 
-use crate::support::{FakeSink, REATTACH_MS, WAITING_MS, World, node, spec};
+use crate::support::{FakeSink, Fixture, REATTACH_MS, UNSERVED_TIMEOUT_MS, node, spec};
 
 const RUNNING: AttemptState = AttemptState::Running;
 
-fn follow_two_tokens(world: &mut World, sink: &FakeSink) -> crate::support::Started {
-    world.submit(sink);
-    let started = world.taken_start();
-    world.accept(&started);
-    world.push(&started, 0, &[b"a", b"b"], RUNNING);
+fn follow_two_tokens(fixture: &mut Fixture, sink: &FakeSink) -> crate::support::Started {
+    fixture.submit(sink);
+    let started = fixture.take_start();
+    fixture.accept(&started);
+    fixture.push_progress(&started, 0, &[b"a", b"b"], RUNNING);
     started
 }
 
-/// What another entry asks when the caller of a position comes back to it.
-fn ask_for(position: Position, nonce: u32) -> AttachRequest {
+/// The request of another entry node to which the caller reconnects at a position.
+fn attach_request(position: Position, nonce: u32) -> AttachRequest {
     AttachRequest {
         entry: node("other"),
         id: position.id,
@@ -30,137 +30,142 @@
 }
 
 #[test]
-fn a_returning_caller_gets_the_rest_and_the_old_connection_is_superseded() {
-    let mut world = World::new();
+fn reconnecting_caller_gets_the_rest_and_the_old_connection_is_superseded() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    let started = follow_two_tokens(&mut world, &sink);
-    let again = FakeSink::new(100);
-    world
-        .book
-        .reattach(world.now, sink.position(), Box::new(again.clone()));
-    world.push(&started, 2, &[b"c"], RUNNING);
-    assert_eq!(again.text(), "c");
+    let started = follow_two_tokens(&mut fixture, &sink);
+    let returned = FakeSink::new(100);
+    fixture
+        .table
+        .reattach(fixture.now, sink.position(), Box::new(returned.clone()));
+    fixture.push_progress(&started, 2, &[b"c"], RUNNING);
+    assert_eq!(returned.text(), "c");
     let superseded = Some((RefusedOutcome::Failed, RefusalKind::Superseded));
     assert_eq!(sink.refusal(), superseded);
 }
 
 #[test]
-fn a_position_of_another_branch_is_refused() {
-    let mut world = World::new();
+fn position_with_an_unknown_lineage_is_refused() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let mut position = sink.position();
     position.lineage = Lineage::first(999);
-    let again = FakeSink::new(100);
-    world
-        .book
-        .reattach(world.now, position, Box::new(again.clone()));
+    let returned = FakeSink::new(100);
+    fixture
+        .table
+        .reattach(fixture.now, position, Box::new(returned.clone()));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
-    assert_eq!(again.refusal(), lost);
+    assert_eq!(returned.refusal(), lost);
 }
 
 #[test]
-fn a_generation_without_its_caller_is_cancelled_after_a_while() {
-    let mut world = World::new();
+fn generation_is_cancelled_when_its_caller_does_not_reconnect_in_time() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     sink.close();
-    world.pass(20);
-    world.pass(REATTACH_MS / 2);
-    assert_eq!(world.book.take_actions(), []);
-    world.pass(REATTACH_MS);
-    assert_matches!(world.book.take_actions().as_slice(), [Action::Cancel(_, _)]);
+    fixture.advance(20);
+    fixture.advance(REATTACH_MS / 2);
+    assert_eq!(fixture.table.take_actions(), []);
+    fixture.advance(REATTACH_MS);
+    assert_matches!(
+        fixture.table.take_actions().as_slice(),
+        [Action::Cancel(_, _)]
+    );
 }
 
 #[test]
 fn a_released_generation_is_owned_by_one_entry_only() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    let started = follow_two_tokens(&mut world, &sink);
+    let started = follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let request = ask_for(position, 8);
-    let reply = world.book.release(world.now, &request);
-    world.push(&started, 2, &[b"c"], RUNNING);
+    let request = attach_request(position, 8);
+    let reply = fixture.table.release(fixture.now, &request);
+    fixture.push_progress(&started, 2, &[b"c"], RUNNING);
     assert_eq!(sink.text(), "ab", "nothing is delivered after the release");
     assert_matches!(
-        world.book.release(world.now, &request),
+        fixture.table.release(fixture.now, &request),
         AttachReply::Unknown
     );
 
     let AttachReply::Attached(snapshot) = reply else {
-        panic!("the record is handed over");
+        panic!("expected the record to be released");
     };
-    let mut other = World::new();
-    let again = FakeSink::new(100);
+    let mut other = Fixture::new();
+    let returned = FakeSink::new(100);
     other
-        .book
-        .reattach(other.now, position, Box::new(again.clone()));
-    assert_matches!(other.book.take_actions().as_slice(), [Action::Search(_)]);
+        .table
+        .reattach(other.now, position, Box::new(returned.clone()));
+    assert_matches!(other.table.take_actions().as_slice(), [Action::Search(_)]);
     other
-        .book
-        .found(other.now, position.id, Found::AtEntry(*snapshot));
-    let resumed = other.taken_start();
+        .table
+        .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
+    let resumed = other.take_start();
     assert_eq!(resumed.1.accepted.len(), 2);
     other.accept(&resumed);
-    other.push(&resumed, 2, &[b"c"], RUNNING);
-    assert_eq!(again.text(), "c");
+    other.push_progress(&resumed, 2, &[b"c"], RUNNING);
+    assert_eq!(returned.text(), "c");
 }
 
 #[test]
-fn a_record_that_nobody_holds_is_told_at_once() {
-    let mut world = World::new();
+fn caller_is_refused_at_once_if_no_node_holds_the_record() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let mut other = World::new();
-    let again = FakeSink::new(100);
+    let mut other = Fixture::new();
+    let returned = FakeSink::new(100);
     other
-        .book
-        .reattach(other.now, position, Box::new(again.clone()));
-    other.book.found(other.now, spec().id, Found::Nowhere);
+        .table
+        .reattach(other.now, position, Box::new(returned.clone()));
+    other
+        .table
+        .search_finished(other.now, spec().id, SearchResult::NotFound);
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
-    assert_eq!(again.refusal(), lost);
+    assert_eq!(returned.refusal(), lost);
 }
 
 #[test]
-fn a_caller_that_returns_after_a_refusal_is_refused_again_at_once() {
-    let mut world = World::new();
+fn caller_that_reconnects_after_a_refusal_is_refused_again_at_once() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     for agent in ["a", "b"] {
-        world.book.agent_lost(world.now, &node(agent));
+        fixture.table.agent_lost(fixture.now, &node(agent));
     }
-    world.pass(WAITING_MS);
+    fixture.advance(UNSERVED_TIMEOUT_MS);
     let refusal = sink.refusal();
     assert_matches!(refusal, Some((RefusedOutcome::Failed, _)));
-    let again = FakeSink::new(100);
-    world
-        .book
-        .reattach(world.now, position, Box::new(again.clone()));
-    assert_eq!(again.refusal(), refusal);
+    let returned = FakeSink::new(100);
+    fixture
+        .table
+        .reattach(fixture.now, position, Box::new(returned.clone()));
+    assert_eq!(returned.refusal(), refusal);
 }
 
 #[test]
-fn a_release_does_not_end_the_attempt_that_its_new_owner_goes_on_with() {
-    let mut world = World::new();
+fn release_does_not_cancel_the_attempt_that_the_new_owner_continues() {
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let request = ask_for(position, u32::MAX);
+    let request = attach_request(position, u32::MAX);
     assert_matches!(
-        world.book.release(world.now, &request),
+        fixture.table.release(fixture.now, &request),
         AttachReply::Attached(_)
     );
-    let actions = world.book.take_actions();
+    let actions = fixture.table.take_actions();
     assert_matches!(actions.as_slice(), [Action::Unfollow(_, _)]);
 }
 
 #[test]
 fn a_position_names_the_agent_that_runs_the_generation() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    let started = follow_two_tokens(&mut world, &sink);
+    let started = follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
     assert_eq!(position.holder, HolderHint::from(&started.0));
     assert_eq!(position.to_string().parse(), Ok(position));
@@ -168,27 +173,31 @@
 
 #[test]
 fn a_record_found_for_one_position_does_not_continue_another() {
-    let mut world = World::new();
+    let mut fixture = Fixture::new();
     let sink = FakeSink::new(100);
-    follow_two_tokens(&mut world, &sink);
+    follow_two_tokens(&mut fixture, &sink);
     let position = sink.position();
-    let request = ask_for(position, 8);
-    let AttachReply::Attached(snapshot) = world.book.release(world.now, &request) else {
-        panic!("the record is handed over");
+    let request = attach_request(position, 8);
+    let AttachReply::Attached(snapshot) = fixture.table.release(fixture.now, &request) else {
+        panic!("expected the record to be released");
     };
-    let mut other = World::new();
+    let mut other = Fixture::new();
     let sinks = [FakeSink::new(100), FakeSink::new(100)];
-    let mut elsewhere = position;
-    elsewhere.lineage = Lineage::first(999);
-    for (sink, position) in sinks.iter().zip([position, elsewhere]) {
+    let mut other_position = position;
+    other_position.lineage = Lineage::first(999);
+    for (sink, position) in sinks.iter().zip([position, other_position]) {
         other
-            .book
+            .table
             .reattach(other.now, position, Box::new(sink.clone()));
     }
     other
-        .book
-        .found(other.now, position.id, Found::AtEntry(*snapshot));
+        .table
+        .search_finished(other.now, position.id, SearchResult::AtEntry(*snapshot));
     let lost = Some((RefusedOutcome::Failed, RefusalKind::RecordLost));
-    assert_eq!(sinks[1].refusal(), lost, "it saw another branch");
+    assert_eq!(
+        sinks[1].refusal(),
+        lost,
+        "this caller received tokens of another lineage"
+    );
     assert_eq!(sinks[1].text(), "");
 }
