--- a/crates/masticsill_relay/src/copies.rs
+++ b/crates/masticsill_relay/src/copies.rs
@@ -141,11 +141,15 @@
 
     /// Whether a copy has to be made now: there is none on a usable holder, or the copy is about to
     /// expire.
-    pub(crate) fn needs_copy(&self, now: ClockMs, lives: impl Fn(&RunCopy) -> bool) -> bool {
+    pub(crate) fn needs_copy(
+        &self,
+        now: ClockMs,
+        is_holder_usable: impl Fn(&RunCopy) -> bool,
+    ) -> bool {
         if self.pending.is_some() || now < self.retry_at {
             return false;
         }
-        let Some(copy) = self.copy.as_ref().filter(|copy| lives(copy)) else {
+        let Some(copy) = self.copy.as_ref().filter(|copy| is_holder_usable(copy)) else {
             return true;
         };
         match &copy.origin {
@@ -164,10 +168,10 @@
         reservation: Rc<CopyReservation>,
     ) {
         let (made, receiver) = oneshot::channel();
-        let (calling, from, id) = (Rc::clone(relay), source.clone(), request_id.to_owned());
+        let (relay, from, id) = (Rc::clone(relay), source.clone(), request_id.to_owned());
         let target = at.clone();
         spawn_local(async move {
-            let handle = request_copy(&calling, &id, &from, &target).await;
+            let handle = request_copy(&relay, &id, &from, &target).await;
             let cause = handle.as_ref().err().map_or("", String::as_str);
             log_event!(
                 info,
@@ -252,9 +256,9 @@
         method,
         target,
     };
-    let calling = client.call(&call, COPY_TIMEOUT_MS);
+    let exchange = client.call(&call, COPY_TIMEOUT_MS);
     // A report that the engine or its zone is stalled shortens the wait.
-    match with_silence_timeout(relay, engine, relay.now(), COPY_TIMEOUT_MS, calling).await {
+    match with_silence_timeout(relay, engine, relay.now(), COPY_TIMEOUT_MS, exchange).await {
         Some(Ok((200, answer))) => Ok(answer),
         Some(Ok((status, _))) => Err(format!("the engine answered {status}")),
         Some(Err(cause)) => Err(cause),
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -195,8 +195,8 @@
         version: u64,
     ) -> Option<(PieceList, SocketAddr)> {
         let client = &self.client;
-        let asked = client.document_pieces(address, version, CALL_TIMEOUT_MS);
-        Some((asked.await?, address))
+        let primary = client.document_pieces(address, version, CALL_TIMEOUT_MS);
+        Some((primary.await?, address))
     }
 
     /// Fetches the next pieces, trying one replica after the other; false if none has them.
@@ -240,20 +240,20 @@
     async fn request_pieces(&mut self, address: SocketAddr, wanted: &[PieceHash]) -> PiecesReply {
         let began = self.parts.clock.now();
         let client = self.client.clone();
-        let asked = client.find_pieces(address, wanted, CALL_TIMEOUT_MS);
-        tokio::pin!(asked);
+        let primary = client.find_pieces(address, wanted, CALL_TIMEOUT_MS);
+        tokio::pin!(primary);
         let late = sleep(Duration::from_millis(self.pace.late_ms()));
         let reply = tokio::select! {
-            pieces = &mut asked => PiecesReply { is_late: false, pieces },
+            pieces = &mut primary => PiecesReply { is_late: false, pieces },
             () = late => {
                 let mut skipped = self.slow_replicas.clone();
                 skipped.insert(address);
                 match self.choose_piece_source(&skipped) {
                     Some(other) => {
                         let hedge = client.find_pieces(other, &wanted[..1], CALL_TIMEOUT_MS);
-                        first_reply(asked, hedge).await
+                        first_reply(primary, hedge).await
                     }
-                    None => PiecesReply { is_late: false, pieces: asked.await },
+                    None => PiecesReply { is_late: false, pieces: primary.await },
                 }
             }
         };
@@ -329,14 +329,14 @@
 
 /// Returns the first of two replies that contains pieces; `None` or no pieces if neither does.
 async fn first_reply(
-    asked: impl Future<Output = Option<Pieces>>,
+    primary: impl Future<Output = Option<Pieces>>,
     hedge: impl Future<Output = Option<Pieces>>,
 ) -> PiecesReply {
     let has_some = |pieces: &Option<Pieces>| pieces.as_ref().is_some_and(|it| !it.is_empty());
-    tokio::pin!(asked, hedge);
+    tokio::pin!(primary, hedge);
     let (pieces, is_late) = tokio::select! {
-        pieces = &mut asked => if has_some(&pieces) { (pieces, false) } else { (hedge.await, true) },
-        pieces = &mut hedge => if has_some(&pieces) { (pieces, true) } else { (asked.await, false) },
+        pieces = &mut primary => if has_some(&pieces) { (pieces, false) } else { (hedge.await, true) },
+        pieces = &mut hedge => if has_some(&pieces) { (pieces, true) } else { (primary.await, false) },
     };
     PiecesReply { is_late, pieces }
 }
--- a/crates/masticsill_relay/src/engine_reservation.rs
+++ b/crates/masticsill_relay/src/engine_reservation.rs
@@ -26,15 +26,19 @@
 ) -> Option<EndpointId> {
     let service = &request.service;
     let bound = Instant::now() + CONTROL_QUERY_TIMEOUT;
-    let near = own_zone_replica(relay).filter(|_| !relay.is_suspect(service, &relay.config.zone));
-    for (replica, zone) in near.into_iter().chain(other_zone_replicas(relay, service)) {
-        let asked = PlaceRequest {
+    let own_zone =
+        own_zone_replica(relay).filter(|_| !relay.is_suspect(service, &relay.config.zone));
+    for (replica, zone) in own_zone
+        .into_iter()
+        .chain(other_zone_replicas(relay, service))
+    {
+        let reservation_request = PlaceRequest {
             avoided: relay.unusable_endpoints(service, &zone, retry_state),
             service: service.clone(),
             watcher: relay.watcher(),
         };
-        let asking = relay.control.take_place(replica, &asked);
-        let Ok(reserved) = timeout_at(bound, asking).await else {
+        let reply = relay.control.take_place(replica, &reservation_request);
+        let Ok(reserved) = timeout_at(bound, reply).await else {
             return None;
         };
         if let Some(load) = reserved {
@@ -48,8 +52,8 @@
 
 /// The replica that reserves engines of this zone; all entries of the zone ask the same one.
 fn own_zone_replica(relay: &Relay) -> Option<(SocketAddr, ZoneId)> {
-    let near = relay.config.zone.clone();
-    Some((first_replica(relay, &near)?, near))
+    let own_zone = relay.config.zone.clone();
+    Some((first_replica(relay, &own_zone)?, own_zone))
 }
 
 /// A replica of each other zone, in random order so that entries without a reservation do not all
--- a/crates/masticsill_relay/src/relay.rs
+++ b/crates/masticsill_relay/src/relay.rs
@@ -362,13 +362,13 @@
             .attempt_failures
             .get_or_create(&CauseLabel { cause })
             .inc();
-        let is_zone_still = self.endpoints.borrow_mut().note_failure(now, id, failure);
+        let is_zone_stalled = self.endpoints.borrow_mut().note_failure(now, id, failure);
         self.pool.borrow_mut().drop_endpoint(id);
         self.note_load_change(&endpoint.zone);
         if failure != Failure::Stalled {
             return;
         }
-        let alert = if is_zone_still {
+        let alert = if is_zone_stalled {
             log_event!(
                 warn,
                 events::ZONE_SUSPECT,
