--- a/crates/masticsill_quorum/src/candidate.rs
+++ b/crates/masticsill_quorum/src/candidate.rs
@@ -15,26 +15,26 @@
     }
 
     /// Whether a leader was heard so lately that its lease may run.
-    fn hears_leader(&self, now: ClockMs) -> bool {
+    fn has_recent_leader_contact(&self, now: ClockMs) -> bool {
         matches!(self.role, RoleState::Leader(_))
-            || now.since(self.heard_leader_at) < self.settings.election_min_ms
+            || now.since(self.leader_heard_at) < self.settings.election_min_ms
     }
 
-    pub(crate) fn stand_if_due(&mut self, now: ClockMs) {
+    pub(crate) fn start_pre_vote_if_due(&mut self, now: ClockMs) {
         let is_voter = self.membership().is_voter(&self.id);
         if is_voter && now >= self.election_due {
-            self.begin_pre_vote(now);
+            self.start_pre_vote(now);
         }
     }
 
-    fn begin_pre_vote(&mut self, now: ClockMs) {
+    fn start_pre_vote(&mut self, now: ClockMs) {
         self.leader = None;
         self.role = RoleState::PreCandidate {
             granted: Vec::new(),
         };
         self.report_role();
         // Asking again disturbs no one, so a lost or early question is soon repeated.
-        self.retry_election_soon(now);
+        self.set_short_election_timer(now);
         let (last_term, last_index) = self.own_rank();
         let term = self.term.next();
         for voter in self.other_voters() {
@@ -61,7 +61,8 @@
         term: Term,
         rank: LogRank,
     ) {
-        let is_granted = term > self.term && !self.hears_leader(now) && rank >= self.own_rank();
+        let is_granted =
+            term > self.term && !self.has_recent_leader_contact(now) && rank >= self.own_rank();
         let term = if is_granted { term } else { self.term };
         self.send(from, Message::PreVoteReply { term, is_granted });
     }
@@ -78,23 +79,23 @@
         }
         let (_, membership) = self.log.membership();
         if membership.is_quorum(self.settings.min_quorum, |id| granted.contains(id)) {
-            self.stand(now, false);
+            self.start_election(now, false);
         }
     }
 
     /// Stands in a new term. The own vote counts, and others are asked, once it is synced.
-    pub(crate) fn stand(&mut self, now: ClockMs, is_transfer: bool) {
+    pub(crate) fn start_election(&mut self, now: ClockMs, is_transfer: bool) {
         self.term = self.term.next();
         self.voted_for = Some(self.id.clone());
         self.leader = None;
         self.incoming = None;
         self.role = RoleState::Candidate {
             granted: Vec::new(),
-            stood_at: now,
+            election_started_at: now,
         };
         self.persist_vote();
         self.report_role();
-        self.delay_election(now);
+        self.reset_election_timer(now);
         let (last_term, last_index) = self.own_rank();
         for voter in self.other_voters() {
             let message = Message::Vote {
@@ -110,18 +111,22 @@
     }
 
     /// A candidate that waited longer than a lease does not lead on old votes.
-    pub(crate) fn stop_late_candidate(&mut self, now: ClockMs) {
-        let RoleState::Candidate { stood_at, .. } = self.role else {
+    pub(crate) fn step_down_if_election_expired(&mut self, now: ClockMs) {
+        let RoleState::Candidate {
+            election_started_at,
+            ..
+        } = self.role
+        else {
             return;
         };
-        if now.since(stood_at) > self.settings.lease_ms {
+        if now.since(election_started_at) > self.settings.lease_ms {
             self.become_follower(now, None);
-            self.retry_election_soon(now);
+            self.set_short_election_timer(now);
         }
     }
 
     /// Handles a message of a higher term; false when it is ignored or already answered.
-    pub(crate) fn enters_term_of(
+    pub(crate) fn enter_message_term(
         &mut self,
         now: ClockMs,
         from: &VoterId,
@@ -146,7 +151,9 @@
                 return false;
             }
             // A replica that hears its leader is not moved by one that doesn't.
-            Message::Vote { is_transfer, .. } if !is_transfer && self.hears_leader(now) => {
+            Message::Vote { is_transfer, .. }
+                if !is_transfer && self.has_recent_leader_contact(now) =>
+            {
                 return false;
             }
             _ => {}
@@ -162,21 +169,26 @@
         rank: LogRank,
         is_transfer: bool,
     ) {
-        let is_free = self.voted_for.is_none() && self.leader.is_none();
+        let has_no_vote_or_leader = self.voted_for.is_none() && self.leader.is_none();
         let is_repeated = self.voted_for.as_ref() == Some(&from);
-        let is_patient = is_transfer || !self.hears_leader(now);
-        let is_granted = is_repeated || (is_free && is_patient && rank >= self.own_rank());
+        let may_ignore_lease = is_transfer || !self.has_recent_leader_contact(now);
+        let is_granted =
+            is_repeated || (has_no_vote_or_leader && may_ignore_lease && rank >= self.own_rank());
         if is_granted && !is_repeated {
             self.voted_for = Some(from.clone());
             self.persist_vote();
-            self.delay_election(now);
+            self.reset_election_timer(now);
         }
         let term = self.term;
-        self.send_in_term(from, Message::VoteReply { term, is_granted });
+        self.send_when_term_synced(from, Message::VoteReply { term, is_granted });
     }
 
     pub(crate) fn count_vote(&mut self, now: ClockMs, from: VoterId, is_granted: bool) {
-        let RoleState::Candidate { granted, stood_at } = &mut self.role else {
+        let RoleState::Candidate {
+            granted,
+            election_started_at,
+        } = &mut self.role
+        else {
             return;
         };
         if !is_granted {
@@ -185,27 +197,27 @@
         if !granted.contains(&from) {
             granted.push(from);
         }
-        let stood_at = *stood_at;
+        let election_started_at = *election_started_at;
         let (_, membership) = self.log.membership();
         if membership.is_quorum(self.settings.min_quorum, |id| granted.contains(id)) {
-            self.lead(now, stood_at);
+            self.become_leader(now, election_started_at);
         }
     }
 
     /// Answers a message of a lower term so that its sender learns of this one.
-    pub(crate) fn answer_old_term(&mut self, from: VoterId, message: &Message) {
+    pub(crate) fn reply_to_old_term(&mut self, from: VoterId, message: &Message) {
         let term = self.term;
         match message {
             Message::Append { .. } | Message::SnapshotChunk { .. } | Message::Heartbeat { .. } => {
-                self.send_in_term(from, Message::HeartbeatAcknowledged { term, round: 0 });
+                self.send_when_term_synced(from, Message::HeartbeatAcknowledged { term, round: 0 });
             }
             Message::Vote { .. } => {
                 let is_granted = false;
-                self.send_in_term(from, Message::VoteReply { term, is_granted });
+                self.send_when_term_synced(from, Message::VoteReply { term, is_granted });
             }
             Message::PreVote { .. } => {
                 let is_granted = false;
-                self.send_in_term(from, Message::PreVoteReply { term, is_granted });
+                self.send_when_term_synced(from, Message::PreVoteReply { term, is_granted });
             }
             Message::AppendAccepted { .. }
             | Message::AppendRejected { .. }
--- a/crates/masticsill_quorum/src/durability.rs
+++ b/crates/masticsill_quorum/src/durability.rs
@@ -22,26 +22,26 @@
 pub(crate) struct Durability {
     issued: SyncPoint,
     synced: SyncPoint,
-    term_point: SyncPoint,
+    term_write_point: SyncPoint,
     /// The last index that is synced in the log as it stands.
-    last_index: LogIndex,
-    waiting: VecDeque<(SyncPoint, Deferred)>,
+    synced_index: LogIndex,
+    deferred_actions: VecDeque<(SyncPoint, Deferred)>,
 }
 
 impl Durability {
-    pub(crate) fn new(last_index: LogIndex) -> Self {
+    pub(crate) fn new(synced_index: LogIndex) -> Self {
         Self {
             issued: SyncPoint::default(),
             synced: SyncPoint::default(),
-            term_point: SyncPoint::default(),
-            last_index,
-            waiting: VecDeque::new(),
+            term_write_point: SyncPoint::default(),
+            synced_index,
+            deferred_actions: VecDeque::new(),
         }
     }
 
     /// The last index that is synced in the log as it stands.
-    pub(crate) fn last_index(&self) -> LogIndex {
-        self.last_index
+    pub(crate) fn synced_index(&self) -> LogIndex {
+        self.synced_index
     }
 
     pub(crate) fn next_point(&mut self) -> SyncPoint {
@@ -50,42 +50,45 @@
     }
 
     /// Notes that the newest write is that of the term and vote.
-    pub(crate) fn note_term_write(&mut self) {
-        self.term_point = self.issued;
+    pub(crate) fn mark_term_write(&mut self) {
+        self.term_write_point = self.issued;
     }
 
     pub(crate) fn is_term_synced(&self) -> bool {
-        self.term_point <= self.synced
+        self.term_write_point <= self.synced
     }
 
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
-        self.last_index = self.last_index.min(index.previous());
+        self.synced_index = self.synced_index.min(index.previous());
         // The same entry may be appended again later; the old write no longer proves it durable.
-        self.waiting.retain(|(_, deferred)| match deferred {
-            Deferred::OwnEntry { index: own, .. } => *own < index,
-            Deferred::OwnVote { .. } | Deferred::Send(_) => true,
-        });
+        self.deferred_actions
+            .retain(|(_, deferred)| match deferred {
+                Deferred::OwnEntry { index: own, .. } => *own < index,
+                Deferred::OwnVote { .. } | Deferred::Send(_) => true,
+            });
     }
 
-    pub(crate) fn raise(&mut self, index: LogIndex) {
-        self.last_index = self.last_index.max(index);
+    pub(crate) fn raise_synced_index(&mut self, index: LogIndex) {
+        self.synced_index = self.synced_index.max(index);
     }
 
     /// Holds something until every write asked for so far is synced.
     pub(crate) fn defer(&mut self, deferred: Deferred) {
-        self.waiting.push_back((self.issued, deferred));
+        self.deferred_actions.push_back((self.issued, deferred));
     }
 
-    pub(crate) fn sync(&mut self, up_to: SyncPoint) {
+    pub(crate) fn mark_synced(&mut self, up_to: SyncPoint) {
         self.synced = self.synced.max(up_to.min(self.issued));
     }
 
     /// The next thing whose writes are all synced.
-    pub(crate) fn release(&mut self) -> Option<Deferred> {
-        let (point, _) = self.waiting.front()?;
+    pub(crate) fn pop_ready(&mut self) -> Option<Deferred> {
+        let (point, _) = self.deferred_actions.front()?;
         if *point > self.synced {
             return None;
         }
-        self.waiting.pop_front().map(|(_, deferred)| deferred)
+        self.deferred_actions
+            .pop_front()
+            .map(|(_, deferred)| deferred)
     }
 }
--- a/crates/masticsill_quorum/src/follower.rs
+++ b/crates/masticsill_quorum/src/follower.rs
@@ -26,8 +26,8 @@
         if !is_following || self.leader.as_ref() != Some(&from) {
             self.become_follower(now, Some(from.clone()));
         }
-        self.heard_leader_at = now;
-        self.delay_election(now);
+        self.leader_heard_at = now;
+        self.reset_election_timer(now);
         match message {
             Message::Append {
                 previous_index,
@@ -35,8 +35,8 @@
                 commit,
                 entries,
                 ..
-            } => self.take_entries(from, (previous_index, previous_term), commit, entries),
-            Message::Heartbeat { round, commit, .. } => self.take_heartbeat(from, round, commit),
+            } => self.handle_append(from, (previous_index, previous_term), commit, entries),
+            Message::Heartbeat { round, commit, .. } => self.handle_heartbeat(from, round, commit),
             Message::SnapshotChunk {
                 index,
                 index_term,
@@ -53,26 +53,26 @@
                     total_bytes,
                     data: data.to_vec(),
                 };
-                self.take_chunk(from, incoming, offset_bytes);
+                self.handle_snapshot_chunk(from, incoming, offset_bytes);
             }
-            Message::TimeoutNow { .. } => self.stand_at_request(now),
+            Message::TimeoutNow { .. } => self.start_requested_election(now),
             _ => {}
         }
     }
 
-    fn stand_at_request(&mut self, now: ClockMs) {
+    fn start_requested_election(&mut self, now: ClockMs) {
         if self.membership().is_voter(&self.id) {
-            self.stand(now, true);
+            self.start_election(now, true);
         }
     }
 
-    fn take_heartbeat(&mut self, from: VoterId, round: u64, commit: LogIndex) {
+    fn handle_heartbeat(&mut self, from: VoterId, round: u64, commit: LogIndex) {
         let term = self.term;
-        self.send_in_term(from, Message::HeartbeatAcknowledged { term, round });
+        self.send_when_term_synced(from, Message::HeartbeatAcknowledged { term, round });
         self.commit_up_to(commit);
     }
 
-    fn take_entries(
+    fn handle_append(
         &mut self,
         from: VoterId,
         (mut previous_index, mut previous_term): (LogIndex, Term),
@@ -86,7 +86,7 @@
             previous_term = self.log.term(self.commit).unwrap_or_default();
         }
         if self.log.term(previous_index) != Some(previous_term) {
-            self.reject_entries(from, previous_index);
+            self.send_append_rejected(from, previous_index);
             return;
         }
         let match_index = entries.last().map_or(previous_index, |entry| entry.index);
@@ -94,12 +94,12 @@
         let known = entries.iter().take_while(|entry| is_known(entry)).count();
         entries.drain(..known);
         self.write_entries(entries);
-        self.accept_up_to(from, match_index);
+        self.acknowledge_up_to(from, match_index);
         self.commit_up_to(commit.min(match_index));
     }
 
-    fn reject_entries(&mut self, from: VoterId, previous_index: LogIndex) {
-        let hint = self.log.before_term_of(previous_index);
+    fn send_append_rejected(&mut self, from: VoterId, previous_index: LogIndex) {
+        let hint = self.log.last_index_before_term_of(previous_index);
         let hint = if previous_index > self.log.last_index() {
             self.log.last_index()
         } else {
@@ -110,7 +110,7 @@
             previous_index,
             hint,
         };
-        self.send_in_term(from, message);
+        self.send_when_term_synced(from, message);
     }
 
     /// Appends entries, in place of any that conflict with them.
@@ -138,11 +138,11 @@
     }
 
     /// Tells the leader that the log matches up to an index, once that is synced.
-    pub(crate) fn accept_up_to(&mut self, to: VoterId, match_index: LogIndex) {
+    pub(crate) fn acknowledge_up_to(&mut self, to: VoterId, match_index: LogIndex) {
         let term = self.term;
         let message = Message::AppendAccepted { term, match_index };
-        if match_index <= self.durability.last_index() {
-            self.send_in_term(to, message);
+        if match_index <= self.durability.synced_index() {
+            self.send_when_term_synced(to, message);
         } else {
             self.send_when_synced(to, message);
         }
--- a/crates/masticsill_quorum/src/founding.rs
+++ b/crates/masticsill_quorum/src/founding.rs
@@ -13,18 +13,18 @@
 pub const MAX_FOUNDERS: usize = 7;
 /// Time without another candidate after which the candidates count as complete: several times the
 /// interval at which replicas introduce themselves to the seeds (250 ms).
-const SETTLED_MS: u64 = 900;
+const CANDIDATES_SETTLED_MS: u64 = 900;
 /// How long a replica waits for as many candidates as are wanted before it founds with fewer, so
 /// that one which never comes does not keep the others from serving. A machine starts within a
 /// second or two.
-const SHORT_OF_WANTED_MS: u64 = 5_000;
+const UNDERSIZED_FOUNDING_DELAY_MS: u64 = 5_000;
 /// Head start of each candidate before the next in order, should the one before it not act.
-const RANK_MS: u64 = 700;
+const RANK_DELAY_MS: u64 = 700;
 /// Age from which a process may be reserved. A younger one could have forgotten a reservation of
 /// its former life; by this age that founding is over, and its members have told of it.
-const YOUNG_MS: u64 = 1_500;
+const MIN_PROCESS_AGE_MS: u64 = 1_500;
 /// How long a reservation holds: beyond [`FOUND_WITHIN_MS`] and the storing of the members.
-const RESERVED_MS: u64 = 4_000;
+const RESERVATION_TTL_MS: u64 = 4_000;
 /// Time from the first reservation in which the proposer must found, or give up.
 pub const FOUND_WITHIN_MS: u64 = 400;
 
@@ -40,7 +40,7 @@
 /// What one process grants to foundings.
 #[derive(Clone, Debug)]
 pub struct Reservations {
-    held: Option<(FoundingAttempt, ClockMs)>,
+    reservation: Option<(FoundingAttempt, ClockMs)>,
     is_founding_over: bool,
     started_at: ClockMs,
 }
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn new(started_at: ClockMs) -> Self {
         Self {
-            held: None,
+            reservation: None,
             is_founding_over: false,
             started_at,
         }
@@ -68,24 +68,28 @@
     }
 
     /// Reserves the process; returns whether it is reserved for this proposal now.
-    pub fn reserve(&mut self, now: ClockMs, proposal: &FoundingAttempt) -> bool {
-        if self.is_founding_over || now.since(self.started_at) < YOUNG_MS {
+    pub fn reserve(&mut self, now: ClockMs, attempt: &FoundingAttempt) -> bool {
+        if self.is_founding_over || now.since(self.started_at) < MIN_PROCESS_AGE_MS {
             return false;
         }
-        let is_other = |(held, at): &(FoundingAttempt, ClockMs)| {
-            held != proposal && now.since(*at) < RESERVED_MS
+        let is_other = |(reservation, at): &(FoundingAttempt, ClockMs)| {
+            reservation != attempt && now.since(*at) < RESERVATION_TTL_MS
         };
-        if self.held.as_ref().is_some_and(is_other) {
+        if self.reservation.as_ref().is_some_and(is_other) {
             return false;
         }
-        self.held = Some((proposal.clone(), now));
+        self.reservation = Some((attempt.clone(), now));
         true
     }
 
     /// Gives up the reservation for a proposal, if it is held.
-    pub fn release(&mut self, proposal: &FoundingAttempt) {
-        if self.held.as_ref().is_some_and(|(held, _)| held == proposal) {
-            self.held = None;
+    pub fn release(&mut self, attempt: &FoundingAttempt) {
+        if self
+            .reservation
+            .as_ref()
+            .is_some_and(|(reservation, _)| reservation == attempt)
+        {
+            self.reservation = None;
         }
     }
 }
@@ -98,20 +102,20 @@
     retry_at: ClockMs,
     started_at: ClockMs,
     /// Voters that the losses to be borne ask for.
-    wanted: usize,
+    target_voters: usize,
 }
 
 impl FoundingPlan {
-    /// The plan of a replica that starts now and bears losses with `wanted` voters.
+    /// The plan of a replica that starts now and bears losses with `target_voters` voters.
     #[must_use]
-    pub fn new(now: ClockMs, own: NodeId, wanted: usize) -> Self {
+    pub fn new(now: ClockMs, own: NodeId, target_voters: usize) -> Self {
         let candidates = IndexMap::from([(own.clone(), now)]);
         Self {
             candidates,
             own,
             retry_at: now,
             started_at: now,
-            wanted,
+            target_voters,
         }
     }
 
@@ -131,22 +135,22 @@
 
     /// Lets others go first after a proposal that was not granted.
     pub fn note_refused(&mut self, now: ClockMs) {
-        self.retry_at = now + RANK_MS * (1 + self.rank());
+        self.retry_at = now + RANK_DELAY_MS * (1 + self.rank());
     }
 
     /// The members to found with now, if it is this replica's turn.
     #[must_use]
     pub fn members(&self, now: ClockMs) -> Option<Vec<NodeId>> {
         let newest = self.candidates.values().copied().max()?;
-        let is_settled = now.since(newest) >= SETTLED_MS;
+        let is_settled = now.since(newest) >= CANDIDATES_SETTLED_MS;
         let waited_ms = now.since(self.started_at);
-        let head_start_ms = RANK_MS * self.rank();
-        let is_due = if self.candidates.len() >= self.wanted {
-            waited_ms >= YOUNG_MS + head_start_ms
+        let head_start_ms = RANK_DELAY_MS * self.rank();
+        let is_due = if self.candidates.len() >= self.target_voters {
+            waited_ms >= MIN_PROCESS_AGE_MS + head_start_ms
         } else {
             // A majority of the wanted ones at least: fewer would not outlive what may be lost.
-            self.candidates.len() * 2 > self.wanted
-                && waited_ms >= SHORT_OF_WANTED_MS + head_start_ms
+            self.candidates.len() * 2 > self.target_voters
+                && waited_ms >= UNDERSIZED_FOUNDING_DELAY_MS + head_start_ms
         };
         if !is_settled || !is_due || now < self.retry_at {
             return None;
--- a/crates/masticsill_quorum/src/leader.rs
+++ b/crates/masticsill_quorum/src/leader.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Transfer {
     pub(crate) target: VoterId,
-    pub(crate) give_up_at: ClockMs,
+    pub(crate) deadline: ClockMs,
 }
 
 /// What only a leader keeps.
@@ -34,7 +34,7 @@
     /// The leader's first entry; once it is committed, so is all before it.
     pub(crate) first_index: LogIndex,
     /// When it asked for votes: the lease counts from there until a round is confirmed.
-    pub(crate) stood_at: ClockMs,
+    pub(crate) election_started_at: ClockMs,
     pub(crate) heartbeat_due: ClockMs,
     /// Rounds sent and not yet confirmed, oldest first.
     pub(crate) rounds: VecDeque<Round>,
@@ -75,8 +75,8 @@
     }
 
     /// A leader that no majority has acknowledged within its lease stops leading.
-    pub(crate) fn stop_past_lease(&mut self, now: ClockMs) {
-        let is_sole_voter = self.decides_alone();
+    pub(crate) fn step_down_if_lease_expired(&mut self, now: ClockMs) {
+        let is_sole_voter = self.is_quorum_alone();
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
@@ -88,24 +88,26 @@
             });
             return;
         }
-        let confirmed_at = state.confirmed.map_or(state.stood_at, |it| it.sent_at);
+        let confirmed_at = state
+            .confirmed
+            .map_or(state.election_started_at, |it| it.sent_at);
         if now.since(confirmed_at) > self.settings.lease_ms {
             self.become_follower(now, None);
         }
     }
 
-    fn decides_alone(&self) -> bool {
+    fn is_quorum_alone(&self) -> bool {
         let min_quorum = self.settings.min_quorum;
         self.membership().is_quorum(min_quorum, |id| *id == self.id)
     }
 
-    pub(crate) fn lead(&mut self, now: ClockMs, stood_at: ClockMs) {
+    pub(crate) fn become_leader(&mut self, now: ClockMs, election_started_at: ClockMs) {
         let first_index = self.log.last_index().next();
         self.leader = Some(self.id.clone());
         self.role = RoleState::Leader(Box::new(LeaderState {
             progress: IndexMap::new(),
             first_index,
-            stood_at,
+            election_started_at,
             heartbeat_due: now,
             rounds: VecDeque::new(),
             last_round: 0,
@@ -116,8 +118,8 @@
         }));
         self.report_role();
         self.track_members(now);
-        self.begin_round(now);
-        let payload = self.first_payload();
+        self.start_heartbeat_round(now);
+        let payload = self.first_entry_payload();
         self.append_own(vec![payload]);
     }
 
@@ -125,7 +127,7 @@
     ///
     /// A member that was not told of the founding would take entries and know no member; with the
     /// others lost, nobody could be elected from what it holds.
-    fn first_payload(&self) -> Payload {
+    fn first_entry_payload(&self) -> Payload {
         match self.log.membership() {
             (LogIndex(0), membership) => Payload::Membership(membership.clone()),
             _ => Payload::Noop,
@@ -153,18 +155,18 @@
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
-        let is_transfer_over = |it: &Transfer| now >= it.give_up_at;
+        let is_transfer_over = |it: &Transfer| now >= it.deadline;
         if state.transfer.as_ref().is_some_and(is_transfer_over) {
             state.transfer = None;
         }
         if now >= state.heartbeat_due {
-            self.begin_round(now);
+            self.start_heartbeat_round(now);
         }
         self.advance_membership(now);
     }
 
     /// Sends a heartbeat to every member.
-    pub(crate) fn begin_round(&mut self, now: ClockMs) {
+    pub(crate) fn start_heartbeat_round(&mut self, now: ClockMs) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
@@ -190,7 +192,12 @@
         self.confirm_rounds(now);
     }
 
-    pub(crate) fn note_acknowledged(&mut self, now: ClockMs, from: &VoterId, round: u64) {
+    pub(crate) fn handle_heartbeat_acknowledged(
+        &mut self,
+        now: ClockMs,
+        from: &VoterId,
+        round: u64,
+    ) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
@@ -198,8 +205,8 @@
             return;
         };
         progress.round = progress.round.max(round.min(state.last_round));
-        progress.heard_at = Some(now);
-        progress.resume();
+        progress.last_heard_at = Some(now);
+        progress.allow_resend();
         let is_behind = progress.match_index < self.log.last_index();
         self.confirm_rounds(now);
         if is_behind {
@@ -296,7 +303,7 @@
         let RoleState::Leader(state) = &self.role else {
             return;
         };
-        let own_index = self.durability.last_index();
+        let own_index = self.durability.synced_index();
         let min_quorum = self.settings.min_quorum;
         let reached = self.membership().quorum_value(min_quorum, |id| {
             if *id == self.id {
@@ -329,7 +336,7 @@
     }
 
     /// Tells callers that leadership ended before their answers were known.
-    pub(crate) fn answer_abandoned(&mut self, state: LeaderState) {
+    pub(crate) fn fail_pending_requests(&mut self, state: LeaderState) {
         for (_, token) in state.pending {
             self.outputs.push(Output::OutcomeUnknown { token });
         }
@@ -348,18 +355,19 @@
         };
         let (_, membership) = self.log.membership();
         let is_candidate = |id: &VoterId| {
-            let is_wanted = target.is_none_or(|wanted| wanted == id);
-            is_wanted && membership.is_voter(id) && !membership.leaving.contains(id)
+            let matches_target = target.is_none_or(|requested_target| requested_target == id);
+            matches_target && membership.is_voter(id) && !membership.leaving.contains(id)
         };
         let candidates = state.progress.iter().filter(|(id, _)| is_candidate(id));
-        let best = candidates.max_by_key(|(_, progress)| (progress.heard_at, progress.match_index));
+        let best =
+            candidates.max_by_key(|(_, progress)| (progress.last_heard_at, progress.match_index));
         let Some((best, _)) = best else {
             return;
         };
         let best = best.clone();
         state.transfer = Some(Transfer {
             target: best.clone(),
-            give_up_at: now + self.settings.election_min_ms,
+            deadline: now + self.settings.election_min_ms,
         });
         self.replicate_to(&best, true);
         self.finish_transfer(now);
--- a/crates/masticsill_quorum/src/lib.rs
+++ b/crates/masticsill_quorum/src/lib.rs
@@ -23,7 +23,7 @@
 mod replica;
 mod replicate;
 mod settings;
-mod silence;
+mod silent_members;
 mod snapshot;
 pub mod storage;
 mod wire;
--- a/crates/masticsill_quorum/src/log.rs
+++ b/crates/masticsill_quorum/src/log.rs
@@ -27,7 +27,7 @@
             snapshot: None,
         };
         if let Some(snapshot) = snapshot {
-            log.replace_by(snapshot);
+            log.replace_with(snapshot);
         }
         log.append(entries);
         log
@@ -135,7 +135,7 @@
     }
 
     /// The last index, at or below `index`, whose term is below that of the entry at `index`.
-    pub(crate) fn before_term_of(&self, index: LogIndex) -> LogIndex {
+    pub(crate) fn last_index_before_term_of(&self, index: LogIndex) -> LogIndex {
         let mut candidate = index.min(self.last_index());
         let Some(term) = self.term(candidate) else {
             return candidate;
@@ -165,11 +165,11 @@
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.compact(snapshot, 0);
         } else {
-            self.replace_by(snapshot);
+            self.replace_with(snapshot);
         }
     }
 
-    fn replace_by(&mut self, snapshot: Snapshot) {
+    fn replace_with(&mut self, snapshot: Snapshot) {
         self.base_index = snapshot.index;
         self.base_term = snapshot.term;
         self.entries.clear();
--- a/crates/masticsill_quorum/src/member_change.rs
+++ b/crates/masticsill_quorum/src/member_change.rs
@@ -19,7 +19,7 @@
             return;
         }
         let changed = if self.is_membership_settled() {
-            self.membership().changed_by(change)
+            self.membership().with_change(change)
         } else {
             Err(MembershipError::ChangeInProgress)
         };
@@ -60,7 +60,7 @@
             self.transfer_leadership(now, None);
             return;
         }
-        let next = match self.membership().without_leaving() {
+        let next = match self.membership().with_first_leaving_removed() {
             Some(next) => Some(next),
             None => self
                 .caught_up_learner(now)
@@ -81,7 +81,7 @@
                 return false;
             };
             let is_heard = |at: ClockMs| now.since(at) <= self.settings.lease_ms;
-            progress.match_index >= self.commit && progress.heard_at.is_some_and(is_heard)
+            progress.match_index >= self.commit && progress.last_heard_at.is_some_and(is_heard)
         };
         let learners = self.membership().learners.iter();
         learners
--- a/crates/masticsill_quorum/src/membership.rs
+++ b/crates/masticsill_quorum/src/membership.rs
@@ -102,7 +102,7 @@
     }
 
     /// Voters that decide: a majority, and `min_quorum` of them or all where fewer vote.
-    pub(crate) fn quorum(&self, min_quorum: usize) -> usize {
+    pub(crate) fn quorum_size(&self, min_quorum: usize) -> usize {
         self.majority().max(min_quorum.min(self.voters.len()))
     }
 
@@ -113,7 +113,7 @@
         has_answered: impl Fn(&VoterId) -> bool,
     ) -> bool {
         let count = self.voters.iter().filter(|id| has_answered(id)).count();
-        !self.voters.is_empty() && count >= self.quorum(min_quorum)
+        !self.voters.is_empty() && count >= self.quorum_size(min_quorum)
     }
 
     /// The highest value that enough voters to decide have reached; none without voters.
@@ -124,35 +124,39 @@
     ) -> Option<V> {
         let mut values: Vec<V> = self.voters.iter().map(value).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
-        values.into_iter().nth(self.quorum(min_quorum) - 1)
+        values.into_iter().nth(self.quorum_size(min_quorum) - 1)
     }
 
     /// The membership after a caller's change.
-    pub(crate) fn changed_by(&self, change: &MembershipChange) -> Result<Self, MembershipError> {
+    pub(crate) fn with_change(&self, change: &MembershipChange) -> Result<Self, MembershipError> {
         match change {
-            MembershipChange::Join { id, replaces } => self.joined_by(id, replaces.as_ref()),
-            MembershipChange::Remove { id } => self.removed_by(id),
+            MembershipChange::Join { id, replaces } => self.with_learner(id, replaces.as_ref()),
+            MembershipChange::Remove { id } => self.with_removal(id),
         }
     }
 
-    fn joined_by(&self, id: &VoterId, replaces: Option<&VoterId>) -> Result<Self, MembershipError> {
+    fn with_learner(
+        &self,
+        id: &VoterId,
+        replaces: Option<&VoterId>,
+    ) -> Result<Self, MembershipError> {
         if self.is_member(id) {
             return Err(MembershipError::AlreadyMember(id.clone()));
         }
-        let namesake = self.voters.iter().find(|voter| voter.name == id.name);
-        let replaces = replaces.or(namesake).cloned();
+        let same_name_voter = self.voters.iter().find(|voter| voter.name == id.name);
+        let replaces = replaces.or(same_name_voter).cloned();
         if let Some(replaced) = &replaces
             && !self.is_voter(replaced)
         {
             return Err(MembershipError::UnknownMember(replaced.clone()));
         }
         // A learner of the same name lost its folder: the new one takes its place.
-        let joining = self
+        let unpaired_learners = self
             .learners
             .iter()
             .filter(|learner| learner.replaces.is_none() && learner.id.name != id.name);
-        let planned = self.voters.len() + joining.count() - self.leaving.len();
-        if replaces.is_none() && planned >= MAX_VOTERS {
+        let planned_voters = self.voters.len() + unpaired_learners.count() - self.leaving.len();
+        if replaces.is_none() && planned_voters >= MAX_VOTERS {
             return Err(MembershipError::TooManyVoters);
         }
         let mut next = self.clone();
@@ -164,7 +168,7 @@
         Ok(next)
     }
 
-    fn removed_by(&self, id: &VoterId) -> Result<Self, MembershipError> {
+    fn with_removal(&self, id: &VoterId) -> Result<Self, MembershipError> {
         if !self.is_member(id) {
             return Err(MembershipError::UnknownMember(id.clone()));
         }
@@ -182,7 +186,7 @@
     }
 
     /// The membership without the first voter that leaves, if one does.
-    pub(crate) fn without_leaving(&self) -> Option<Self> {
+    pub(crate) fn with_first_leaving_removed(&self) -> Option<Self> {
         let mut next = self.clone();
         let leaving = next.leaving.first()?.clone();
         next.leaving.remove(0);
--- a/crates/masticsill_quorum/src/progress.rs
+++ b/crates/masticsill_quorum/src/progress.rs
@@ -6,23 +6,23 @@
 
 /// How the leader sends to a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Flow {
+pub(crate) enum ReplicationMode {
     /// One message at a time until the logs are known to match.
-    Probe { is_waiting: bool },
+    Probe { is_awaiting_reply: bool },
     /// Entries are sent ahead of acknowledgements.
     Replicate,
     /// The snapshot at an index is sent part by part.
     Snapshot {
         index: LogIndex,
         offset_bytes: u64,
-        is_waiting: bool,
+        is_awaiting_reply: bool,
     },
 }
 
 /// A leader's view of one peer's log.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    pub(crate) flow: Flow,
+    pub(crate) mode: ReplicationMode,
     /// The last index known to be synced at the peer.
     pub(crate) match_index: LogIndex,
     /// The next index to send.
@@ -30,7 +30,7 @@
     /// The newest heartbeat round that the peer acknowledged, zero for none.
     pub(crate) round: u64,
     /// When the peer was last heard of in this term.
-    pub(crate) heard_at: Option<ClockMs>,
+    pub(crate) last_heard_at: Option<ClockMs>,
     /// When the leader began to track the peer.
     pub(crate) tracked_at: ClockMs,
 }
@@ -38,44 +38,51 @@
 impl Progress {
     pub(crate) fn new(tracked_at: ClockMs, next_index: LogIndex) -> Self {
         Self {
-            flow: Flow::Probe { is_waiting: false },
+            mode: ReplicationMode::Probe {
+                is_awaiting_reply: false,
+            },
             match_index: LogIndex::default(),
             next_index,
             round: 0,
-            heard_at: None,
+            last_heard_at: None,
             tracked_at,
         }
     }
 
-    pub(crate) fn accept(&mut self, match_index: LogIndex) {
+    pub(crate) fn record_accepted(&mut self, match_index: LogIndex) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index.next());
-        match self.flow {
-            Flow::Probe { .. } => self.flow = Flow::Replicate,
-            Flow::Snapshot { index, .. } if self.match_index >= index => {
-                self.flow = Flow::Replicate;
+        match self.mode {
+            ReplicationMode::Probe { .. } => self.mode = ReplicationMode::Replicate,
+            ReplicationMode::Snapshot { index, .. } if self.match_index >= index => {
+                self.mode = ReplicationMode::Replicate;
             }
-            Flow::Replicate | Flow::Snapshot { .. } => {}
+            ReplicationMode::Replicate | ReplicationMode::Snapshot { .. } => {}
         }
     }
 
     /// Notes a rejection; false when it is older than what is known.
-    pub(crate) fn reject(&mut self, previous_index: LogIndex, hint: LogIndex) -> bool {
+    pub(crate) fn record_rejected(&mut self, previous_index: LogIndex, hint: LogIndex) -> bool {
         let is_stale = previous_index <= self.match_index || previous_index >= self.next_index;
-        if is_stale || matches!(self.flow, Flow::Snapshot { .. }) {
+        if is_stale || matches!(self.mode, ReplicationMode::Snapshot { .. }) {
             return false;
         }
         let matching = hint.min(previous_index.previous()).max(self.match_index);
         self.next_index = matching.next();
-        self.flow = Flow::Probe { is_waiting: false };
+        self.mode = ReplicationMode::Probe {
+            is_awaiting_reply: false,
+        };
         true
     }
 
     /// Allows one more message to a peer that waits: its last one may be lost.
-    pub(crate) fn resume(&mut self) {
-        match &mut self.flow {
-            Flow::Probe { is_waiting } | Flow::Snapshot { is_waiting, .. } => *is_waiting = false,
-            Flow::Replicate => {}
+    pub(crate) fn allow_resend(&mut self) {
+        match &mut self.mode {
+            ReplicationMode::Probe { is_awaiting_reply }
+            | ReplicationMode::Snapshot {
+                is_awaiting_reply, ..
+            } => *is_awaiting_reply = false,
+            ReplicationMode::Replicate => {}
         }
     }
 }
--- a/crates/masticsill_quorum/src/read.rs
+++ b/crates/masticsill_quorum/src/read.rs
@@ -24,15 +24,15 @@
             self.outputs.push(refusal);
             return;
         };
-        let is_round_free = state.reads.is_empty();
+        let has_no_pending_reads = state.reads.is_empty();
         state.reads.push_back(PendingRead {
             token,
             index: commit.max(state.first_index),
             round: state.last_round + 1,
         });
         // Reads that arrive while a round is under way share the next one.
-        if is_round_free {
-            self.begin_round(now);
+        if has_no_pending_reads {
+            self.start_heartbeat_round(now);
         }
     }
 
@@ -53,7 +53,7 @@
         let last_round = state.last_round;
         let needs_round = |read: &PendingRead| read.round > last_round;
         if state.reads.front().is_some_and(needs_round) {
-            self.begin_round(now);
+            self.start_heartbeat_round(now);
         }
     }
 }
--- a/crates/masticsill_quorum/src/replica.rs
+++ b/crates/masticsill_quorum/src/replica.rs
@@ -20,7 +20,7 @@
 pub(crate) enum RoleState {
     Candidate {
         granted: Vec<VoterId>,
-        stood_at: ClockMs,
+        election_started_at: ClockMs,
     },
     Follower,
     Leader(Box<LeaderState>),
@@ -42,10 +42,10 @@
     pub(crate) role: RoleState,
     pub(crate) leader: Option<VoterId>,
     /// When a leader was last heard; a start counts, for what was heard before it is forgotten.
-    pub(crate) heard_leader_at: ClockMs,
+    pub(crate) leader_heard_at: ClockMs,
     pub(crate) election_due: ClockMs,
     pub(crate) incoming: Option<IncomingSnapshot>,
-    pub(crate) is_snapshot_asked: bool,
+    pub(crate) is_snapshot_requested: bool,
     pub(crate) outputs: Vec<Output>,
     random: ChaCha8Rng,
 }
@@ -77,14 +77,14 @@
             voted_for: stored.voted_for,
             role: RoleState::Follower,
             leader: None,
-            heard_leader_at: now,
+            leader_heard_at: now,
             election_due: now,
             incoming: None,
-            is_snapshot_asked: false,
+            is_snapshot_requested: false,
             outputs: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         };
-        replica.delay_election(now);
+        replica.reset_election_timer(now);
         Ok(replica)
     }
 
@@ -92,8 +92,8 @@
     ///
     /// A leader's lease is checked before anything else, so that a pause is noticed first.
     pub fn step(&mut self, now: ClockMs, input: Input) -> Vec<Output> {
-        self.stop_past_lease(now);
-        self.stop_late_candidate(now);
+        self.step_down_if_lease_expired(now);
+        self.step_down_if_election_expired(now);
         match input {
             Input::ChangeMembership { token, change } => {
                 self.change_membership(now, token, &change);
@@ -101,8 +101,8 @@
             Input::Message(envelope) => self.receive(now, envelope),
             Input::Propose { proposals } => self.propose(proposals),
             Input::ReadIndex { token } => self.read_index(now, token),
-            Input::SnapshotTaken { index, data } => self.take_snapshot(index, data),
-            Input::SyncDone { up_to } => self.finish_sync(now, up_to),
+            Input::SnapshotTaken { index, data } => self.store_snapshot(index, data),
+            Input::SyncDone { up_to } => self.handle_sync_done(now, up_to),
             Input::Tick => self.tick(now),
             Input::TransferLeadership { target } => self.transfer_leadership(now, target.as_ref()),
         }
@@ -160,7 +160,7 @@
         match self.role {
             RoleState::Leader(_) => self.tick_leader(now),
             RoleState::Candidate { .. } | RoleState::Follower | RoleState::PreCandidate { .. } => {
-                self.stand_if_due(now);
+                self.start_pre_vote_if_due(now);
             }
         }
     }
@@ -171,11 +171,11 @@
             return;
         }
         let Envelope { from, message, .. } = envelope;
-        if message.term() > self.term && !self.enters_term_of(now, &from, &message) {
+        if message.term() > self.term && !self.enter_message_term(now, &from, &message) {
             return;
         }
         if message.term() < self.term {
-            self.answer_old_term(from, &message);
+            self.reply_to_old_term(from, &message);
             return;
         }
         match message {
@@ -199,29 +199,29 @@
             | Message::SnapshotChunk { .. }
             | Message::TimeoutNow { .. } => self.follow(now, from, message),
             Message::AppendAccepted { match_index, .. } => {
-                self.note_accepted(now, &from, match_index);
+                self.handle_append_accepted(now, &from, match_index);
             }
             Message::AppendRejected {
                 previous_index,
                 hint,
                 ..
-            } => self.note_rejected(now, &from, previous_index, hint),
+            } => self.handle_append_rejected(now, &from, previous_index, hint),
             Message::HeartbeatAcknowledged { round, .. } => {
-                self.note_acknowledged(now, &from, round);
+                self.handle_heartbeat_acknowledged(now, &from, round);
             }
             Message::SnapshotProgress {
                 index,
                 next_offset_bytes,
                 ..
-            } => self.note_snapshot_progress(now, &from, index, next_offset_bytes),
+            } => self.handle_snapshot_progress(now, &from, index, next_offset_bytes),
         }
     }
 
-    fn finish_sync(&mut self, now: ClockMs, up_to: SyncPoint) {
-        self.durability.sync(up_to);
-        while let Some(deferred) = self.durability.release() {
+    fn handle_sync_done(&mut self, now: ClockMs, up_to: SyncPoint) {
+        self.durability.mark_synced(up_to);
+        while let Some(deferred) = self.durability.pop_ready() {
             match deferred {
-                Deferred::OwnEntry { index, term } => self.note_own_entry(index, term),
+                Deferred::OwnEntry { index, term } => self.record_own_synced_entry(index, term),
                 Deferred::OwnVote { term } if term == self.term => {
                     let own = self.id.clone();
                     self.count_vote(now, own, true);
@@ -235,10 +235,10 @@
         self.advance_commit();
     }
 
-    fn note_own_entry(&mut self, index: LogIndex, term: Term) {
+    fn record_own_synced_entry(&mut self, index: LogIndex, term: Term) {
         // An entry that was replaced meanwhile has another term.
         if self.log.term(index) == Some(term) {
-            self.durability.raise(index);
+            self.durability.raise_synced_index(index);
         }
     }
 
@@ -246,7 +246,7 @@
     pub(crate) fn persist(&mut self, write: Write) {
         let point = self.durability.next_point();
         if matches!(write, Write::Vote { .. }) {
-            self.durability.note_term_write();
+            self.durability.mark_term_write();
         }
         self.outputs.push(Output::Persist { point, write });
     }
@@ -279,7 +279,7 @@
     }
 
     /// Sends a message once the current term is synced.
-    pub(crate) fn send_in_term(&mut self, to: VoterId, message: Message) {
+    pub(crate) fn send_when_term_synced(&mut self, to: VoterId, message: Message) {
         if self.durability.is_term_synced() {
             self.send(to, message);
         } else {
@@ -300,10 +300,10 @@
         let was_leader = matches!(self.role, RoleState::Leader(_));
         let previous = mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(state) = previous {
-            self.answer_abandoned(*state);
+            self.fail_pending_requests(*state);
         }
         if was_leader || leader.is_some() || self.leader.is_some() {
-            self.delay_election(now);
+            self.reset_election_timer(now);
         }
         self.leader = leader;
         self.incoming = None;
@@ -318,13 +318,13 @@
         });
     }
 
-    pub(crate) fn delay_election(&mut self, now: ClockMs) {
+    pub(crate) fn reset_election_timer(&mut self, now: ClockMs) {
         let range = self.settings.election_min_ms..=self.settings.election_max_ms;
         let delay_ms = self.random.random_range(range);
         self.election_due = now + delay_ms;
     }
 
-    pub(crate) fn retry_election_soon(&mut self, now: ClockMs) {
+    pub(crate) fn set_short_election_timer(&mut self, now: ClockMs) {
         let shortest_ms = self.settings.heartbeat_ms;
         let delay_ms = self.random.random_range(shortest_ms..=shortest_ms * 3);
         self.election_due = now + delay_ms;
@@ -339,6 +339,6 @@
         let entries = self.log.between(self.commit, index);
         self.commit = index;
         self.outputs.push(Output::Commit { entries });
-        self.ask_for_snapshot();
+        self.request_snapshot_if_due();
     }
 }
--- a/crates/masticsill_quorum/src/replicate.rs
+++ b/crates/masticsill_quorum/src/replicate.rs
@@ -2,7 +2,7 @@
 
 use masticsill_types::ClockMs;
 
-use crate::progress::{Flow, Progress};
+use crate::progress::{Progress, ReplicationMode};
 use crate::replica::RoleState;
 use crate::{LogIndex, Message, Replica, VoterId};
 
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Sends a peer what it lacks; `is_checking` sends even an empty message, to find a gap.
-    pub(crate) fn replicate_to(&mut self, peer: &VoterId, is_checking: bool) {
+    /// Sends a peer what it lacks; `must_probe` sends even an empty message, to find a gap.
+    pub(crate) fn replicate_to(&mut self, peer: &VoterId, must_probe: bool) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
         };
@@ -26,17 +26,23 @@
             return;
         };
         let needs_snapshot = progress.next_index <= self.log.base_index();
-        match progress.flow {
-            Flow::Snapshot { .. } => self.send_chunk(peer),
-            Flow::Probe { .. } | Flow::Replicate if needs_snapshot => self.send_chunk(peer),
-            Flow::Probe { is_waiting: true } => {}
-            Flow::Probe { is_waiting: false } => self.send_batch(peer),
-            Flow::Replicate => self.fill_window(peer, is_checking),
+        match progress.mode {
+            ReplicationMode::Snapshot { .. } => self.send_chunk(peer),
+            ReplicationMode::Probe { .. } | ReplicationMode::Replicate if needs_snapshot => {
+                self.send_chunk(peer)
+            }
+            ReplicationMode::Probe {
+                is_awaiting_reply: true,
+            } => {}
+            ReplicationMode::Probe {
+                is_awaiting_reply: false,
+            } => self.send_batch(peer),
+            ReplicationMode::Replicate => self.fill_window(peer, must_probe),
         }
     }
 
-    fn fill_window(&mut self, peer: &VoterId, is_checking: bool) {
-        let mut must_send = is_checking;
+    fn fill_window(&mut self, peer: &VoterId, must_probe: bool) {
+        let mut must_send = must_probe;
         while must_send || self.has_room(peer) {
             must_send = false;
             self.send_batch(peer);
@@ -67,10 +73,10 @@
         };
         let (max_entries, max_bytes) = (self.settings.append_entries, self.settings.append_bytes);
         let entries = self.log.batch(progress.next_index, max_entries, max_bytes);
-        match &mut progress.flow {
-            Flow::Probe { is_waiting } => *is_waiting = true,
-            Flow::Replicate => progress.next_index.0 += entries.len() as u64,
-            Flow::Snapshot { .. } => {}
+        match &mut progress.mode {
+            ReplicationMode::Probe { is_awaiting_reply } => *is_awaiting_reply = true,
+            ReplicationMode::Replicate => progress.next_index.0 += entries.len() as u64,
+            ReplicationMode::Snapshot { .. } => {}
         }
         let message = Message::Append {
             term: self.term,
@@ -83,21 +89,26 @@
     }
 
     /// Notes that a peer answered; what a leader knows of it, if this is one.
-    pub(crate) fn heard_from(&mut self, now: ClockMs, from: &VoterId) -> Option<&mut Progress> {
+    pub(crate) fn record_contact(&mut self, now: ClockMs, from: &VoterId) -> Option<&mut Progress> {
         let RoleState::Leader(state) = &mut self.role else {
             return None;
         };
         let progress = state.progress.get_mut(from)?;
-        progress.heard_at = Some(now);
+        progress.last_heard_at = Some(now);
         Some(progress)
     }
 
-    pub(crate) fn note_accepted(&mut self, now: ClockMs, from: &VoterId, match_index: LogIndex) {
+    pub(crate) fn handle_append_accepted(
+        &mut self,
+        now: ClockMs,
+        from: &VoterId,
+        match_index: LogIndex,
+    ) {
         let last_index = self.log.last_index();
-        let Some(progress) = self.heard_from(now, from) else {
+        let Some(progress) = self.record_contact(now, from) else {
             return;
         };
-        progress.accept(match_index.min(last_index));
+        progress.record_accepted(match_index.min(last_index));
         self.advance_commit();
         self.answer_reads(now);
         self.replicate_to(from, false);
@@ -105,17 +116,17 @@
         self.advance_membership(now);
     }
 
-    pub(crate) fn note_rejected(
+    pub(crate) fn handle_append_rejected(
         &mut self,
         now: ClockMs,
         from: &VoterId,
         previous_index: LogIndex,
         hint: LogIndex,
     ) {
-        let Some(progress) = self.heard_from(now, from) else {
+        let Some(progress) = self.record_contact(now, from) else {
             return;
         };
-        if progress.reject(previous_index, hint) {
+        if progress.record_rejected(previous_index, hint) {
             self.replicate_to(from, false);
         }
     }
--- a/crates/masticsill_quorum/src/snapshot.rs
+++ b/crates/masticsill_quorum/src/snapshot.rs
@@ -6,24 +6,26 @@
 
 use crate::durability::Deferred;
 use crate::follower::IncomingSnapshot;
-use crate::progress::Flow;
+use crate::progress::ReplicationMode;
 use crate::replica::RoleState;
 use crate::{LogIndex, Message, Output, Replica, Snapshot, VoterId, Write};
 
 impl Replica {
     /// Asks for a snapshot once the log has grown long since the last.
-    pub(crate) fn ask_for_snapshot(&mut self) {
-        let grown = self.commit.0.saturating_sub(self.log.snapshot_index().0);
-        if self.is_snapshot_asked || grown < self.settings.snapshot_after_entries {
+    pub(crate) fn request_snapshot_if_due(&mut self) {
+        let entries_since_snapshot = self.commit.0.saturating_sub(self.log.snapshot_index().0);
+        if self.is_snapshot_requested
+            || entries_since_snapshot < self.settings.snapshot_after_entries
+        {
             return;
         }
-        self.is_snapshot_asked = true;
+        self.is_snapshot_requested = true;
         let index = self.commit;
         self.outputs.push(Output::SnapshotWanted { index });
     }
 
-    pub(crate) fn take_snapshot(&mut self, index: LogIndex, data: Arc<[u8]>) {
-        self.is_snapshot_asked = false;
+    pub(crate) fn store_snapshot(&mut self, index: LogIndex, data: Arc<[u8]>) {
+        self.is_snapshot_requested = false;
         let is_useful = index > self.log.snapshot_index() && index <= self.commit;
         let Some(term) = self.log.term(index).filter(|_| is_useful) else {
             return;
@@ -49,61 +51,66 @@
         else {
             return;
         };
-        let offset_bytes = match progress.flow {
-            Flow::Snapshot {
+        let offset_bytes = match progress.mode {
+            ReplicationMode::Snapshot {
                 index,
                 offset_bytes,
-                is_waiting,
+                is_awaiting_reply,
             } if index == snapshot.index => {
-                if is_waiting {
+                if is_awaiting_reply {
                     return;
                 }
                 offset_bytes
             }
             _ => 0,
         };
-        progress.flow = Flow::Snapshot {
+        progress.mode = ReplicationMode::Snapshot {
             index: snapshot.index,
             offset_bytes,
-            is_waiting: true,
+            is_awaiting_reply: true,
         };
         let message = chunk_at(snapshot, offset_bytes, self.settings.snapshot_chunk_bytes);
         let message = message(self.term);
         self.send(peer.clone(), message);
     }
 
-    pub(crate) fn note_snapshot_progress(
+    pub(crate) fn handle_snapshot_progress(
         &mut self,
         now: ClockMs,
         from: &VoterId,
         index: LogIndex,
         next_offset_bytes: u64,
     ) {
-        let Some(progress) = self.heard_from(now, from) else {
+        let Some(progress) = self.record_contact(now, from) else {
             return;
         };
-        match &mut progress.flow {
-            Flow::Snapshot {
+        match &mut progress.mode {
+            ReplicationMode::Snapshot {
                 index: sent,
                 offset_bytes,
-                is_waiting,
+                is_awaiting_reply,
             } if *sent == index => {
                 *offset_bytes = next_offset_bytes;
-                *is_waiting = false;
+                *is_awaiting_reply = false;
             }
             _ => return,
         }
         self.send_chunk(from);
     }
 
-    pub(crate) fn take_chunk(&mut self, from: VoterId, part: IncomingSnapshot, offset_bytes: u64) {
+    pub(crate) fn handle_snapshot_chunk(
+        &mut self,
+        from: VoterId,
+        part: IncomingSnapshot,
+        offset_bytes: u64,
+    ) {
         if part.index <= self.commit {
-            self.accept_up_to(from, self.commit);
+            self.acknowledge_up_to(from, self.commit);
             return;
         }
         let index = part.index;
         let total_bytes = part.total_bytes;
-        let held_bytes = self.hold_part(part, offset_bytes);
+        let held_bytes = self.add_snapshot_part(part, offset_bytes);
         if held_bytes >= total_bytes {
             self.install_incoming(from);
             return;
@@ -113,11 +120,11 @@
             index,
             next_offset_bytes: held_bytes,
         };
-        self.send_in_term(from, message);
+        self.send_when_term_synced(from, message);
     }
 
     /// Adds a part that continues what is held; returns the bytes held then.
-    fn hold_part(&mut self, part: IncomingSnapshot, offset_bytes: u64) -> u64 {
+    fn add_snapshot_part(&mut self, part: IncomingSnapshot, offset_bytes: u64) -> u64 {
         let is_same = |held: &IncomingSnapshot| held.index == part.index && held.term == part.term;
         let held = match self.incoming.take() {
             Some(mut held) if is_same(&held) => {
@@ -155,9 +162,9 @@
         self.log.install(snapshot.clone());
         self.durability.defer(Deferred::OwnEntry { index, term });
         self.commit = index;
-        self.is_snapshot_asked = false;
+        self.is_snapshot_requested = false;
         self.outputs.push(Output::RestoreSnapshot { snapshot });
-        self.accept_up_to(from, index);
+        self.acknowledge_up_to(from, index);
     }
 }
 
--- a/crates/masticsill_quorum/src/storage.rs
+++ b/crates/masticsill_quorum/src/storage.rs
@@ -8,9 +8,9 @@
 mod error;
 mod frame;
 mod open;
-mod patience;
 mod record;
 mod replay;
+mod space_wait;
 
 use std::path::Path;
 
@@ -28,15 +28,15 @@
 pub use disk::{Disk, FileDisk};
 pub use error::StorageError;
 pub use open::{Recovered, TornTail};
-pub use patience::{Patience, PatientDisk};
+pub use space_wait::{Patience, PatientDisk};
 
 pub(crate) const IDENTITY_FILE: &str = "identity";
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
 pub(crate) const VOTE_FILE: &str = "vote";
 /// Stands while the folder is emptied, so that a power loss leaves no half of it in use.
-pub(crate) const GIVEN_UP_FILE: &str = "given_up";
+pub(crate) const ABANDON_MARKER_FILE: &str = "given_up";
 /// Size from which a new segment is begun.
-const SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
+const SEGMENT_ROLLOVER_BYTES: u64 = 4 * 1024 * 1024;
 
 /// A replica's data folder, open for writing.
 #[derive(Debug)]
@@ -103,7 +103,7 @@
             is_failed: false,
             patience: Patience::default(),
         };
-        storage.prepare_segment()?;
+        storage.ensure_open_segment()?;
         Ok((storage, recovered))
     }
 
@@ -122,7 +122,7 @@
             return Err(StorageError::NotNew);
         }
         let snapshot = Snapshot::founding(membership);
-        self.guarded(|storage| storage.write_snapshot(snapshot.clone()))?;
+        self.run_unless_failed(|storage| storage.write_snapshot(snapshot.clone()))?;
         state.snapshot = Some(snapshot);
         Ok(())
     }
@@ -141,9 +141,9 @@
         if !self.unwritten.is_empty() || self.segments.iter().any(has_entries) {
             return Err(StorageError::NotNew);
         }
-        let mut given = None;
-        self.guarded(|storage| {
-            storage.replace(GIVEN_UP_FILE, &[])?;
+        let mut abandoned_state = None;
+        self.run_unless_failed(|storage| {
+            storage.replace(ABANDON_MARKER_FILE, &[])?;
             let new_id = VoterId {
                 name: storage.id.name.clone(),
                 folder: new_folder,
@@ -153,10 +153,10 @@
             storage.segments = segments;
             storage.point = SyncPoint::default();
             storage.is_pristine = true;
-            given = Some(recovered.state);
-            storage.prepare_segment()
+            abandoned_state = Some(recovered.state);
+            storage.ensure_open_segment()
         })?;
-        given.ok_or(StorageError::Failed)
+        abandoned_state.ok_or(StorageError::Failed)
     }
 
     /// Makes this replica the only voter, after the majority of the voters was lost for good.
@@ -201,10 +201,10 @@
     pub fn write(&mut self, point: SyncPoint, write: &Write) -> Result<(), StorageError> {
         self.is_pristine = false;
         match write {
-            Write::Append { entries } => self.hold_entries(entries),
+            Write::Append { entries } => self.buffer_entries(entries),
             Write::Snapshot { snapshot } => {
                 let snapshot = snapshot.clone();
-                self.guarded(|storage| storage.write_snapshot(snapshot))?;
+                self.run_unless_failed(|storage| storage.write_snapshot(snapshot))?;
             }
             Write::TruncateFrom { index } => {
                 self.unwritten.push(LogRecord::TruncateFrom(index.0));
@@ -214,7 +214,9 @@
                     term: term.0,
                     voted_for: voted_for.clone().map(WireVoterId::from),
                 };
-                self.guarded(|storage| storage.replace(VOTE_FILE, &encode_record(&record)))?;
+                self.run_unless_failed(|storage| {
+                    storage.replace(VOTE_FILE, &encode_record(&record))
+                })?;
             }
         }
         self.point = point;
@@ -227,7 +229,7 @@
     ///
     /// [`StorageError`]; the storage refuses everything after it.
     pub fn sync(&mut self) -> Result<SyncPoint, StorageError> {
-        self.guarded(Self::flush)?;
+        self.run_unless_failed(Self::flush)?;
         Ok(self.point)
     }
 
@@ -244,7 +246,7 @@
     }
 
     /// Runs an operation unless an earlier one failed; a failure is final.
-    fn guarded(
+    fn run_unless_failed(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
@@ -260,7 +262,7 @@
         done
     }
 
-    fn hold_entries(&mut self, entries: &[Entry]) {
+    fn buffer_entries(&mut self, entries: &[Entry]) {
         let records = entries.iter().cloned().map(WireEntry::from);
         self.unwritten.extend(records.map(LogRecord::Append));
         if let Some(last) = entries.last() {
@@ -283,8 +285,8 @@
         segment.size_bytes += frame.len() as u64;
         let (sequence, size_bytes) = (segment.sequence, segment.size_bytes);
         self.append(sequence, &frame)?;
-        if size_bytes >= SEGMENT_BYTES {
-            self.begin_segment(sequence + 1)?;
+        if size_bytes >= SEGMENT_ROLLOVER_BYTES {
+            self.start_segment(sequence + 1)?;
         }
         Ok(())
     }
@@ -303,18 +305,18 @@
     }
 
     /// Begins the first segment, or begins the last one again if nothing of it was whole.
-    fn prepare_segment(&mut self) -> Result<(), StorageError> {
+    fn ensure_open_segment(&mut self) -> Result<(), StorageError> {
         match self.segments.last().copied() {
-            None => self.begin_segment(1),
+            None => self.start_segment(1),
             Some(last) if last.size_bytes == 0 => {
                 self.segments.pop();
-                self.begin_segment(last.sequence)
+                self.start_segment(last.sequence)
             }
             Some(_) => Ok(()),
         }
     }
 
-    fn begin_segment(&mut self, sequence: u64) -> Result<(), StorageError> {
+    fn start_segment(&mut self, sequence: u64) -> Result<(), StorageError> {
         let start = LogRecord::SegmentStart {
             folder: self.id.folder.0,
             sequence,
@@ -338,7 +340,7 @@
         self.replace(SNAPSHOT_FILE, &bytes)?;
         let last = self.segments.last().copied();
         if let Some(last) = last.filter(|it| it.highest_index > LogIndex(0)) {
-            self.begin_segment(last.sequence + 1)?;
+            self.start_segment(last.sequence + 1)?;
         }
         while self.segments.len() > 1 && self.segments[0].highest_index <= index {
             let file = segment_name(self.segments.remove(0).sequence);
--- a/crates/masticsill_quorum/src/storage/disk.rs
+++ b/crates/masticsill_quorum/src/storage/disk.rs
@@ -67,12 +67,12 @@
 pub struct FileDisk {
     folder: PathBuf,
     /// The file that was appended to last, kept open.
-    appended: Option<AppendedFile>,
+    append_handle: Option<AppendHandle>,
     _lock: File,
 }
 
 #[derive(Debug)]
-struct AppendedFile {
+struct AppendHandle {
     name: String,
     file: File,
     is_name_synced: bool,
@@ -100,7 +100,7 @@
         }
         Ok(Self {
             folder: folder.to_owned(),
-            appended: None,
+            append_handle: None,
             _lock: lock,
         })
     }
@@ -109,19 +109,19 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    fn appended(&mut self, name: &str) -> io::Result<&mut AppendedFile> {
-        let is_open = |it: &AppendedFile| it.name == name;
-        if !self.appended.as_ref().is_some_and(is_open) {
+    fn append_handle(&mut self, name: &str) -> io::Result<&mut AppendHandle> {
+        let is_open = |it: &AppendHandle| it.name == name;
+        if !self.append_handle.as_ref().is_some_and(is_open) {
             let path = self.folder.join(name);
             let file = OpenOptions::new().append(true).create(true).open(path)?;
-            self.appended = Some(AppendedFile {
+            self.append_handle = Some(AppendHandle {
                 name: name.to_owned(),
                 file,
                 // A file that exists may still be unknown to the folder on the disk.
                 is_name_synced: false,
             });
         }
-        self.appended
+        self.append_handle
             .as_mut()
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
@@ -129,7 +129,7 @@
 
 impl Disk for FileDisk {
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        self.appended(file)?.file.write_all(bytes)
+        self.append_handle(file)?.file.write_all(bytes)
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -153,7 +153,8 @@
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
         // A file of the same name that is begun later is another one.
-        self.appended.take_if(|appended| appended.name == file);
+        self.append_handle
+            .take_if(|append_handle| append_handle.name == file);
         fs::remove_file(self.folder.join(file))
     }
 
@@ -167,10 +168,10 @@
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
-        let appended = self.appended(file)?;
-        appended.file.sync_data()?;
-        if !appended.is_name_synced {
-            appended.is_name_synced = true;
+        let append_handle = self.append_handle(file)?;
+        append_handle.file.sync_data()?;
+        if !append_handle.is_name_synced {
+            append_handle.is_name_synced = true;
             self.sync_folder()?;
         }
         Ok(())
--- a/crates/masticsill_quorum/src/storage/frame.rs
+++ b/crates/masticsill_quorum/src/storage/frame.rs
@@ -29,7 +29,7 @@
 enum FrameRead<'a> {
     Corrupt(&'static str),
     Torn,
-    Whole(&'a [u8]),
+    Complete(&'a [u8]),
 }
 
 fn header_checksum(length: u32) -> u32 {
@@ -56,7 +56,7 @@
     let mut offset = 0;
     while offset < bytes.len() {
         let end = match read_frame(&bytes[offset..]) {
-            FrameRead::Whole(body) => {
+            FrameRead::Complete(body) => {
                 frames.push((offset, body));
                 offset += HEADER_BYTES + body.len();
                 continue;
@@ -91,7 +91,7 @@
     }
     let body = &rest[HEADER_BYTES..end];
     if crc32fast::hash(body) == read_u32(rest, 8) {
-        return FrameRead::Whole(body);
+        return FrameRead::Complete(body);
     }
     if end == rest.len() {
         FrameRead::Torn
@@ -101,7 +101,7 @@
 }
 
 /// The body of a file that holds exactly one frame.
-pub(crate) fn sole_frame<'a>(file: &str, bytes: &'a [u8]) -> Result<&'a [u8], StorageError> {
+pub(crate) fn single_frame<'a>(file: &str, bytes: &'a [u8]) -> Result<&'a [u8], StorageError> {
     let scan = scan_frames(bytes);
     match (scan.end, scan.frames.as_slice()) {
         (FrameEnd::Clean, [(_, body)]) => Ok(body),
--- a/crates/masticsill_quorum/src/storage/open.rs
+++ b/crates/masticsill_quorum/src/storage/open.rs
@@ -5,7 +5,9 @@
 
 use crate::storage::record::{IdentityRecord, VoteRecord, decode_record, encode_record};
 use crate::storage::replay::{Replay, Segment, segment_name, segment_sequence};
-use crate::storage::{Disk, GIVEN_UP_FILE, IDENTITY_FILE, SNAPSHOT_FILE, StorageError, VOTE_FILE};
+use crate::storage::{
+    ABANDON_MARKER_FILE, Disk, IDENTITY_FILE, SNAPSHOT_FILE, StorageError, VOTE_FILE,
+};
 use crate::wire::WireSnapshot;
 use crate::{LogIndex, Snapshot, StoredState, VoterId, events};
 
@@ -37,7 +39,7 @@
     cluster: &str,
     new_id: VoterId,
 ) -> Result<(Recovered, Vec<Segment>), StorageError> {
-    let names = empty_if_given_up(disk)?;
+    let names = finish_abandoning(disk)?;
     let is_new = !names.iter().any(|name| name == IDENTITY_FILE);
     let id = if is_new {
         create_identity(disk, &names, cluster, new_id)?
@@ -51,11 +53,11 @@
     let torn_tail = read_log(disk, &names, &mut replay)?;
     check_first_segment(&replay, &vote, snapshot.as_ref())?;
     let voted_for = vote.voted_for.map(VoterId::try_from).transpose();
-    let misread = |_| StorageError::corrupt(VOTE_FILE, 0, "the vote is not valid");
+    let to_corrupt = |_| StorageError::corrupt(VOTE_FILE, 0, "the vote is not valid");
     let state = StoredState {
         id,
         term: Term(vote.term),
-        voted_for: voted_for.map_err(misread)?,
+        voted_for: voted_for.map_err(to_corrupt)?,
         snapshot,
         entries: replay.entries,
     };
@@ -68,25 +70,25 @@
 }
 
 /// Ends the emptying of a folder that was given up; returns the files that are left.
-fn empty_if_given_up(disk: &mut dyn Disk) -> Result<Vec<String>, StorageError> {
+fn finish_abandoning(disk: &mut dyn Disk) -> Result<Vec<String>, StorageError> {
     let list = |disk: &dyn Disk| disk.list().map_err(StorageError::io("list", "."));
     let names = list(disk)?;
-    if !names.iter().any(|name| name == GIVEN_UP_FILE) {
+    if !names.iter().any(|name| name == ABANDON_MARKER_FILE) {
         return Ok(names);
     }
-    let is_own = |name: &&String| {
-        let is_kept = [IDENTITY_FILE, SNAPSHOT_FILE, VOTE_FILE].contains(&name.as_str());
-        is_kept || segment_sequence(name).is_some()
+    let is_replica_file = |name: &&String| {
+        let is_state_file = [IDENTITY_FILE, SNAPSHOT_FILE, VOTE_FILE].contains(&name.as_str());
+        is_state_file || segment_sequence(name).is_some()
     };
-    for name in names.iter().filter(is_own) {
+    for name in names.iter().filter(is_replica_file) {
         disk.remove(name)
             .map_err(StorageError::io("remove", name))?;
     }
     // Writing the mark again makes the removals durable before it goes itself.
-    let marked = disk.replace(GIVEN_UP_FILE, &[]);
-    marked.map_err(StorageError::io("replace", GIVEN_UP_FILE))?;
-    let removed = disk.remove(GIVEN_UP_FILE);
-    removed.map_err(StorageError::io("remove", GIVEN_UP_FILE))?;
+    let marked = disk.replace(ABANDON_MARKER_FILE, &[]);
+    marked.map_err(StorageError::io("replace", ABANDON_MARKER_FILE))?;
+    let removed = disk.remove(ABANDON_MARKER_FILE);
+    removed.map_err(StorageError::io("remove", ABANDON_MARKER_FILE))?;
     list(disk)
 }
 
@@ -146,8 +148,8 @@
             found: identity.replica.name,
         });
     }
-    let misread = |_| StorageError::corrupt(IDENTITY_FILE, 0, "the identity is not valid");
-    VoterId::try_from(identity.replica).map_err(misread)
+    let to_corrupt = |_| StorageError::corrupt(IDENTITY_FILE, 0, "the identity is not valid");
+    VoterId::try_from(identity.replica).map_err(to_corrupt)
 }
 
 fn read_file(disk: &dyn Disk, file: &str) -> Result<Option<Vec<u8>>, StorageError> {
@@ -167,8 +169,8 @@
         return Ok(None);
     };
     let wire: WireSnapshot = decode_record(SNAPSHOT_FILE, &bytes)?;
-    let misread = |_| StorageError::corrupt(SNAPSHOT_FILE, 0, "the snapshot is not valid");
-    Snapshot::try_from(wire).map(Some).map_err(misread)
+    let to_corrupt = |_| StorageError::corrupt(SNAPSHOT_FILE, 0, "the snapshot is not valid");
+    Snapshot::try_from(wire).map(Some).map_err(to_corrupt)
 }
 
 /// Reads every segment in order and cuts a torn tail off the last.
@@ -186,13 +188,18 @@
         let bytes = read_file(disk, &file)?.unwrap_or_default();
         let is_last = Some(sequence) == sequences.last();
         if let Some(offset) = replay.read_segment(*sequence, &bytes, is_last)? {
-            torn_tail = Some(cut_tail(disk, file, offset as u64, bytes.len() as u64)?);
+            torn_tail = Some(truncate_torn_tail(
+                disk,
+                file,
+                offset as u64,
+                bytes.len() as u64,
+            )?);
         }
     }
     Ok(torn_tail)
 }
 
-fn cut_tail(
+fn truncate_torn_tail(
     disk: &mut dyn Disk,
     file: String,
     offset_bytes: u64,
--- a/crates/masticsill_quorum/src/storage/record.rs
+++ b/crates/masticsill_quorum/src/storage/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use crate::storage::StorageError;
-use crate::storage::frame::{encode_frame, sole_frame};
+use crate::storage::frame::{encode_frame, single_frame};
 use crate::wire::{WireEntry, WireVoterId};
 
 /// Whose folder it is.
@@ -46,5 +46,5 @@
     file: &str,
     bytes: &[u8],
 ) -> Result<T, StorageError> {
-    decode_body(file, 0, sole_frame(file, bytes)?)
+    decode_body(file, 0, single_frame(file, bytes)?)
 }
--- a/crates/masticsill_quorum/src/storage/replay.rs
+++ b/crates/masticsill_quorum/src/storage/replay.rs
@@ -84,8 +84,8 @@
         });
         for (position, (offset, body)) in scan.frames.into_iter().enumerate() {
             let records: Vec<LogRecord> = decode_body(&file, offset, body)?;
-            let starts = matches!(records.as_slice(), [LogRecord::SegmentStart { .. }]);
-            if starts != (position == 0) {
+            let is_segment_start = matches!(records.as_slice(), [LogRecord::SegmentStart { .. }]);
+            if is_segment_start != (position == 0) {
                 let reason = "a segment's first record is misplaced";
                 return Err(StorageError::corrupt(&file, offset, reason));
             }
@@ -116,8 +116,8 @@
     }
 
     fn append(&mut self, file: &str, offset: usize, wire: WireEntry) -> Result<(), StorageError> {
-        let misread = |_| StorageError::corrupt(file, offset, "an entry is not valid");
-        let entry = Entry::try_from(wire).map_err(misread)?;
+        let to_corrupt = |_| StorageError::corrupt(file, offset, "an entry is not valid");
+        let entry = Entry::try_from(wire).map_err(to_corrupt)?;
         if let Some(segment) = self.segments.last_mut() {
             segment.highest_index = segment.highest_index.max(entry.index);
         }
--- a/crates/masticsill_quorum/src/storage/patience.rs
+++ b/crates/masticsill_quorum/src/storage/space_wait.rs
@@ -19,7 +19,7 @@
 use crate::storage::Disk;
 
 /// Pause between tries.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Lets a process that ends give up waiting for space. Copies share one state.
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
     patience: Patience,
     /// Sizes of the files that were appended to, as far as every append was whole.
     sizes_bytes: IndexMap<String, u64>,
-    wait: fn(Duration),
+    sleep_fn: fn(Duration),
 }
 
 impl<D: fmt::Debug> fmt::Debug for PatientDisk<D> {
@@ -61,12 +61,12 @@
     }
 
     /// The same with another way to wait, for tests.
-    pub fn waiting_by(disk: D, wait: fn(Duration)) -> Self {
+    pub fn waiting_by(disk: D, sleep_fn: fn(Duration)) -> Self {
         Self {
             disk,
             patience: Patience::default(),
             sizes_bytes: IndexMap::new(),
-            wait,
+            sleep_fn,
         }
     }
 
@@ -85,18 +85,18 @@
 
     /// Runs a write until the disk is no longer full or patience is over; `undo` removes what a
     /// refused one left.
-    fn until_space(
+    fn retry_while_full(
         &mut self,
         file: &str,
         write: impl Fn(&mut D) -> io::Result<()>,
         undo: impl Fn(&mut D),
     ) -> io::Result<()> {
-        let mut is_said = false;
+        let mut is_full_logged = false;
         loop {
             let refused = match write(&mut self.disk) {
                 Err(error) if error.kind() == io::ErrorKind::StorageFull => error,
                 done => {
-                    if is_said {
+                    if is_full_logged {
                         log_event!(info, events::DISK_HAS_SPACE, file = file);
                     }
                     return done;
@@ -106,11 +106,11 @@
             if self.patience.is_over() {
                 return Err(refused);
             }
-            if !is_said {
+            if !is_full_logged {
                 log_event!(warn, events::DISK_FULL, file = file);
             }
-            is_said = true;
-            (self.wait)(PAUSE);
+            is_full_logged = true;
+            (self.sleep_fn)(RETRY_INTERVAL);
         }
     }
 }
@@ -122,7 +122,7 @@
             // A cut that fails shows at the next append, which is tried on the same file.
             let _ = disk.truncate(file, before_bytes);
         };
-        self.until_space(file, |disk| disk.append(file, bytes), undo)?;
+        self.retry_while_full(file, |disk| disk.append(file, bytes), undo)?;
         let size_bytes = before_bytes + bytes.len() as u64;
         self.sizes_bytes.insert(file.to_owned(), size_bytes);
         Ok(())
@@ -144,7 +144,7 @@
     fn replace(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         self.sizes_bytes.swap_remove(file);
         // A refused replacement leaves the file as it was.
-        self.until_space(file, |disk| disk.replace(file, bytes), |_| {})
+        self.retry_while_full(file, |disk| disk.replace(file, bytes), |_| {})
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
