--- a/crates/masticsill_control/src/forwarder/service.rs
+++ b/crates/masticsill_control/src/forwarder/service.rs
@@ -8,7 +8,7 @@
 };
 use masticsill_control_client::{AddressBook, ControlClient};
 use masticsill_quarantine::RequestRecord;
-use masticsill_quorum::Reservations;
+use masticsill_quorum::FoundingReservation;
 use masticsill_registry::{
     Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
 };
@@ -29,13 +29,13 @@
     pub(super) client: ControlClient,
     clock: MonotonicClock,
     node: NodeId,
-    reservations: Arc<Mutex<Reservations>>,
+    reservations: Arc<Mutex<FoundingReservation>>,
     zone: ZoneId,
 }
 
 impl ForwarderServer {
     pub(super) fn new(config: &ForwarderConfig, book: AddressBook, clock: MonotonicClock) -> Self {
-        let reservations = Reservations::new(clock.now());
+        let reservations = FoundingReservation::new(clock.now());
         Self {
             client: ControlClient::new(book),
             clock,
@@ -45,7 +45,7 @@
         }
     }
 
-    fn reservations(&self) -> MutexGuard<'_, Reservations> {
+    fn reservations(&self) -> MutexGuard<'_, FoundingReservation> {
         let reservations = self.reservations.lock();
         reservations.unwrap_or_else(PoisonError::into_inner)
     }
@@ -66,7 +66,7 @@
         if let Some(introduction) = introduction {
             note_introduction(self.client.book(), &introduction);
             if introduction.is_founded {
-                self.reservations().note_founded();
+                self.reservations().note_cluster_exists();
             }
         }
         Directory {
--- a/crates/masticsill_control/src/quorum/duty.rs
+++ b/crates/masticsill_control/src/quorum/duty.rs
@@ -290,7 +290,7 @@
     }
 
     fn renew_own_proof(&mut self, now: ClockMs) {
-        if let Some((index, as_of)) = self.replica.current_as_of(now) {
+        if let Some((index, as_of)) = self.replica.lease_read_point(now) {
             self.machine.renew_as_leader(index, as_of);
         }
     }
@@ -300,7 +300,7 @@
             return Vec::new();
         };
         let replica = &self.replica;
-        replica.spare_members(now, MEMBER_SILENCE_MS, wanted)
+        replica.removable_members(now, MEMBER_SILENCE_MS, wanted)
     }
 
     fn publish(&mut self) {
@@ -311,7 +311,7 @@
         // A sole voter that stops has no successor to wait for.
         let is_ending = self.is_stopping && self.replica.membership().voters.len() == 1;
         let is_leader = self.replica.role() == Role::Leader && !is_ending;
-        let current_as_of = self.replica.current_as_of(now).filter(|_| is_leader);
+        let current_as_of = self.replica.lease_read_point(now).filter(|_| is_leader);
         let leadership = current_as_of.map(|(_, as_of)| LeaderProof {
             as_of,
             term: self.replica.term(),
--- a/crates/masticsill_control/src/quorum/founding.rs
+++ b/crates/masticsill_control/src/quorum/founding.rs
@@ -20,7 +20,7 @@
         order: ReplicaOrder,
         reply_to: ReplyTo<ReplicaAnswer>,
     ) {
-        if self.replica.current_as_of(self.clock.now()).is_none() {
+        if self.replica.lease_read_point(self.clock.now()).is_none() {
             // Only a leader knows the newest members.
             let leader = self.replica.leader();
             let leader = leader.map(|leader| members::hint(leader, &self.book));
@@ -75,7 +75,7 @@
         &mut self,
         identities: &[ReplicaIdentity],
     ) -> Result<bool, StateError> {
-        let membership = Membership::of_voters(identities.iter().map(members::voter));
+        let membership = Membership::from_voters(identities.iter().map(members::voter));
         if self.is_founded() {
             return Ok(true);
         }
--- a/crates/masticsill_control/src/quorum/outputs.rs
+++ b/crates/masticsill_control/src/quorum/outputs.rs
@@ -26,7 +26,7 @@
 impl QuorumDuty {
     pub(super) fn carry_out(&mut self, output: Output) -> Result<(), StateError> {
         match output {
-            Output::Became { role, term, leader } => {
+            Output::RoleChanged { role, term, leader } => {
                 let leader = leader.map_or_else(|| "none".to_owned(), |id| id.to_string());
                 log_event!(
                     info,
@@ -36,7 +36,7 @@
                     leader = leader
                 );
             }
-            Output::Commit { entries } => return self.apply(&entries),
+            Output::Apply { entries } => return self.apply(&entries),
             Output::Committed { token, index } => self.answer_committed(token, index),
             Output::OutcomeUnknown { token } => self.refuse(token, ControlReply::OutcomeUnknown),
             Output::Persist { point, write } => {
@@ -70,7 +70,7 @@
                 // The quorum bears lost messages; a full ring must not stop it.
                 let _ = self.outgoing.push(Outgoing { message, to });
             }
-            Output::SnapshotWanted { index } => self.take_snapshot(index),
+            Output::TakeSnapshot { index } => self.take_snapshot(index),
         }
         Ok(())
     }
--- a/crates/masticsill_control/src/quorum/storage.rs
+++ b/crates/masticsill_control/src/quorum/storage.rs
@@ -130,7 +130,7 @@
                 let _ = done.send(());
             }
             Job::GiveUp(done) => {
-                let stored = storage.give_up(FolderId(rand::random()))?;
+                let stored = storage.abandon_founding(FolderId(rand::random()))?;
                 progress.send_modify(|progress| progress.synced = SyncPoint::default());
                 let _ = done.send(stored);
             }
--- a/crates/masticsill_control/src/role.rs
+++ b/crates/masticsill_control/src/role.rs
@@ -7,7 +7,7 @@
 
 use masticsill_control_client::AddressBook;
 use masticsill_mesh::MeshHandle;
-use masticsill_quorum::storage::{Patience, Storage};
+use masticsill_quorum::storage::{SpaceWaitCanceller, Storage};
 use masticsill_runtime::{
     DutyHandle, Metrics, Ring, ServiceStream, ShutdownSignal, spawn_async_duty,
 };
@@ -50,7 +50,7 @@
     http: HttpEdge,
     jobs: Ring<Job>,
     lease_ms: u64,
-    patience: Patience,
+    patience: SpaceWaitCanceller,
     published: PublishedState,
     quorum: QuorumHandle,
 }
@@ -96,7 +96,7 @@
     ) -> Result<Self, ControlError> {
         let node = config.node.clone();
         let (storage, recovered) = Storage::open(&config.data_folder, &config.cluster, &node)?;
-        let patience = storage.patience();
+        let patience = storage.space_wait_canceller();
         let book = AddressBook::from_settings(config.peers.clone());
         book.add_seeds(config.seeds.iter().copied());
         let requests = Ring::with_capacity(REQUESTS);
@@ -282,7 +282,7 @@
         self.ended.request();
         self.jobs.close();
         // A write that is given up is never reported as synced, so nothing acknowledged needs it.
-        self.patience.end();
+        self.patience.cancel();
         for duty in self.duties {
             duty.join()?;
         }
--- a/crates/masticsill_control/src/rpc/duty.rs
+++ b/crates/masticsill_control/src/rpc/duty.rs
@@ -4,7 +4,7 @@
 
 use futures::StreamExt;
 use masticsill_control_client::{AddressBook, ControlClient};
-use masticsill_quorum::Reservations;
+use masticsill_quorum::FoundingReservation;
 use masticsill_runtime::{Ring, ServiceStream, ShutdownSignal, events as runtime_events};
 use masticsill_types::{MonotonicClock, log_event};
 use masticsill_wire::control::ControlService;
@@ -56,7 +56,7 @@
         node: config.node.clone(),
         published: parts.published,
         quorum: parts.quorum,
-        reservations: Arc::new(Mutex::new(Reservations::new(parts.clock.now()))),
+        reservations: Arc::new(Mutex::new(FoundingReservation::new(parts.clock.now()))),
     };
     start_tasks(&config, &server, &sender);
     spawn_local(run_gauges(server.clone(), parts.gauges));
--- a/crates/masticsill_control/src/rpc/founding.rs
+++ b/crates/masticsill_control/src/rpc/founding.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use indexmap::IndexSet;
-use masticsill_quorum::{FOUND_WITHIN_MS, FoundingPlan};
+use masticsill_quorum::{FOUNDING_TIMEOUT_MS, FoundingPlan};
 use masticsill_types::{NodeId, log_event};
 use masticsill_wire::control::{FoundingProposal, ReplicaIdentity};
 
@@ -118,7 +118,7 @@
     let mut number = 0;
     loop {
         tokio::time::sleep(INTERVAL).await;
-        if server.quorum.status().is_founded || server.reservations().is_founding_over() {
+        if server.quorum.status().is_founded || server.reservations().cluster_exists() {
             break;
         }
         for (node, _) in server.book.named() {
@@ -128,7 +128,7 @@
             continue;
         };
         if knows_cluster(&server).await {
-            server.reservations().note_founded();
+            server.reservations().note_cluster_exists();
             break;
         }
         number += 1;
@@ -142,7 +142,7 @@
             is_founded = is_founded
         );
         if !is_founded {
-            plan.note_refused(server.clock.now());
+            plan.back_off(server.clock.now());
         }
     }
     let mut told = IndexSet::from([server.node.clone()]);
@@ -178,7 +178,7 @@
     } else {
         None
     };
-    let is_in_time = server.clock.now().since(began) < FOUND_WITHIN_MS;
+    let is_in_time = server.clock.now().since(began) < FOUNDING_TIMEOUT_MS;
     if let Some(identities) = identities.filter(|_| is_in_time) {
         let founding = |reply_to| Request::Found(identities, reply_to);
         let reply = server.quorum.ask_any(founding).await;
--- a/crates/masticsill_control/src/rpc/service.rs
+++ b/crates/masticsill_control/src/rpc/service.rs
@@ -9,7 +9,7 @@
 };
 use masticsill_control_client::{AddressBook, ControlClient};
 use masticsill_quarantine::RequestRecord;
-use masticsill_quorum::{Reservations, VoterId, decode_message};
+use masticsill_quorum::{FoundingReservation, VoterId, decode_message};
 use masticsill_registry::{
     Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
 };
@@ -40,7 +40,7 @@
     pub(crate) node: NodeId,
     pub(crate) published: PublishedState,
     pub(crate) quorum: QuorumHandle,
-    pub(crate) reservations: Arc<Mutex<Reservations>>,
+    pub(crate) reservations: Arc<Mutex<FoundingReservation>>,
 }
 
 impl ControlServer {
@@ -166,11 +166,11 @@
 
 impl ControlServer {
     /// What this process grants to foundings.
-    pub(crate) fn reservations(&self) -> MutexGuard<'_, Reservations> {
+    pub(crate) fn reservations(&self) -> MutexGuard<'_, FoundingReservation> {
         let reservations = self.reservations.lock();
         let mut reservations = reservations.unwrap_or_else(PoisonError::into_inner);
         if self.quorum.status().is_founded {
-            reservations.note_founded();
+            reservations.note_cluster_exists();
         }
         reservations
     }
@@ -205,7 +205,7 @@
         if let Some(introduction) = introduction {
             note_introduction(&self.book, &introduction);
             if introduction.is_founded {
-                self.reservations().note_founded();
+                self.reservations().note_cluster_exists();
             }
         }
         Directory {
--- a/crates/masticsill_control/tests/control_repair.rs
+++ b/crates/masticsill_control/tests/control_repair.rs
@@ -164,7 +164,7 @@
 #[test]
 fn answers_survive_snapshots_and_reach_replicas_that_missed_hundreds_of_changes() {
     let settings = ReplicaSettings {
-        snapshot_after_entries: 50,
+        snapshot_interval_entries: 50,
         retained_entries: 10,
         ..ReplicaSettings::default()
     };
--- a/crates/masticsill_quorum/examples/commit_rate.rs
+++ b/crates/masticsill_quorum/examples/commit_rate.rs
@@ -91,7 +91,7 @@
     fn step(&mut self, input: Input) {
         let mut snapshot_at = None;
         for output in self.replica.step(self.clock.now(), input) {
-            if let Output::SnapshotWanted { index } = output {
+            if let Output::TakeSnapshot { index } = output {
                 snapshot_at = Some(index);
                 continue;
             }
@@ -106,7 +106,7 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Became {
+            Output::RoleChanged {
                 role: Role::Leader, ..
             } => self.report(Report::Leads(self.place)),
             Output::Committed { .. } => self.report(Report::Committed),
@@ -151,7 +151,7 @@
     let mut voters: Vec<(Storage, StoredState)> = (0..VOTERS).map(open).collect();
     let ids: Vec<VoterId> = voters.iter().map(|(_, state)| state.id.clone()).collect();
     for (storage, state) in &mut voters {
-        let membership = Membership::of_voters(ids.iter().cloned());
+        let membership = Membership::from_voters(ids.iter().cloned());
         storage.found(state, membership).expect("a new folder");
     }
     voters
--- a/crates/masticsill_quorum/src/founding.rs
+++ b/crates/masticsill_quorum/src/founding.rs
@@ -10,7 +10,7 @@
 use masticsill_types::{ClockMs, NodeId};
 
 /// Most voters of a new cluster; the others would only make each commit slower.
-pub const MAX_FOUNDERS: usize = 7;
+pub const MAX_FOUNDING_VOTERS: usize = 7;
 /// Time without another candidate after which the candidates count as complete: several times the
 /// interval at which replicas introduce themselves to the seeds (250 ms).
 const CANDIDATES_SETTLED_MS: u64 = 900;
@@ -23,10 +23,10 @@
 /// Age from which a process may be reserved. A younger one could have forgotten a reservation of
 /// its former life; by this age that founding is over, and its members have told of it.
 const MIN_PROCESS_AGE_MS: u64 = 1_500;
-/// How long a reservation holds: beyond [`FOUND_WITHIN_MS`] and the storing of the members.
+/// How long a reservation holds: beyond [`FOUNDING_TIMEOUT_MS`] and the storing of the members.
 const RESERVATION_TTL_MS: u64 = 4_000;
 /// Time from the first reservation in which the proposer must found, or give up.
-pub const FOUND_WITHIN_MS: u64 = 400;
+pub const FOUNDING_TIMEOUT_MS: u64 = 400;
 
 /// One founding that a process may be reserved for.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -39,37 +39,37 @@
 
 /// What one process grants to foundings.
 #[derive(Clone, Debug)]
-pub struct Reservations {
+pub struct FoundingReservation {
     reservation: Option<(FoundingAttempt, ClockMs)>,
-    is_founding_over: bool,
+    cluster_exists: bool,
     started_at: ClockMs,
 }
 
-impl Reservations {
+impl FoundingReservation {
     /// Those of a process that starts now.
     #[must_use]
     pub fn new(started_at: ClockMs) -> Self {
         Self {
             reservation: None,
-            is_founding_over: false,
+            cluster_exists: false,
             started_at,
         }
     }
 
     /// Notes that a cluster exists: no other is founded any more.
-    pub fn note_founded(&mut self) {
-        self.is_founding_over = true;
+    pub fn note_cluster_exists(&mut self) {
+        self.cluster_exists = true;
     }
 
     /// Whether a cluster is known to exist.
     #[must_use]
-    pub fn is_founding_over(&self) -> bool {
-        self.is_founding_over
+    pub fn cluster_exists(&self) -> bool {
+        self.cluster_exists
     }
 
     /// Reserves the process; returns whether it is reserved for this proposal now.
     pub fn reserve(&mut self, now: ClockMs, attempt: &FoundingAttempt) -> bool {
-        if self.is_founding_over || now.since(self.started_at) < MIN_PROCESS_AGE_MS {
+        if self.cluster_exists || now.since(self.started_at) < MIN_PROCESS_AGE_MS {
             return false;
         }
         let is_other = |(reservation, at): &(FoundingAttempt, ClockMs)| {
@@ -134,7 +134,7 @@
     }
 
     /// Lets others go first after a proposal that was not granted.
-    pub fn note_refused(&mut self, now: ClockMs) {
+    pub fn back_off(&mut self, now: ClockMs) {
         self.retry_at = now + RANK_DELAY_MS * (1 + self.rank());
     }
 
@@ -159,7 +159,7 @@
         members.sort();
         // The proposer is one of its members, so that its folder decides.
         members.retain(|node| *node != self.own);
-        members.truncate(MAX_FOUNDERS - 1);
+        members.truncate(MAX_FOUNDING_VOTERS - 1);
         members.push(self.own.clone());
         members.sort();
         Some(members)
--- a/crates/masticsill_quorum/src/leader.rs
+++ b/crates/masticsill_quorum/src/leader.rs
@@ -52,7 +52,7 @@
     /// None when this replica does not lead, before the first such round, and past the lease. The
     /// caller checks it again immediately before each step that can't be undone.
     #[must_use]
-    pub fn confirmed_as_of(&self, now: ClockMs) -> Option<ClockMs> {
+    pub fn lease_confirmed_at(&self, now: ClockMs) -> Option<ClockMs> {
         let RoleState::Leader(state) = &self.role else {
             return None;
         };
@@ -63,14 +63,14 @@
     /// A commit index at least as high as any entry accepted, by any leader, before the point of
     /// this replica's clock that comes with it.
     ///
-    /// None under the conditions of [`Self::confirmed_as_of`], and until the leader's first entry
+    /// None under the conditions of [`Self::lease_confirmed_at`], and until the leader's first entry
     /// is committed.
     #[must_use]
-    pub fn current_as_of(&self, now: ClockMs) -> Option<(LogIndex, ClockMs)> {
+    pub fn lease_read_point(&self, now: ClockMs) -> Option<(LogIndex, ClockMs)> {
         let RoleState::Leader(state) = &self.role else {
             return None;
         };
-        let confirmed_at = self.confirmed_as_of(now)?;
+        let confirmed_at = self.lease_confirmed_at(now)?;
         (self.commit >= state.first_index).then_some((self.commit, confirmed_at))
     }
 
@@ -260,7 +260,7 @@
         if state.transfer.is_some() {
             return Some(RefusalReason::Transferring);
         }
-        let is_full = state.pending.len() >= self.settings.pending_proposals;
+        let is_full = state.pending.len() >= self.settings.max_pending_proposals;
         is_full.then_some(RefusalReason::TooManyPending)
     }
 
--- a/crates/masticsill_quorum/src/lib.rs
+++ b/crates/masticsill_quorum/src/lib.rs
@@ -29,7 +29,9 @@
 mod wire;
 
 pub use entry::{Entry, Payload, Snapshot, StoredState};
-pub use founding::{FOUND_WITHIN_MS, FoundingAttempt, FoundingPlan, MAX_FOUNDERS, Reservations};
+pub use founding::{
+    FOUNDING_TIMEOUT_MS, FoundingAttempt, FoundingPlan, FoundingReservation, MAX_FOUNDING_VOTERS,
+};
 pub use id::{CallerToken, FolderId, LogIndex, SyncPoint, VoterId};
 pub use input::{Input, Proposal};
 pub use membership::{Learner, MAX_VOTERS, Membership, MembershipChange, MembershipError};
--- a/crates/masticsill_quorum/src/membership.rs
+++ b/crates/masticsill_quorum/src/membership.rs
@@ -70,7 +70,7 @@
 impl Membership {
     /// A membership of voters only.
     #[must_use]
-    pub fn of_voters(voters: impl IntoIterator<Item = VoterId>) -> Self {
+    pub fn from_voters(voters: impl IntoIterator<Item = VoterId>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
             ..Self::default()
--- a/crates/masticsill_quorum/src/output.rs
+++ b/crates/masticsill_quorum/src/output.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// The replica's role, term or known leader changed.
-    Became {
+    RoleChanged {
         /// The role.
         role: Role,
         /// The term.
@@ -24,7 +24,7 @@
         leader: Option<VoterId>,
     },
     /// Entries are committed: apply them in order. Each is given out once in a replica's life.
-    Commit {
+    Apply {
         /// The entries.
         entries: Vec<Entry>,
     },
@@ -85,7 +85,7 @@
     /// Send a message; it may be lost. All that it relies on is synced.
     Send(Envelope),
     /// The log has grown long: serialise the state and report `SnapshotTaken`.
-    SnapshotWanted {
+    TakeSnapshot {
         /// The last entry given out as committed.
         index: LogIndex,
     },
--- a/crates/masticsill_quorum/src/replica.rs
+++ b/crates/masticsill_quorum/src/replica.rs
@@ -145,7 +145,7 @@
         self.leader.as_ref()
     }
 
-    /// What the replica is. Whether a leader's lease still runs is told by `confirmed_as_of`.
+    /// What the replica is. Whether a leader's lease still runs is told by `lease_confirmed_at`.
     #[must_use]
     pub fn role(&self) -> Role {
         match self.role {
@@ -311,7 +311,7 @@
     }
 
     pub(crate) fn report_role(&mut self) {
-        self.outputs.push(Output::Became {
+        self.outputs.push(Output::RoleChanged {
             role: self.role(),
             term: self.term,
             leader: self.leader.clone(),
@@ -338,7 +338,7 @@
         }
         let entries = self.log.between(self.commit, index);
         self.commit = index;
-        self.outputs.push(Output::Commit { entries });
+        self.outputs.push(Output::Apply { entries });
         self.request_snapshot_if_due();
     }
 }
--- a/crates/masticsill_quorum/src/replicate.rs
+++ b/crates/masticsill_quorum/src/replicate.rs
@@ -57,7 +57,8 @@
             return false;
         };
         let in_flight = progress.next_index.0.saturating_sub(progress.match_index.0);
-        progress.next_index <= self.log.last_index() && in_flight <= self.settings.window_entries
+        progress.next_index <= self.log.last_index()
+            && in_flight <= self.settings.max_in_flight_entries
     }
 
     fn send_batch(&mut self, peer: &VoterId) {
@@ -71,7 +72,10 @@
         let Some(previous_term) = self.log.term(previous_index) else {
             return;
         };
-        let (max_entries, max_bytes) = (self.settings.append_entries, self.settings.append_bytes);
+        let (max_entries, max_bytes) = (
+            self.settings.max_append_entries,
+            self.settings.max_append_bytes,
+        );
         let entries = self.log.batch(progress.next_index, max_entries, max_bytes);
         match &mut progress.mode {
             ReplicationMode::Probe { is_awaiting_reply } => *is_awaiting_reply = true,
--- a/crates/masticsill_quorum/src/settings.rs
+++ b/crates/masticsill_quorum/src/settings.rs
@@ -18,17 +18,17 @@
     /// entry on a disk that is left.
     pub min_quorum: usize,
     /// Payload bytes in one append message, at most, unless one entry is larger.
-    pub append_bytes: usize,
+    pub max_append_bytes: usize,
     /// Entries in one append message, at most.
-    pub append_entries: usize,
+    pub max_append_entries: usize,
     /// Entries sent to a follower ahead of its acknowledgement, at most.
-    pub window_entries: u64,
+    pub max_in_flight_entries: u64,
     /// Proposals that may wait for commitment.
-    pub pending_proposals: usize,
+    pub max_pending_proposals: usize,
     /// Data bytes in one snapshot message, at most.
-    pub snapshot_chunk_bytes: usize,
+    pub max_snapshot_chunk_bytes: usize,
     /// Entries after the last snapshot at which a new one is wanted.
-    pub snapshot_after_entries: u64,
+    pub snapshot_interval_entries: u64,
     /// Entries kept in memory before a snapshot, for followers that lag a little.
     pub retained_entries: u64,
 }
@@ -41,12 +41,12 @@
             election_min_ms: 500,
             election_max_ms: 900,
             min_quorum: 1,
-            append_bytes: 256 * 1024,
-            append_entries: 1024,
-            window_entries: 8192,
-            pending_proposals: 8192,
-            snapshot_chunk_bytes: 256 * 1024,
-            snapshot_after_entries: 8192,
+            max_append_bytes: 256 * 1024,
+            max_append_entries: 1024,
+            max_in_flight_entries: 8192,
+            max_pending_proposals: 8192,
+            max_snapshot_chunk_bytes: 256 * 1024,
+            snapshot_interval_entries: 8192,
             retained_entries: 1024,
         }
     }
@@ -86,13 +86,13 @@
             return Err(SettingsError::ElectionRangeEmpty);
         }
         let sizes = [
-            self.append_bytes,
-            self.append_entries,
-            self.pending_proposals,
-            self.snapshot_chunk_bytes,
+            self.max_append_bytes,
+            self.max_append_entries,
+            self.max_pending_proposals,
+            self.max_snapshot_chunk_bytes,
         ];
-        let has_zero = sizes.contains(&0) || self.window_entries == 0;
-        if has_zero || self.snapshot_after_entries == 0 {
+        let has_zero = sizes.contains(&0) || self.max_in_flight_entries == 0;
+        if has_zero || self.snapshot_interval_entries == 0 {
             return Err(SettingsError::SizeZero);
         }
         Ok(())
--- a/crates/masticsill_quorum/src/silent_members.rs
+++ b/crates/masticsill_quorum/src/silent_members.rs
@@ -12,7 +12,7 @@
     /// A silent learner comes first: it would keep the voter that it replaces. A silent voter may
     /// go while more than `target_voters` vote and none is being replaced.
     #[must_use]
-    pub fn spare_members(
+    pub fn removable_members(
         &self,
         now: ClockMs,
         silence_ms: u64,
--- a/crates/masticsill_quorum/src/snapshot.rs
+++ b/crates/masticsill_quorum/src/snapshot.rs
@@ -15,13 +15,13 @@
     pub(crate) fn request_snapshot_if_due(&mut self) {
         let entries_since_snapshot = self.commit.0.saturating_sub(self.log.snapshot_index().0);
         if self.is_snapshot_requested
-            || entries_since_snapshot < self.settings.snapshot_after_entries
+            || entries_since_snapshot < self.settings.snapshot_interval_entries
         {
             return;
         }
         self.is_snapshot_requested = true;
         let index = self.commit;
-        self.outputs.push(Output::SnapshotWanted { index });
+        self.outputs.push(Output::TakeSnapshot { index });
     }
 
     pub(crate) fn store_snapshot(&mut self, index: LogIndex, data: Arc<[u8]>) {
@@ -69,7 +69,11 @@
             offset_bytes,
             is_awaiting_reply: true,
         };
-        let message = chunk_at(snapshot, offset_bytes, self.settings.snapshot_chunk_bytes);
+        let message = chunk_at(
+            snapshot,
+            offset_bytes,
+            self.settings.max_snapshot_chunk_bytes,
+        );
         let message = message(self.term);
         self.send(peer.clone(), message);
     }
--- a/crates/masticsill_quorum/src/storage.rs
+++ b/crates/masticsill_quorum/src/storage.rs
@@ -27,8 +27,8 @@
 
 pub use disk::{Disk, FileDisk};
 pub use error::StorageError;
-pub use open::{Recovered, TornTail};
-pub use space_wait::{Patience, PatientDisk};
+pub use open::{RecoveredStorage, TornTail};
+pub use space_wait::{SpaceWaitCanceller, SpaceWaitDisk};
 
 pub(crate) const IDENTITY_FILE: &str = "identity";
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
@@ -51,7 +51,7 @@
     point: SyncPoint,
     is_pristine: bool,
     is_failed: bool,
-    patience: Patience,
+    space_wait_canceller: SpaceWaitCanceller,
 }
 
 impl Storage {
@@ -64,12 +64,12 @@
         folder: &Path,
         cluster: &str,
         node: &NodeId,
-    ) -> Result<(Self, Recovered), StorageError> {
-        let disk = PatientDisk::new(FileDisk::open(folder)?);
-        let patience = disk.patience();
-        let opened = Self::open_on(Box::new(disk), cluster, node, FolderId(rand::random()));
+    ) -> Result<(Self, RecoveredStorage), StorageError> {
+        let disk = SpaceWaitDisk::new(FileDisk::open(folder)?);
+        let space_wait_canceller = disk.space_wait_canceller();
+        let opened = Self::open_with_disk(Box::new(disk), cluster, node, FolderId(rand::random()));
         let (mut storage, recovered) = opened?;
-        storage.patience = patience;
+        storage.space_wait_canceller = space_wait_canceller;
         Ok((storage, recovered))
     }
 
@@ -79,12 +79,12 @@
     /// # Errors
     ///
     /// [`StorageError`] that names the file and the remedy.
-    pub fn open_on(
+    pub fn open_with_disk(
         mut disk: Box<dyn Disk>,
         cluster: &str,
         node: &NodeId,
         new_folder: FolderId,
-    ) -> Result<(Self, Recovered), StorageError> {
+    ) -> Result<(Self, RecoveredStorage), StorageError> {
         let new_id = VoterId {
             name: node.clone(),
             folder: new_folder,
@@ -101,7 +101,7 @@
             point: SyncPoint::default(),
             is_pristine: is_pristine(state),
             is_failed: false,
-            patience: Patience::default(),
+            space_wait_canceller: SpaceWaitCanceller::default(),
         };
         storage.ensure_open_segment()?;
         Ok((storage, recovered))
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// [`StorageError::NotNew`] when the folder holds an entry; [`StorageError`] of the writes.
-    pub fn give_up(&mut self, new_folder: FolderId) -> Result<StoredState, StorageError> {
+    pub fn abandon_founding(&mut self, new_folder: FolderId) -> Result<StoredState, StorageError> {
         let has_entries = |segment: &Segment| segment.highest_index > LogIndex(0);
         if !self.unwritten.is_empty() || self.segments.iter().any(has_entries) {
             return Err(StorageError::NotNew);
@@ -174,7 +174,7 @@
         let entry = Entry {
             index: last_index.next(),
             term,
-            payload: Payload::Membership(Membership::of_voters([self.id.clone()])),
+            payload: Payload::Membership(Membership::from_voters([self.id.clone()])),
         };
         let vote = Write::Vote {
             term,
@@ -241,8 +241,8 @@
 
     /// What ends this storage's waits for space; a write that is given up is a failure.
     #[must_use]
-    pub fn patience(&self) -> Patience {
-        self.patience.clone()
+    pub fn space_wait_canceller(&self) -> SpaceWaitCanceller {
+        self.space_wait_canceller.clone()
     }
 
     /// Runs an operation unless an earlier one failed; a failure is final.
--- a/crates/masticsill_quorum/src/storage/open.rs
+++ b/crates/masticsill_quorum/src/storage/open.rs
@@ -24,7 +24,7 @@
 
 /// What a data folder held when it was opened.
 #[derive(Debug)]
-pub struct Recovered {
+pub struct RecoveredStorage {
     /// What the replica starts from.
     pub state: StoredState,
     /// The cut that was made, if any.
@@ -38,7 +38,7 @@
     disk: &mut dyn Disk,
     cluster: &str,
     new_id: VoterId,
-) -> Result<(Recovered, Vec<Segment>), StorageError> {
+) -> Result<(RecoveredStorage, Vec<Segment>), StorageError> {
     let names = finish_abandoning(disk)?;
     let is_new = !names.iter().any(|name| name == IDENTITY_FILE);
     let id = if is_new {
@@ -61,7 +61,7 @@
         snapshot,
         entries: replay.entries,
     };
-    let recovered = Recovered {
+    let recovered = RecoveredStorage {
         state,
         torn_tail,
         is_new,
--- a/crates/masticsill_quorum/src/storage/space_wait.rs
+++ b/crates/masticsill_quorum/src/storage/space_wait.rs
@@ -23,56 +23,56 @@
 
 /// Lets a process that ends give up waiting for space. Copies share one state.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
-    is_over: Arc<AtomicBool>,
+pub struct SpaceWaitCanceller {
+    is_cancelled: Arc<AtomicBool>,
 }
 
-impl Patience {
+impl SpaceWaitCanceller {
     /// Lets every write for which there is no space be refused from now on.
-    pub fn end(&self) {
-        self.is_over.store(true, Ordering::Release);
+    pub fn cancel(&self) {
+        self.is_cancelled.store(true, Ordering::Release);
     }
 
-    fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Acquire)
+    fn is_cancelled(&self) -> bool {
+        self.is_cancelled.load(Ordering::Acquire)
     }
 }
 
 /// A disk that waits for space. It blocks its caller, which must be a thread of its own.
-pub struct PatientDisk<D> {
+pub struct SpaceWaitDisk<D> {
     disk: D,
-    patience: Patience,
+    space_wait_canceller: SpaceWaitCanceller,
     /// Sizes of the files that were appended to, as far as every append was whole.
     sizes_bytes: IndexMap<String, u64>,
     sleep_fn: fn(Duration),
 }
 
-impl<D: fmt::Debug> fmt::Debug for PatientDisk<D> {
+impl<D: fmt::Debug> fmt::Debug for SpaceWaitDisk<D> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut shown = formatter.debug_struct("PatientDisk");
         shown.field("disk", &self.disk).finish_non_exhaustive()
     }
 }
 
-impl<D: Disk> PatientDisk<D> {
+impl<D: Disk> SpaceWaitDisk<D> {
     /// Waits on the thread that writes.
     pub fn new(disk: D) -> Self {
-        Self::waiting_by(disk, thread::sleep)
+        Self::with_sleep(disk, thread::sleep)
     }
 
     /// The same with another way to wait, for tests.
-    pub fn waiting_by(disk: D, sleep_fn: fn(Duration)) -> Self {
+    pub fn with_sleep(disk: D, sleep_fn: fn(Duration)) -> Self {
         Self {
             disk,
-            patience: Patience::default(),
+            space_wait_canceller: SpaceWaitCanceller::default(),
             sizes_bytes: IndexMap::new(),
             sleep_fn,
         }
     }
 
     /// What ends its waits.
-    pub fn patience(&self) -> Patience {
-        self.patience.clone()
+    pub fn space_wait_canceller(&self) -> SpaceWaitCanceller {
+        self.space_wait_canceller.clone()
     }
 
     fn size_bytes(&mut self, file: &str) -> io::Result<u64> {
@@ -103,7 +103,7 @@
                 }
             };
             undo(&mut self.disk);
-            if self.patience.is_over() {
+            if self.space_wait_canceller.is_cancelled() {
                 return Err(refused);
             }
             if !is_full_logged {
@@ -115,7 +115,7 @@
     }
 }
 
-impl<D: Disk> Disk for PatientDisk<D> {
+impl<D: Disk> Disk for SpaceWaitDisk<D> {
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         let before_bytes = self.size_bytes(file)?;
         let undo = |disk: &mut D| {
--- a/crates/masticsill_quorum/tests/catalogue_differential.rs
+++ b/crates/masticsill_quorum/tests/catalogue_differential.rs
@@ -18,8 +18,8 @@
 /// Sizes for whole states: a snapshot goes in a few parts, not hundreds.
 fn settings() -> ReplicaSettings {
     ReplicaSettings {
-        append_bytes: 512,
-        snapshot_chunk_bytes: 4 * 1024,
+        max_append_bytes: 512,
+        max_snapshot_chunk_bytes: 4 * 1024,
         ..simulation::settings()
     }
 }
--- a/crates/masticsill_quorum/tests/control/followers.rs
+++ b/crates/masticsill_quorum/tests/control/followers.rs
@@ -241,7 +241,7 @@
                 let node = &mut simulation.nodes[place];
                 let replica = node.replica.as_ref().filter(|_| node.paused_at.is_none())?;
                 let clock = ClockMs(now + node.clock_offset_ms);
-                let proof = replica.current_as_of(clock);
+                let proof = replica.lease_read_point(clock);
                 let freshness = node.machine.freshness(node.started_at);
                 if let Some((index, as_of)) = proof
                     && node.applied >= index
--- a/crates/masticsill_quorum/tests/elections.rs
+++ b/crates/masticsill_quorum/tests/elections.rs
@@ -34,7 +34,9 @@
         id: id(1),
         term: Term(1),
         voted_for: None,
-        snapshot: Some(Snapshot::founding(Membership::of_voters([1, 2, 3].map(id)))),
+        snapshot: Some(Snapshot::founding(Membership::from_voters(
+            [1, 2, 3].map(id),
+        ))),
         entries: vec![entry(1, 1)],
     };
     Replica::new(settings(), stored, START, 1).unwrap()
@@ -75,7 +77,7 @@
 }
 
 fn commits(outputs: &[Output]) -> bool {
-    outputs.iter().any(|it| matches!(it, Output::Commit { .. }))
+    outputs.iter().any(|it| matches!(it, Output::Apply { .. }))
 }
 
 fn sent(outputs: &[Output]) -> Vec<&Message> {
--- a/crates/masticsill_quorum/tests/founding_plan.rs
+++ b/crates/masticsill_quorum/tests/founding_plan.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use masticsill_quorum::{
-    FOUND_WITHIN_MS, FoundingAttempt, FoundingPlan, MAX_FOUNDERS, Reservations,
+    FOUNDING_TIMEOUT_MS, FoundingAttempt, FoundingPlan, FoundingReservation, MAX_FOUNDING_VOTERS,
 };
 use masticsill_types::{ClockMs, NodeId};
 use proptest::prelude::*;
@@ -64,29 +64,29 @@
 fn proposer_is_a_member_of_the_largest_cluster() {
     let others: Vec<usize> = (0..9).filter(|other| *other != 8).collect();
     let members = plan(8, &others, 5).members(LATER).unwrap();
-    assert_eq!(members.len(), MAX_FOUNDERS);
+    assert_eq!(members.len(), MAX_FOUNDING_VOTERS);
     assert!(members.contains(&node(8)));
 }
 
 #[test]
 fn refused_proposer_lets_others_go_first() {
     let mut plan = plan(1, &[2, 3], 3);
-    plan.note_refused(LATER);
+    plan.back_off(LATER);
     assert_eq!(plan.members(LATER), None);
     assert!(plan.members(LATER + 2_000).is_some());
 }
 
 #[test]
 fn young_process_is_not_reserved() {
-    let mut young = Reservations::new(START);
+    let mut young = FoundingReservation::new(START);
     assert!(!young.reserve(START + 100, &attempt(1, 1)));
     assert!(young.reserve(LATER, &attempt(1, 1)));
 }
 
 #[test]
 fn known_cluster_ends_every_founding() {
-    let mut reservations = Reservations::new(START);
-    reservations.note_founded();
+    let mut reservations = FoundingReservation::new(START);
+    reservations.note_cluster_exists();
     assert!(!reservations.reserve(LATER, &attempt(1, 1)));
 }
 
@@ -97,7 +97,7 @@
     fn two_attempts_never_hold_a_majority(
         steps in prop::collection::vec((0_usize..3, 0_usize..4, 0_u64..500, any::<bool>()), 1..200),
     ) {
-        let mut seeds = vec![Reservations::new(ClockMs(0)); 3];
+        let mut seeds = vec![FoundingReservation::new(ClockMs(0)); 3];
         // What each proposer was granted by each seed, and when.
         let mut granted: IndexMap<(usize, usize), ClockMs> = IndexMap::new();
         let mut now = ClockMs(0);
@@ -111,7 +111,7 @@
                 granted.insert((seed, proposer), now);
             }
             // A proposer acts on grants of the last 400 ms only.
-            let usable = granted.iter().filter(|(_, at)| now.since(**at) < FOUND_WITHIN_MS);
+            let usable = granted.iter().filter(|(_, at)| now.since(**at) < FOUNDING_TIMEOUT_MS);
             let usable: Vec<(usize, usize)> = usable.map(|(key, _)| *key).collect();
             let count = |proposer| usable.iter().filter(|(_, held)| *held == proposer).count();
             let holders = (0..4).filter(|proposer| count(*proposer) * 2 > seeds.len()).count();
--- a/crates/masticsill_quorum/tests/full_disk.rs
+++ b/crates/masticsill_quorum/tests/full_disk.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use masticsill_quorum::storage::{Disk, PatientDisk, Storage};
+use masticsill_quorum::storage::{Disk, SpaceWaitDisk, Storage};
 use masticsill_quorum::{FolderId, SyncPoint, Write};
 use masticsill_types::{NodeId, Term};
 use simulation::disk::MemoryDisk;
@@ -113,8 +113,8 @@
     }
 }
 
-fn patient(disk: &SmallDisk) -> PatientDisk<SmallDisk> {
-    PatientDisk::waiting_by(disk.clone(), |_: Duration| {})
+fn patient(disk: &SmallDisk) -> SpaceWaitDisk<SmallDisk> {
+    SpaceWaitDisk::with_sleep(disk.clone(), |_: Duration| {})
 }
 
 #[test]
@@ -148,13 +148,13 @@
     let disk = SmallDisk::full();
     disk.shared.lock().unwrap().content = b"before ".to_vec();
     let mut patient = patient(&disk);
-    let patience = patient.patience();
+    let space_wait_canceller = patient.space_wait_canceller();
     let waiting = thread::spawn(move || {
         let refused = patient.append("log", b"after").unwrap_err();
         (refused, patient.replace("vote", b"term 7").unwrap_err())
     });
     disk.await_refusal();
-    patience.end();
+    space_wait_canceller.cancel();
     let (append, replacement) = waiting.join().unwrap();
     assert_eq!(append.kind(), io::ErrorKind::StorageFull);
     assert_eq!(replacement.kind(), io::ErrorKind::StorageFull);
@@ -165,7 +165,7 @@
 fn what_was_given_up_is_never_reported_as_durable() {
     let disk = MemoryDisk::default();
     let node = NodeId::new("control-1").unwrap();
-    let opened = Storage::open_on(Box::new(disk.clone()), "cluster", &node, FolderId(1));
+    let opened = Storage::open_with_disk(Box::new(disk.clone()), "cluster", &node, FolderId(1));
     let (mut storage, _) = opened.unwrap();
     let vote = |term| Write::Vote {
         term: Term(term),
--- a/crates/masticsill_quorum/tests/lease_pause.rs
+++ b/crates/masticsill_quorum/tests/lease_pause.rs
@@ -62,7 +62,7 @@
         let role = node.replica.as_ref().map(masticsill_quorum::Replica::role);
         if is_past {
             assert_ne!(role, Some(Role::Leader));
-            assert_eq!(node.current_as_of(simulation.now), None);
+            assert_eq!(node.lease_read_point(simulation.now), None);
             let command = simulation.propose_to(leader);
             assert_eq!(simulation.model.fate(command), Some(Fate::Refused));
         }
--- a/crates/masticsill_quorum/tests/lost_folder.rs
+++ b/crates/masticsill_quorum/tests/lost_folder.rs
@@ -125,7 +125,7 @@
         replaces,
     };
     simulation.change_at(leader, join);
-    let spare = |it: &Simulation| it.nodes[leader].spare_members(it.now, 500, 3);
+    let spare = |it: &Simulation| it.nodes[leader].removable_members(it.now, 500, 3);
     assert_eq!(spare(&simulation), [], "it has had no time to answer");
     simulation.run_for(600);
     assert_eq!(spare(&simulation), [id]);
@@ -182,7 +182,7 @@
     let simulation = with_commands(9, 3);
     let node = &simulation.nodes[1];
     let disk = Box::new(node.disk.clone());
-    let opened = Storage::open_on(disk, "simulated", &node.id.name, node.id.folder);
+    let opened = Storage::open_with_disk(disk, "simulated", &node.id.name, node.id.folder);
     let (mut storage, mut recovered) = opened.unwrap();
     storage.force_sole_voter(&mut recovered.state).unwrap();
     let mut replica = Replica::new(settings(), recovered.state, ClockMs(0), 1).unwrap();
--- a/crates/masticsill_quorum/tests/simulation/mod.rs
+++ b/crates/masticsill_quorum/tests/simulation/mod.rs
@@ -34,12 +34,12 @@
         election_min_ms: 100,
         election_max_ms: 200,
         min_quorum: 1,
-        append_bytes: 64,
-        append_entries: 5,
-        window_entries: 16,
-        pending_proposals: 64,
-        snapshot_chunk_bytes: 48,
-        snapshot_after_entries: 12,
+        max_append_bytes: 64,
+        max_append_entries: 5,
+        max_in_flight_entries: 16,
+        max_pending_proposals: 64,
+        max_snapshot_chunk_bytes: 48,
+        snapshot_interval_entries: 12,
         retained_entries: 4,
     }
 }
@@ -145,7 +145,7 @@
         };
         let founding = simulation.nodes.iter().take(founders);
         let voters: Vec<VoterId> = founding.map(|it| it.id.clone()).collect();
-        simulation.model.membership = Membership::of_voters(voters.iter().cloned());
+        simulation.model.membership = Membership::from_voters(voters.iter().cloned());
         for node in 0..count {
             if node < told {
                 simulation.nodes[node].found(&voters);
@@ -276,7 +276,7 @@
         self.carry_out(node, stalled);
         if is_past_lease && self.nodes[node].is_running() {
             assert_eq!(
-                self.nodes[node].current_as_of(self.now),
+                self.nodes[node].lease_read_point(self.now),
                 None,
                 "a stale proof"
             );
@@ -323,7 +323,7 @@
         }
         let outputs = self.nodes[node].step(self.now, input);
         self.check_isolation(node, &outputs);
-        if let Some((commit, at)) = self.nodes[node].current_as_of(self.now) {
+        if let Some((commit, at)) = self.nodes[node].lease_read_point(self.now) {
             self.model.check_as_of(commit, at);
         }
         let stall_permille = self.faults.stall_permille;
@@ -362,7 +362,7 @@
     }
 
     fn carry_out(&mut self, node: usize, outputs: Vec<Output>) {
-        let is_wanted = |output: &Output| matches!(output, Output::SnapshotWanted { .. });
+        let is_wanted = |output: &Output| matches!(output, Output::TakeSnapshot { .. });
         let needs_snapshot = outputs.iter().any(is_wanted);
         for output in outputs {
             self.carry_out_one(node, output);
@@ -377,12 +377,12 @@
     fn carry_out_one(&mut self, node: usize, output: Output) {
         let now = self.now;
         match output {
-            Output::Became { role, term, .. } => {
+            Output::RoleChanged { role, term, .. } => {
                 if role == Role::Leader {
                     self.model.elect(term, &self.nodes[node].id);
                 }
             }
-            Output::Commit { entries } => {
+            Output::Apply { entries } => {
                 for entry in entries {
                     if self.model.commit(&entry) {
                         self.application.commit(&entry);
@@ -415,7 +415,7 @@
             Output::RefusedPropose { token, .. } | Output::RefusedMembership { token, .. } => {
                 self.model.settle(now, token.0, Fate::Refused);
             }
-            Output::RefusedRead { .. } | Output::SnapshotWanted { .. } => {}
+            Output::RefusedRead { .. } | Output::TakeSnapshot { .. } => {}
             Output::RestoreSnapshot { snapshot } => {
                 self.nodes[node].restore(&snapshot, &self.application, &self.model);
             }
@@ -455,7 +455,7 @@
         self.run_until("a leader that proves its state current", |simulation| {
             leader = simulation.leader().filter(|place| {
                 let node = &simulation.nodes[*place];
-                node.paused_at.is_none() && node.current_as_of(simulation.now).is_some()
+                node.paused_at.is_none() && node.lease_read_point(simulation.now).is_some()
             });
             leader.is_some()
         });
@@ -543,7 +543,7 @@
                 changes.push(MembershipChange::Join { id, replaces });
             }
         }
-        let spare = node.spare_members(self.now, silence_ms, wanted);
+        let spare = node.removable_members(self.now, silence_ms, wanted);
         let spare = spare.into_iter().take(1);
         changes.extend(spare.map(|id| MembershipChange::Remove { id }));
         for change in changes {
--- a/crates/masticsill_quorum/tests/simulation/node.rs
+++ b/crates/masticsill_quorum/tests/simulation/node.rs
@@ -55,14 +55,14 @@
         }
     }
 
-    fn open(&self) -> (Storage, masticsill_quorum::storage::Recovered) {
+    fn open(&self) -> (Storage, masticsill_quorum::storage::RecoveredStorage) {
         let disk = Box::new(self.disk.clone());
-        Storage::open_on(disk, CLUSTER, &self.id.name, self.id.folder).unwrap()
+        Storage::open_with_disk(disk, CLUSTER, &self.id.name, self.id.folder).unwrap()
     }
 
     pub fn found(&mut self, founders: &[VoterId]) {
         let (mut storage, mut recovered) = self.open();
-        let membership = Membership::of_voters(founders.iter().cloned());
+        let membership = Membership::from_voters(founders.iter().cloned());
         storage.found(&mut recovered.state, membership).unwrap();
     }
 
@@ -138,16 +138,16 @@
     }
 
     /// The replica's proof, with its point on the simulation's clock.
-    pub fn current_as_of(&self, now: u64) -> Option<(LogIndex, u64)> {
+    pub fn lease_read_point(&self, now: u64) -> Option<(LogIndex, u64)> {
         let replica = self.replica.as_ref()?;
-        let (commit, at) = replica.current_as_of(self.clock(now))?;
+        let (commit, at) = replica.lease_read_point(self.clock(now))?;
         Some((commit, at.0 - self.clock_offset_ms))
     }
 
     /// Members that may go, of those that this node, as a leader, has not heard for so long.
-    pub fn spare_members(&self, now: u64, silence_ms: u64, wanted: usize) -> Vec<VoterId> {
+    pub fn removable_members(&self, now: u64, silence_ms: u64, wanted: usize) -> Vec<VoterId> {
         let replica = self.replica.as_ref().unwrap();
-        replica.spare_members(self.clock(now), silence_ms, wanted)
+        replica.removable_members(self.clock(now), silence_ms, wanted)
     }
 
     /// Queues a write for the storage; true when a sync must be scheduled.
--- a/crates/masticsill_quorum/tests/storage.rs
+++ b/crates/masticsill_quorum/tests/storage.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use assert_matches::assert_matches;
-use masticsill_quorum::storage::{Disk, Recovered, Storage, StorageError, TornTail};
+use masticsill_quorum::storage::{Disk, RecoveredStorage, Storage, StorageError, TornTail};
 use masticsill_quorum::{
     Entry, FolderId, LogIndex, Membership, Payload, Snapshot, SyncPoint, VoterId, Write,
 };
@@ -19,9 +19,9 @@
     NodeId::new("control-0").unwrap()
 }
 
-fn open(disk: &MemoryDisk) -> Result<(Storage, Recovered), StorageError> {
+fn open(disk: &MemoryDisk) -> Result<(Storage, RecoveredStorage), StorageError> {
     let disk = Box::new(disk.clone());
-    Storage::open_on(disk, "cluster", &node(), FolderId(7))
+    Storage::open_with_disk(disk, "cluster", &node(), FolderId(7))
 }
 
 fn entries(range: std::ops::RangeInclusive<u64>, term: u64) -> Write {
@@ -55,7 +55,7 @@
     }
 }
 
-fn indexes_and_terms(recovered: &Recovered) -> Vec<(u64, u64)> {
+fn indexes_and_terms(recovered: &RecoveredStorage) -> Vec<(u64, u64)> {
     let entries = recovered.state.entries.iter();
     entries.map(|it| (it.index.0, it.term.0)).collect()
 }
@@ -232,7 +232,7 @@
     write_all(&disk, &[entries(1..=1, 1)]);
     let open_as = |cluster: &str, name: &str| {
         let name = NodeId::new(name).unwrap();
-        Storage::open_on(Box::new(disk.clone()), cluster, &name, FolderId(8))
+        Storage::open_with_disk(Box::new(disk.clone()), cluster, &name, FolderId(8))
     };
     assert_matches!(
         open_as("other", "control-0"),
@@ -268,7 +268,7 @@
     let disk = MemoryDisk::default();
     let (mut storage, mut recovered) = open(&disk).unwrap();
     assert!(recovered.is_new);
-    let membership = Membership::of_voters([recovered.state.id.clone()]);
+    let membership = Membership::from_voters([recovered.state.id.clone()]);
     storage
         .found(&mut recovered.state, membership.clone())
         .unwrap();
@@ -334,7 +334,7 @@
 fn founded(disk: &MemoryDisk) -> VoterId {
     let (mut storage, mut recovered) = open(disk).unwrap();
     let id = recovered.state.id.clone();
-    let membership = Membership::of_voters([id.clone()]);
+    let membership = Membership::from_voters([id.clone()]);
     storage.found(&mut recovered.state, membership).unwrap();
     let term = Term(3);
     let vote = Write::Vote {
@@ -355,11 +355,12 @@
             changes_left,
             disk: disk.clone(),
         };
-        let opened = Storage::open_on(Box::new(faulty), "cluster", &node(), FolderId(8));
+        let opened = Storage::open_with_disk(Box::new(faulty), "cluster", &node(), FolderId(8));
         let (mut storage, _) = opened.unwrap();
-        let given_up = storage.give_up(FolderId(9));
+        let given_up = storage.abandon_founding(FolderId(9));
         disk.crash(|_| 0);
-        let reopened = Storage::open_on(Box::new(disk.clone()), "cluster", &node(), FolderId(10));
+        let reopened =
+            Storage::open_with_disk(Box::new(disk.clone()), "cluster", &node(), FolderId(10));
         let (_, recovered) = reopened.unwrap();
         let state = recovered.state;
         if state.id == id {
@@ -385,18 +386,24 @@
     founded(&disk);
     let (mut storage, _) = open(&disk).unwrap();
     storage.write(SyncPoint(1), &entries(1..=1, 3)).unwrap();
-    assert_matches!(storage.give_up(FolderId(9)), Err(StorageError::NotNew));
+    assert_matches!(
+        storage.abandon_founding(FolderId(9)),
+        Err(StorageError::NotNew)
+    );
     storage.sync().unwrap();
-    assert_matches!(storage.give_up(FolderId(9)), Err(StorageError::NotNew));
+    assert_matches!(
+        storage.abandon_founding(FolderId(9)),
+        Err(StorageError::NotNew)
+    );
 }
 
 #[test]
 fn a_file_system_folder_is_given_up() {
     let folder = tempfile::tempdir().unwrap();
     let (mut storage, mut recovered) = Storage::open(folder.path(), "cluster", &node()).unwrap();
-    let membership = Membership::of_voters([recovered.state.id.clone()]);
+    let membership = Membership::from_voters([recovered.state.id.clone()]);
     storage.found(&mut recovered.state, membership).unwrap();
-    let state = storage.give_up(FolderId(9)).unwrap();
+    let state = storage.abandon_founding(FolderId(9)).unwrap();
     assert_eq!((state.id.folder, state.snapshot), (FolderId(9), None));
     // What is written now must be in the new files.
     storage.write(SyncPoint(1), &entries(1..=2, 1)).unwrap();
@@ -432,7 +439,7 @@
     drop(storage);
     let (_, read_back) = open(&disk).unwrap();
     assert_eq!(read_back.state, recovered.state);
-    let alone = Membership::of_voters([recovered.state.id]);
+    let alone = Membership::from_voters([recovered.state.id]);
     let last = read_back.state.entries.last().map(|it| &it.payload);
     assert_eq!(last, Some(&Payload::Membership(alone)));
 }
--- a/crates/masticsill_quorum/tests/wire_form.rs
+++ b/crates/masticsill_quorum/tests/wire_form.rs
@@ -43,7 +43,7 @@
 }
 
 fn membership() -> Membership {
-    let mut membership = Membership::of_voters([id(1), id(2)]);
+    let mut membership = Membership::from_voters([id(1), id(2)]);
     membership.learners.push(Learner {
         id: id(3),
         replaces: Some(id(2)),
