--- a/crates/masticsill_quorum/src/candidate.rs
+++ b/crates/masticsill_quorum/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes and standing at the leader's request.
+//! Elections: pre-votes, votes and elections requested by the leader.
 
 use masticsill_types::{ClockMs, Term};
 
@@ -6,7 +6,7 @@
 use crate::replica::RoleState;
 use crate::{LogIndex, Message, Replica, VoterId};
 
-/// How complete a log is: the term of its last entry, then its index.
+/// How up to date a log is: the term of its last entry, then that entry's index.
 pub(crate) type LogRank = (Term, LogIndex);
 
 impl Replica {
@@ -14,7 +14,7 @@
         (self.log.last_term(), self.log.last_index())
     }
 
-    /// Whether a leader was heard so lately that its lease may run.
+    /// Whether a leader was heard from so recently that its lease may still be valid.
     fn has_recent_leader_contact(&self, now: ClockMs) -> bool {
         matches!(self.role, RoleState::Leader(_))
             || now.since(self.leader_heard_at) < self.settings.election_min_ms
@@ -33,7 +33,7 @@
             granted: Vec::new(),
         };
         self.report_role();
-        // Asking again disturbs no one, so a lost or early question is soon repeated.
+        // A pre-vote changes no one's term, so one that was lost or sent too early is retried soon.
         self.set_short_election_timer(now);
         let (last_term, last_index) = self.own_rank();
         let term = self.term.next();
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Stands in a new term. The own vote counts, and others are asked, once it is synced.
+    /// Starts an election in a new term. Once the replica's own vote is synced, the vote is counted
+    /// and the other voters are asked for theirs.
     pub(crate) fn start_election(&mut self, now: ClockMs, is_transfer: bool) {
         self.term = self.term.next();
         self.voted_for = Some(self.id.clone());
@@ -110,7 +111,8 @@
         self.durability.defer(Deferred::OwnVote { term });
     }
 
-    /// A candidate that waited longer than a lease does not lead on old votes.
+    /// Makes a candidate step down if its election has lasted longer than a lease: votes that old
+    /// must not make it leader.
     pub(crate) fn step_down_if_election_expired(&mut self, now: ClockMs) {
         let RoleState::Candidate {
             election_started_at,
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Handles a message of a higher term; false when it is ignored or already answered.
+    /// Handles a message of a higher term. Returns `false` if the message is ignored or already
+    /// handled, `true` if the replica has entered its term.
     pub(crate) fn enter_message_term(
         &mut self,
         now: ClockMs,
@@ -150,7 +153,8 @@
                 }
                 return false;
             }
-            // A replica that hears its leader is not moved by one that doesn't.
+            // A replica in contact with its leader must not be drawn into a new term by one that is
+            // not.
             Message::Vote { is_transfer, .. }
                 if !is_transfer && self.has_recent_leader_contact(now) =>
             {
@@ -204,7 +208,7 @@
         }
     }
 
-    /// Answers a message of a lower term so that its sender learns of this one.
+    /// Replies to a message of a lower term so that its sender learns the current term.
     pub(crate) fn reply_to_old_term(&mut self, from: VoterId, message: &Message) {
         let term = self.term;
         match message {
--- a/crates/masticsill_quorum/src/durability.rs
+++ b/crates/masticsill_quorum/src/durability.rs
@@ -1,4 +1,4 @@
-//! What is synced, and what waits for a sync.
+//! Tracks which writes are synced and which actions wait for a sync.
 
 use std::collections::VecDeque;
 
@@ -6,24 +6,24 @@
 
 use crate::{Envelope, LogIndex, SyncPoint};
 
-/// Something that counts only once a write is synced.
+/// An action that takes effect only once a write is synced.
 #[derive(Debug)]
 pub(crate) enum Deferred {
-    /// The replica's own log is durable up to an entry.
+    /// Count the replica's own log as durable up to an entry.
     OwnEntry { index: LogIndex, term: Term },
-    /// The replica's vote for itself is durable.
+    /// Count the replica's vote for itself.
     OwnVote { term: Term },
-    /// A message may go out.
+    /// Send a message.
     Send(Envelope),
 }
 
-/// Write points asked for and synced, and what waits for them.
+/// The write points requested and synced, and the actions that wait for them.
 #[derive(Debug)]
 pub(crate) struct Durability {
     issued: SyncPoint,
     synced: SyncPoint,
     term_write_point: SyncPoint,
-    /// The last index that is synced in the log as it stands.
+    /// The last index of the current log that is synced.
     synced_index: LogIndex,
     deferred_actions: VecDeque<(SyncPoint, Deferred)>,
 }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The last index that is synced in the log as it stands.
+    /// The last index of the current log that is synced.
     pub(crate) fn synced_index(&self) -> LogIndex {
         self.synced_index
     }
@@ -49,7 +49,7 @@
         self.issued
     }
 
-    /// Notes that the newest write is that of the term and vote.
+    /// Records that the newest write stores the term and vote.
     pub(crate) fn mark_term_write(&mut self) {
         self.term_write_point = self.issued;
     }
@@ -60,7 +60,8 @@
 
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         self.synced_index = self.synced_index.min(index.previous());
-        // The same entry may be appended again later; the old write no longer proves it durable.
+        // The same entry may be appended again later; the sync of the earlier write does not prove
+        // the later one durable.
         self.deferred_actions
             .retain(|(_, deferred)| match deferred {
                 Deferred::OwnEntry { index: own, .. } => *own < index,
@@ -72,7 +73,7 @@
         self.synced_index = self.synced_index.max(index);
     }
 
-    /// Holds something until every write asked for so far is synced.
+    /// Defers an action until every write requested so far is synced.
     pub(crate) fn defer(&mut self, deferred: Deferred) {
         self.deferred_actions.push_back((self.issued, deferred));
     }
@@ -81,7 +82,7 @@
         self.synced = self.synced.max(up_to.min(self.issued));
     }
 
-    /// The next thing whose writes are all synced.
+    /// Removes and returns the next deferred action whose writes are all synced.
     pub(crate) fn pop_ready(&mut self) -> Option<Deferred> {
         let (point, _) = self.deferred_actions.front()?;
         if *point > self.synced {
--- a/crates/masticsill_quorum/src/entry.rs
+++ b/crates/masticsill_quorum/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated log and snapshots of the state they lead to.
+//! Entries of the replicated log, snapshots and the state recovered from a data folder.
 
 use std::sync::Arc;
 
@@ -9,22 +9,22 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Its position.
+    /// The entry's position in the log.
     pub index: LogIndex,
     /// The term of the leader that appended it.
     pub term: Term,
-    /// What it says.
+    /// The entry's content.
     pub payload: Payload,
 }
 
-/// What an entry says.
+/// The content of a log entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Payload {
     /// A caller's opaque command.
     Command(Arc<[u8]>),
-    /// The membership in force from this entry on.
+    /// The membership in effect from this entry on, committed or not.
     Membership(Membership),
-    /// The entry by which a new leader commits what earlier terms left.
+    /// The entry that a new leader appends to commit the entries of earlier terms.
     Noop,
 }
 
@@ -37,21 +37,21 @@
     }
 }
 
-/// The caller's state after every entry up to an index.
+/// The caller's state after applying every entry up to and including an index.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
-    /// The last entry that the state contains.
+    /// Index of the last entry that the state contains.
     pub index: LogIndex,
-    /// That entry's term.
+    /// Term of the entry at `index`.
     pub term: Term,
-    /// The membership in force at that entry.
+    /// The membership in effect at `index`.
     pub membership: Membership,
-    /// The caller's state, opaque.
+    /// The caller's serialized state, opaque to this crate.
     pub data: Arc<[u8]>,
 }
 
 impl Snapshot {
-    /// The state before the first entry of a new cluster, with its founding members.
+    /// The empty snapshot before the first entry of a new cluster, holding the founding members.
     #[must_use]
     pub fn founding(membership: Membership) -> Self {
         Self {
@@ -63,16 +63,16 @@
     }
 }
 
-/// What a replica knows when it starts: all that its data folder holds.
+/// The state that a replica starts from: everything that its data folder holds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredState {
     /// The replica's identity.
     pub id: VoterId,
     /// The highest term seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The replica that received this replica's vote in `term`, if any.
     pub voted_for: Option<VoterId>,
-    /// The newest snapshot; none in a new folder.
+    /// The newest snapshot; `None` in a new folder.
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
--- a/crates/masticsill_quorum/src/follower.rs
+++ b/crates/masticsill_quorum/src/follower.rs
@@ -1,4 +1,4 @@
-//! Following a leader: its entries, heartbeats and requests.
+//! Follower role: handling a leader's entries, heartbeats, snapshots and election requests.
 
 use masticsill_types::{ClockMs, Term};
 
@@ -6,7 +6,7 @@
 use crate::replica::RoleState;
 use crate::{Entry, LogIndex, Membership, Message, Replica, VoterId, Write};
 
-/// A snapshot that arrives part by part.
+/// A snapshot being received in parts.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     pub(crate) index: LogIndex,
@@ -79,7 +79,7 @@
         commit: LogIndex,
         mut entries: Vec<Entry>,
     ) {
-        // Committed entries are equal in every log, so they need no comparison.
+        // Committed entries are identical in every log and need no comparison.
         if previous_index < self.commit {
             entries.retain(|entry| entry.index > self.commit);
             previous_index = self.commit;
@@ -113,7 +113,7 @@
         self.send_when_term_synced(from, message);
     }
 
-    /// Appends entries, in place of any that conflict with them.
+    /// Appends entries after removing any entries of the log that overlap them.
     pub(crate) fn write_entries(&mut self, entries: Vec<Entry>) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else {
             return;
@@ -137,7 +137,7 @@
         self.persist(Write::TruncateFrom { index });
     }
 
-    /// Tells the leader that the log matches up to an index, once that is synced.
+    /// Acknowledges to the leader that the log matches up to an index, once that part is synced.
     pub(crate) fn acknowledge_up_to(&mut self, to: VoterId, match_index: LogIndex) {
         let term = self.term;
         let message = Message::AppendAccepted { term, match_index };
--- a/crates/masticsill_quorum/src/founding.rs
+++ b/crates/masticsill_quorum/src/founding.rs
@@ -1,43 +1,47 @@
-//! Who founds a cluster, where nobody is told how many replicas there are.
+//! Founding (bootstrapping) a cluster when the number of replicas is not configured.
 //!
-//! All that the processes of a first start have in common is a few seeds, and those may keep no
-//! state. Each replica with a new folder learns of the others from the seeds. One of them founds,
-//! after it has reserved every member that it names and a majority of the seeds. A process is
-//! reserved for one founding at a time, so two foundings can't go on at once: they would need a
-//! majority of the seeds each.
+//! At the first start, the only thing that the processes have in common is the addresses of a few
+//! seeds, which may be stateless. Each replica with a new data folder learns of the others from the
+//! seeds. One replica founds the cluster, after reserving every member that it names and a majority
+//! of the seeds. A process is reserved for one founding at a time, so two foundings can't proceed
+//! concurrently: each would need a majority of the seeds.
 
 use indexmap::IndexMap;
 use masticsill_types::{ClockMs, NodeId};
 
-/// Most voters of a new cluster; the others would only make each commit slower.
+/// Maximum number of voters of a new cluster; more would only make each commit slower.
 pub const MAX_FOUNDING_VOTERS: usize = 7;
-/// Time without another candidate after which the candidates count as complete: several times the
-/// interval at which replicas introduce themselves to the seeds (250 ms).
+/// Time without a new candidate after which the set of candidates counts as complete: several times
+/// the interval at which replicas introduce themselves to the seeds (250 ms).
 const CANDIDATES_SETTLED_MS: u64 = 900;
-/// How long a replica waits for as many candidates as are wanted before it founds with fewer, so
-/// that one which never comes does not keep the others from serving. A machine starts within a
-/// second or two.
+/// Time after which a replica founds the cluster with fewer candidates than the target, so that a
+/// replica that never starts does not prevent the others from serving. A machine starts within one
+/// to two seconds.
 const UNDERSIZED_FOUNDING_DELAY_MS: u64 = 5_000;
-/// Head start of each candidate before the next in order, should the one before it not act.
+/// Delay between one candidate's turn to found and the next one's, by rank, in case the earlier
+/// candidate does not act.
 const RANK_DELAY_MS: u64 = 700;
-/// Age from which a process may be reserved. A younger one could have forgotten a reservation of
-/// its former life; by this age that founding is over, and its members have told of it.
+/// Minimum time since its start before a process grants a reservation. A restarted process has lost
+/// the reservation that it held; after this time that founding is over, and its members have
+/// announced the cluster.
 const MIN_PROCESS_AGE_MS: u64 = 1_500;
-/// How long a reservation holds: beyond [`FOUNDING_TIMEOUT_MS`] and the storing of the members.
+/// How long a reservation is valid: longer than [`FOUNDING_TIMEOUT_MS`] plus the time that the
+/// members need to store the founding state.
 const RESERVATION_TTL_MS: u64 = 4_000;
-/// Time from the first reservation in which the proposer must found, or give up.
+/// Time from the first reservation, in milliseconds, within which the proposer must found the
+/// cluster or give up.
 pub const FOUNDING_TIMEOUT_MS: u64 = 400;
 
-/// One founding that a process may be reserved for.
+/// One attempt to found a cluster, for which processes are reserved.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FoundingAttempt {
-    /// Tells this attempt from the proposer's others.
+    /// Distinguishes this attempt from the proposer's other attempts.
     pub number: u64,
-    /// The replica that founds.
+    /// The replica that attempts to found the cluster.
     pub proposer: NodeId,
 }
 
-/// What one process grants to foundings.
+/// The founding reservation that one process grants, to one attempt at a time.
 #[derive(Clone, Debug)]
 pub struct FoundingReservation {
     reservation: Option<(FoundingAttempt, ClockMs)>,
@@ -46,7 +50,7 @@
 }
 
 impl FoundingReservation {
-    /// Those of a process that starts now.
+    /// The state of a process that started at `started_at` and has granted no reservation.
     #[must_use]
     pub fn new(started_at: ClockMs) -> Self {
         Self {
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Notes that a cluster exists: no other is founded any more.
+    /// Records that a cluster exists; every later reservation is refused.
     pub fn note_cluster_exists(&mut self) {
         self.cluster_exists = true;
     }
@@ -67,7 +71,8 @@
         self.cluster_exists
     }
 
-    /// Reserves the process; returns whether it is reserved for this proposal now.
+    /// Reserves the process for an attempt, or renews its reservation. Returns whether the
+    /// reservation was granted.
     pub fn reserve(&mut self, now: ClockMs, attempt: &FoundingAttempt) -> bool {
         if self.cluster_exists || now.since(self.started_at) < MIN_PROCESS_AGE_MS {
             return false;
@@ -82,7 +87,7 @@
         true
     }
 
-    /// Gives up the reservation for a proposal, if it is held.
+    /// Releases the reservation if this attempt holds it.
     pub fn release(&mut self, attempt: &FoundingAttempt) {
         if self
             .reservation
@@ -94,19 +99,20 @@
     }
 }
 
-/// When one replica founds, and with whom.
+/// Decides when a replica founds the cluster, and with which members.
 #[derive(Clone, Debug)]
 pub struct FoundingPlan {
     candidates: IndexMap<NodeId, ClockMs>,
     own: NodeId,
     retry_at: ClockMs,
     started_at: ClockMs,
-    /// Voters that the losses to be borne ask for.
+    /// Number of voters needed to tolerate the configured number of lost disks.
     target_voters: usize,
 }
 
 impl FoundingPlan {
-    /// The plan of a replica that starts now and bears losses with `target_voters` voters.
+    /// The plan of a replica that starts at `now`. `target_voters` is the number of voters needed
+    /// to tolerate the configured losses.
     #[must_use]
     pub fn new(now: ClockMs, own: NodeId, target_voters: usize) -> Self {
         let candidates = IndexMap::from([(own.clone(), now)]);
@@ -119,26 +125,27 @@
         }
     }
 
-    /// Notes a replica with a new folder.
+    /// Adds a replica that has a new data folder to the candidates.
     pub fn note_candidate(&mut self, now: ClockMs, node: &NodeId) {
         if !self.candidates.contains_key(node) {
             self.candidates.insert(node.clone(), now);
         }
     }
 
-    /// Forgets a candidate that does not answer.
+    /// Removes a candidate that does not answer. The own replica always stays a candidate.
     pub fn drop_candidate(&mut self, node: &NodeId) {
         if *node != self.own {
             self.candidates.shift_remove(node);
         }
     }
 
-    /// Lets others go first after a proposal that was not granted.
+    /// Delays the next attempt after a refused one, so that other candidates go first.
     pub fn back_off(&mut self, now: ClockMs) {
         self.retry_at = now + RANK_DELAY_MS * (1 + self.rank());
     }
 
-    /// The members to found with now, if it is this replica's turn.
+    /// The founding members, sorted by name, if it is this replica's turn to found; `None`
+    /// otherwise.
     #[must_use]
     pub fn members(&self, now: ClockMs) -> Option<Vec<NodeId>> {
         let newest = self.candidates.values().copied().max()?;
@@ -148,7 +155,8 @@
         let is_due = if self.candidates.len() >= self.target_voters {
             waited_ms >= MIN_PROCESS_AGE_MS + head_start_ms
         } else {
-            // A majority of the wanted ones at least: fewer would not outlive what may be lost.
+            // A majority of the target is required: fewer voters would not survive the losses to be
+            // tolerated.
             self.candidates.len() * 2 > self.target_voters
                 && waited_ms >= UNDERSIZED_FOUNDING_DELAY_MS + head_start_ms
         };
@@ -157,7 +165,8 @@
         }
         let mut members: Vec<NodeId> = self.candidates.keys().cloned().collect();
         members.sort();
-        // The proposer is one of its members, so that its folder decides.
+        // The proposer must be one of the members: its own data folder decides whether the founding
+        // took place.
         members.retain(|node| *node != self.own);
         members.truncate(MAX_FOUNDING_VOTERS - 1);
         members.push(self.own.clone());
@@ -165,7 +174,7 @@
         Some(members)
     }
 
-    /// How many candidates go before this replica.
+    /// Number of candidates whose turn comes before this replica's.
     fn rank(&self) -> u64 {
         let before = self.candidates.keys().filter(|node| **node < self.own);
         u64::try_from(before.count()).unwrap_or(u64::MAX)
--- a/crates/masticsill_quorum/src/input.rs
+++ b/crates/masticsill_quorum/src/input.rs
@@ -1,57 +1,58 @@
-//! What a replica is told.
+//! Inputs of a replica.
 
 use std::sync::Arc;
 
 use crate::{CallerToken, Envelope, LogIndex, MembershipChange, SyncPoint, VoterId};
 
-/// A command that a caller wants in the log.
+/// A command that a caller proposes for the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proposal {
-    /// The caller's number for it.
+    /// The caller's number for this proposal.
     pub token: CallerToken,
-    /// The command, opaque.
+    /// The command, opaque to this crate.
     pub command: Arc<[u8]>,
 }
 
-/// What a replica is told.
+/// An input to [`Replica::step`](crate::Replica::step).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
-    /// A caller asks for a membership change; answered like a proposal.
+    /// A caller requests a membership change; answered like a proposal.
     ChangeMembership {
-        /// The caller's number for it.
+        /// The caller's number for this change.
         token: CallerToken,
         /// The change.
         change: MembershipChange,
     },
     /// A message arrived.
     Message(Envelope),
-    /// Callers want commands in the log, in this order, under one sync.
+    /// Callers propose commands, to be appended in this order and covered by one sync.
     Propose {
         /// The commands.
         proposals: Vec<Proposal>,
     },
-    /// A caller wants to read the state as it is now or later.
+    /// A caller requests a linearizable read: of the state at this time or later.
     ReadIndex {
-        /// The caller's number for it.
+        /// The caller's number for this read.
         token: CallerToken,
     },
-    /// The caller serialised its state as it was after the entry at `index`.
+    /// The caller has serialized its state as of the entry at `index`.
     SnapshotTaken {
-        /// The last entry that the state contains; it was given out as committed.
+        /// Index of the last entry that the state contains, already returned by
+        /// [`Output::Apply`](crate::Output::Apply).
         index: LogIndex,
-        /// The state.
+        /// The serialized state.
         data: Arc<[u8]>,
     },
-    /// Every write up to a point is synced.
+    /// Every requested write up to a point is synced.
     SyncDone {
-        /// The point.
+        /// The last synced point.
         up_to: SyncPoint,
     },
-    /// Time has passed. Expected several times in each heartbeat interval.
+    /// Drives timers. Expected several times per heartbeat interval.
     Tick,
-    /// This replica is to hand leadership over before a planned stop.
+    /// Transfer leadership away from this replica, before a planned stop.
     TransferLeadership {
-        /// Who is to lead; none lets the replica choose.
+        /// The next leader; `None` lets the replica choose.
         target: Option<VoterId>,
     },
 }
--- a/crates/masticsill_quorum/src/leader.rs
+++ b/crates/masticsill_quorum/src/leader.rs
@@ -1,4 +1,4 @@
-//! Leading: proposals, commitment, heartbeat rounds, the lease and handing over.
+//! Leader role: proposals, commitment, heartbeat rounds, the lease and leadership transfer.
 
 use std::collections::VecDeque;
 
@@ -13,33 +13,34 @@
     VoterId,
 };
 
-/// A heartbeat round and when it was sent.
+/// A heartbeat round and the time at which it was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Round {
     pub(crate) number: u64,
     pub(crate) sent_at: ClockMs,
 }
 
-/// A handover of leadership in progress.
+/// A leadership transfer in progress.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     pub(crate) target: VoterId,
     pub(crate) deadline: ClockMs,
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     pub(crate) progress: IndexMap<VoterId, Progress>,
-    /// The leader's first entry; once it is committed, so is all before it.
+    /// Index of the leader's first entry. Once it is committed, all earlier entries are too.
     pub(crate) first_index: LogIndex,
-    /// When it asked for votes: the lease counts from there until a round is confirmed.
+    /// When the leader started its election. The lease runs from then until a heartbeat round is
+    /// confirmed.
     pub(crate) election_started_at: ClockMs,
     pub(crate) heartbeat_due: ClockMs,
-    /// Rounds sent and not yet confirmed, oldest first.
+    /// Heartbeat rounds sent but not yet confirmed, oldest first.
     pub(crate) rounds: VecDeque<Round>,
     pub(crate) last_round: u64,
-    /// The newest round that a majority acknowledged.
+    /// The newest round that a quorum acknowledged.
     pub(crate) confirmed: Option<Round>,
     pub(crate) pending: VecDeque<(LogIndex, CallerToken)>,
     pub(crate) reads: VecDeque<PendingRead>,
@@ -47,10 +48,10 @@
 }
 
 impl Replica {
-    /// The send time of the newest heartbeat round of this term that a majority acknowledged.
+    /// The send time of the newest heartbeat round of this term that a quorum acknowledged.
     ///
-    /// None when this replica does not lead, before the first such round, and past the lease. The
-    /// caller checks it again immediately before each step that can't be undone.
+    /// `None` if this replica is not the leader, before the first such round, and after the lease
+    /// has expired. Callers must check again immediately before each step that can't be undone.
     #[must_use]
     pub fn lease_confirmed_at(&self, now: ClockMs) -> Option<ClockMs> {
         let RoleState::Leader(state) = &self.role else {
@@ -60,10 +61,10 @@
         (now.since(sent_at) <= self.settings.lease_ms).then_some(sent_at)
     }
 
-    /// A commit index at least as high as any entry accepted, by any leader, before the point of
-    /// this replica's clock that comes with it.
+    /// A commit index and a time on this replica's clock, such that the index covers every entry
+    /// that any leader accepted before that time.
     ///
-    /// None under the conditions of [`Self::lease_confirmed_at`], and until the leader's first entry
+    /// `None` whenever [`Self::lease_confirmed_at`] is `None`, and until the leader's first entry
     /// is committed.
     #[must_use]
     pub fn lease_read_point(&self, now: ClockMs) -> Option<(LogIndex, ClockMs)> {
@@ -74,7 +75,7 @@
         (self.commit >= state.first_index).then_some((self.commit, confirmed_at))
     }
 
-    /// A leader that no majority has acknowledged within its lease stops leading.
+    /// Makes a leader step down if no quorum has acknowledged a heartbeat round within its lease.
     pub(crate) fn step_down_if_lease_expired(&mut self, now: ClockMs) {
         let is_sole_voter = self.is_quorum_alone();
         let RoleState::Leader(state) = &mut self.role else {
@@ -123,10 +124,12 @@
         self.append_own(vec![payload]);
     }
 
-    /// What a leader's first entry says: the founding members, as long as no entry names members.
+    /// Payload of a leader's first entry: the founding membership if no log entry sets a membership
+    /// yet, a no-op otherwise.
     ///
-    /// A member that was not told of the founding would take entries and know no member; with the
-    /// others lost, nobody could be elected from what it holds.
+    /// Without that, a founding member that has not stored the founding snapshot would accept
+    /// entries without knowing any member. If the other members were then lost, no leader could be
+    /// elected from its data.
     fn first_entry_payload(&self) -> Payload {
         match self.log.membership() {
             (LogIndex(0), membership) => Payload::Membership(membership.clone()),
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Keeps a progress for each member but this replica.
+    /// Tracks the replication progress of exactly the members other than this replica.
     pub(crate) fn track_members(&mut self, now: ClockMs) {
         let next_index = self.log.last_index().next();
         let RoleState::Leader(state) = &mut self.role else {
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Appends entries of this term, syncs them and sends them.
+    /// Appends entries of this term, requests their write and sends them to all peers.
     pub(crate) fn append_own(&mut self, payloads: Vec<Payload>) {
         let mut index = self.log.last_index();
         let mut entries = Vec::with_capacity(payloads.len());
@@ -298,7 +301,8 @@
         self.replicate_to_all();
     }
 
-    /// Commits what a majority has synced, counting from an entry of this term on.
+    /// Commits the entries that a quorum has synced, provided that the last of them is of this
+    /// term.
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(state) = &self.role else {
             return;
@@ -315,7 +319,8 @@
         let Some(reached) = reached else {
             return;
         };
-        // An older term's entry held by most voters may still be replaced by a later leader.
+        // An entry of an older term may still be replaced by a later leader even if a majority
+        // holds it.
         if reached <= self.commit || self.log.term(reached) != Some(self.term) {
             return;
         }
@@ -335,7 +340,8 @@
         }
     }
 
-    /// Tells callers that leadership ended before their answers were known.
+    /// Answers all pending requests when leadership ends: the outcome of proposals is unknown, and
+    /// reads are refused.
     pub(crate) fn fail_pending_requests(&mut self, state: LeaderState) {
         for (_, token) in state.pending {
             self.outputs.push(Output::OutcomeUnknown { token });
@@ -348,7 +354,7 @@
         }
     }
 
-    /// Begins to hand leadership over: nothing new is accepted until it is done or given up.
+    /// Starts a leadership transfer. New proposals are refused until it completes or times out.
     pub(crate) fn transfer_leadership(&mut self, now: ClockMs, target: Option<&VoterId>) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
@@ -373,7 +379,8 @@
         self.finish_transfer(now);
     }
 
-    /// Lets the target stand once it holds the whole log and every caller has its answer.
+    /// Completes the transfer by asking the target to start an election, once it holds the entire
+    /// log and every entry is committed.
     pub(crate) fn finish_transfer(&mut self, now: ClockMs) {
         let RoleState::Leader(state) = &self.role else {
             return;
@@ -390,7 +397,7 @@
         }
         let term = self.term;
         self.send(target, Message::TimeoutNow { term });
-        // Voters won't wait for the old lease, so it ends here.
+        // Voters don't wait for this leader's lease in a transfer, so the lease must end here.
         self.become_follower(now, None);
     }
 }
--- a/crates/masticsill_quorum/src/lib.rs
+++ b/crates/masticsill_quorum/src/lib.rs
@@ -1,8 +1,9 @@
 //! Replicated log: terms, votes, commit, membership, lease and durable storage.
 //!
-//! [`Replica`] is pure: it is told time, messages and finished syncs by [`Replica::step`] and
-//! answers with [`Output`]s. Nothing counts before it is synced: what a message relies on is
-//! durable when its `Send` is given out. `storage` keeps a replica's data folder.
+//! [`Replica`] is a pure state machine: [`Replica::step`] takes the current time, messages and
+//! completed syncs and returns [`Output`]s. A write takes effect only once it is synced: whatever
+//! a message depends on is durable by the time its [`Output::Send`] is returned. [`storage`]
+//! manages a replica's data folder.
 
 mod candidate;
 mod durability;
--- a/crates/masticsill_quorum/src/log.rs
+++ b/crates/masticsill_quorum/src/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log in memory: entries, the snapshot before them and memberships.
+//! The replicated log in memory: entries, the newest snapshot and the memberships.
 
 use std::collections::VecDeque;
 
@@ -6,13 +6,13 @@
 
 use crate::{Entry, LogIndex, Membership, Payload, Snapshot};
 
-/// The log from just after a base entry on.
+/// The in-memory log: all entries after a base entry, which is not held itself.
 #[derive(Debug)]
 pub(crate) struct ReplicaLog {
     base_index: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
-    /// Memberships by the entry that set them; the first is in force at the base.
+    /// Memberships with the index of the entry that set them; the first is in effect at the base.
     memberships: Vec<(LogIndex, Membership)>,
     snapshot: Option<Snapshot>,
 }
@@ -72,7 +72,7 @@
         membership
     }
 
-    /// The term of an entry, if the log holds it or ends the base with it.
+    /// The term of an entry, if the log holds it or it is the base entry.
     pub(crate) fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -85,7 +85,8 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from `first` on, bounded by count and payload bytes, one at least.
+    /// Entries from `first` on, limited by count and payload bytes. The first entry is included
+    /// even if it exceeds `max_bytes`.
     pub(crate) fn batch(
         &self,
         first: LogIndex,
@@ -107,7 +108,7 @@
         batch
     }
 
-    /// Entries after `after` up to `up_to`.
+    /// The entries after `after`, up to and including `up_to`.
     pub(crate) fn between(&self, after: LogIndex, up_to: LogIndex) -> Vec<Entry> {
         let count = usize::try_from(up_to.0.saturating_sub(after.0)).unwrap_or(usize::MAX);
         if count == 0 {
@@ -134,7 +135,8 @@
         }
     }
 
-    /// The last index, at or below `index`, whose term is below that of the entry at `index`.
+    /// The last index at or below `index` whose term is lower than that of the entry at `index`; at
+    /// least the base index.
     pub(crate) fn last_index_before_term_of(&self, index: LogIndex) -> LogIndex {
         let mut candidate = index.min(self.last_index());
         let Some(term) = self.term(candidate) else {
@@ -146,7 +148,8 @@
         candidate
     }
 
-    /// Takes a snapshot of this log's own prefix and drops entries well before it.
+    /// Stores a snapshot of this log's own prefix and drops all but the last `retained_entries`
+    /// entries before it.
     pub(crate) fn compact(&mut self, snapshot: Snapshot, retained_entries: u64) {
         let new_base = LogIndex(snapshot.index.0.saturating_sub(retained_entries));
         while self.base_index < new_base {
@@ -160,7 +163,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes the leader's snapshot; entries after it stay if the log matches it.
+    /// Installs the leader's snapshot. Entries after it are kept if the log matches the snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.compact(snapshot, 0);
--- a/crates/masticsill_quorum/src/member_change.rs
+++ b/crates/masticsill_quorum/src/member_change.rs
@@ -1,4 +1,4 @@
-//! Membership changes, one at a time, each step begun by the leader.
+//! Membership changes, one at a time; the leader starts each step.
 
 use masticsill_types::ClockMs;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether the newest membership, and an entry of this term, are committed.
+    /// Whether the newest membership and the first entry of this term are committed.
     fn is_membership_settled(&self) -> bool {
         let RoleState::Leader(state) = &self.role else {
             return false;
@@ -50,12 +50,12 @@
         self.replicate_to_all();
     }
 
-    /// Begins the next step of a change: a removal that is due, or a promotion.
+    /// Starts the next step of a change: a pending removal, or the promotion of a learner.
     pub(crate) fn advance_membership(&mut self, now: ClockMs) {
         if self.refusal_reason().is_some() || !self.is_membership_settled() {
             return;
         }
-        // A leader never removes itself: its successor does.
+        // A leader never removes itself: it transfers leadership, and its successor removes it.
         if self.membership().leaving.first() == Some(&self.id) {
             self.transfer_leadership(now, None);
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A learner that holds every committed entry and was heard lately.
+    /// A learner that holds every committed entry and was heard from within the lease duration.
     fn caught_up_learner(&self, now: ClockMs) -> Option<VoterId> {
         let RoleState::Leader(state) = &self.role else {
             return None;
--- a/crates/masticsill_quorum/src/membership.rs
+++ b/crates/masticsill_quorum/src/membership.rs
@@ -1,48 +1,49 @@
-//! Who votes, who only learns, and how that changes one step at a time.
+//! Voters and learners of the cluster, and membership changes one step at a time.
 
 use thiserror::Error;
 
 use crate::VoterId;
 
-/// Voters at most, apart from one that is being replaced.
+/// Maximum number of voters, not counting one that is being replaced.
 pub const MAX_VOTERS: usize = 7;
 
-/// A replica that receives the log and does not vote yet.
+/// A replica that receives the log but does not vote yet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Learner {
-    /// The replica.
+    /// The learner's identity.
     pub id: VoterId,
-    /// The voter that leaves once this one votes.
+    /// The voter to remove once this learner has become a voter.
     pub replaces: Option<VoterId>,
 }
 
-/// The members of the cluster at some entry.
+/// The members of the cluster as of a log entry.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Membership {
     /// Replicas whose votes and acknowledgements count.
     pub voters: Vec<VoterId>,
-    /// Replicas that catch up; the leader promotes them one at a time.
+    /// Replicas that are catching up; the leader promotes them one at a time.
     pub learners: Vec<Learner>,
-    /// Voters that the leader removes next.
+    /// Voters that the leader is to remove, in this order.
     pub leaving: Vec<VoterId>,
 }
 
-/// A change that a caller asks for.
+/// A membership change requested by a caller.
 ///
-/// A joining replica learns until it has caught up, is then promoted by the leader, and the voter
-/// that it replaces is removed after that: the whole is one durable request.
+/// A joining replica is a learner until it has caught up; the leader then promotes it, and after
+/// that removes the voter that it replaces. All steps follow from one durable request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipChange {
-    /// Admit a replica. A voter of the same name, or the one named, leaves afterwards.
+    /// Admit a replica. The voter given by `replaces`, or else a voter with the same name, is
+    /// removed afterwards.
     Join {
         /// The new replica.
         id: VoterId,
-        /// The voter that it replaces, if that has another name.
+        /// The voter to replace, if it has a different name.
         replaces: Option<VoterId>,
     },
     /// Remove a learner or a voter.
     Remove {
-        /// The member.
+        /// The member to remove.
         id: VoterId,
     },
 }
@@ -50,16 +51,16 @@
 /// Why a membership change is refused.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum MembershipError {
-    /// The replica is a member already.
+    /// The replica is already a member.
     #[error("replica `{0}` is a member already; nothing needs to be done")]
     AlreadyMember(VoterId),
-    /// Another change is not committed yet.
+    /// An earlier change is not committed yet.
     #[error("another membership change is in progress; send this one again when it is done")]
     ChangeInProgress,
-    /// The only voter can't leave.
+    /// The only voter can't be removed.
     #[error("replica `{0}` is the only voter; let another one join first")]
     LastVoter(VoterId),
-    /// There are as many voters as may be.
+    /// The cluster already has [`MAX_VOTERS`] voters.
     #[error("there are {MAX_VOTERS} voters; name the one that the new replica replaces")]
     TooManyVoters,
     /// The replica is not a member.
@@ -68,7 +69,7 @@
 }
 
 impl Membership {
-    /// A membership of voters only.
+    /// A membership with the given voters and no learners.
     #[must_use]
     pub fn from_voters(voters: impl IntoIterator<Item = VoterId>) -> Self {
         Self {
@@ -77,13 +78,13 @@
         }
     }
 
-    /// Whether a replica votes.
+    /// Whether a replica is a voter.
     #[must_use]
     pub fn is_voter(&self, id: &VoterId) -> bool {
         self.voters.contains(id)
     }
 
-    /// Whether a replica votes or learns.
+    /// Whether a replica is a voter or a learner.
     #[must_use]
     pub fn is_member(&self, id: &VoterId) -> bool {
         self.is_voter(id) || self.learners.iter().any(|learner| learner.id == *id)
@@ -95,18 +96,19 @@
         self.voters.iter().chain(learners)
     }
 
-    /// Voters that make a majority.
+    /// Number of voters that form a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Voters that decide: a majority, and `min_quorum` of them or all where fewer vote.
+    /// Number of voters that form a quorum: a majority, and at least `min_quorum` voters, or all if
+    /// there are fewer.
     pub(crate) fn quorum_size(&self, min_quorum: usize) -> usize {
         self.majority().max(min_quorum.min(self.voters.len()))
     }
 
-    /// Whether the voters that satisfy `has_answered` are enough to decide.
+    /// Whether the voters that satisfy `has_answered` form a quorum.
     pub(crate) fn is_quorum(
         &self,
         min_quorum: usize,
@@ -116,7 +118,7 @@
         !self.voters.is_empty() && count >= self.quorum_size(min_quorum)
     }
 
-    /// The highest value that enough voters to decide have reached; none without voters.
+    /// The highest value that a quorum of voters has reached; `None` without voters.
     pub(crate) fn quorum_value<V: Ord>(
         &self,
         min_quorum: usize,
@@ -127,7 +129,7 @@
         values.into_iter().nth(self.quorum_size(min_quorum) - 1)
     }
 
-    /// The membership after a caller's change.
+    /// The membership after a requested change.
     pub(crate) fn with_change(&self, change: &MembershipChange) -> Result<Self, MembershipError> {
         match change {
             MembershipChange::Join { id, replaces } => self.with_learner(id, replaces.as_ref()),
@@ -150,7 +152,7 @@
         {
             return Err(MembershipError::UnknownMember(replaced.clone()));
         }
-        // A learner of the same name lost its folder: the new one takes its place.
+        // A learner with the same name has lost its folder: the new replica takes its place.
         let unpaired_learners = self
             .learners
             .iter()
@@ -185,7 +187,8 @@
         Ok(next)
     }
 
-    /// The membership without the first voter that leaves, if one does.
+    /// The membership without the first leaving voter; `None` if no voter is leaving or none would
+    /// remain.
     pub(crate) fn with_first_leaving_removed(&self) -> Option<Self> {
         let mut next = self.clone();
         let leaving = next.leaving.first()?.clone();
@@ -199,7 +202,7 @@
         (!next.voters.is_empty()).then_some(next)
     }
 
-    /// The membership in which a learner votes and the voter that it replaces is to leave.
+    /// The membership in which a learner is a voter and the voter that it replaces is leaving.
     pub(crate) fn with_promoted(&self, id: &VoterId) -> Option<Self> {
         let position = self.learners.iter().position(|learner| learner.id == *id)?;
         let mut next = self.clone();
--- a/crates/masticsill_quorum/src/message.rs
+++ b/crates/masticsill_quorum/src/message.rs
@@ -6,7 +6,9 @@
 
 use crate::{Entry, LogIndex, Membership, VoterId};
 
-/// A message with both ends. A replica drops what is not meant for its whole identity.
+/// A message with its sender and receiver.
+///
+/// A replica drops a message that is not addressed to its full identity.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Envelope {
     /// The sender.
@@ -20,120 +22,121 @@
 /// A message between replicas.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// The leader sends entries that follow `previous_index`.
+    /// Sent by the leader: entries that follow `previous_index`.
     Append {
         /// The leader's term.
         term: Term,
-        /// Index of the entry before the first sent.
+        /// Index of the entry before the first one in `entries`.
         previous_index: LogIndex,
-        /// That entry's term.
+        /// Term of the entry at `previous_index`.
         previous_term: Term,
         /// The leader's commit index.
         commit: LogIndex,
-        /// The entries, without gaps; may be empty.
+        /// Consecutive entries; may be empty.
         entries: Vec<Entry>,
     },
-    /// A follower holds the leader's log, synced, up to an index.
+    /// Sent by a follower: its synced log matches the leader's up to `match_index`.
     AppendAccepted {
         /// The follower's term.
         term: Term,
-        /// The last index that matches and is synced.
+        /// The last index that matches the leader's log and is synced.
         match_index: LogIndex,
     },
-    /// A follower's log does not hold the entry before the first sent.
+    /// Sent by a follower: its log has no entry at `previous_index` with the term sent.
     AppendRejected {
         /// The follower's term.
         term: Term,
-        /// The index that did not match.
+        /// The index that did not match, as sent by the leader.
         previous_index: LogIndex,
-        /// The last index at which the follower's log may match.
+        /// The last index at which the follower's log may match the leader's.
         hint: LogIndex,
     },
-    /// The leader shows that it is alive and asks whether it is still followed.
+    /// Sent by the leader: shows that the leader is alive and requests an acknowledgement.
     Heartbeat {
         /// The leader's term.
         term: Term,
-        /// Number of the round within the term.
+        /// Number of the heartbeat round within the term.
         round: u64,
-        /// The commit index as far as the follower's log is known to match.
+        /// The commit index, capped at the last index known to match the follower's log.
         commit: LogIndex,
     },
-    /// A follower has seen a heartbeat.
+    /// Sent by a follower: it received a heartbeat.
     HeartbeatAcknowledged {
         /// The follower's term.
         term: Term,
-        /// The round.
+        /// Number of the acknowledged round; zero in an answer to a message of a lower term.
         round: u64,
     },
-    /// A replica asks whether it would be elected, without disturbing anyone.
+    /// Sent by a pre-candidate: asks whether the receiver would vote for it. No term changes.
     PreVote {
-        /// The term in which it would stand.
+        /// The term of the election that the sender would start.
         term: Term,
-        /// Its last index.
+        /// Index of the sender's last entry.
         last_index: LogIndex,
-        /// Its last entry's term.
+        /// Term of the sender's last entry.
         last_term: Term,
     },
-    /// The answer to a pre-vote.
+    /// The answer to a [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked for when granted, the voter's term otherwise.
+        /// The term of the pre-vote if granted, the voter's own term otherwise.
         term: Term,
-        /// Whether the voter would vote so.
+        /// Whether the voter would grant its vote.
         is_granted: bool,
     },
-    /// The leader sends a part of its snapshot.
+    /// Sent by the leader: a part of its snapshot.
     SnapshotChunk {
         /// The leader's term.
         term: Term,
-        /// The snapshot's last index.
+        /// Index of the last entry that the snapshot contains.
         index: LogIndex,
-        /// That entry's term.
+        /// Term of the entry at `index`.
         index_term: Term,
-        /// The membership at that index.
+        /// The membership in effect at `index`.
         membership: Membership,
-        /// Where the part begins in the data, in bytes.
+        /// Offset of this part in the snapshot's data, in bytes.
         offset_bytes: u64,
-        /// Size of the whole data, in bytes.
+        /// Total size of the snapshot's data, in bytes.
         total_bytes: u64,
-        /// The part.
+        /// The data of this part.
         data: Arc<[u8]>,
     },
-    /// A follower holds a snapshot's data up to an offset.
+    /// Sent by a follower: it has received a snapshot's data up to an offset.
     SnapshotProgress {
         /// The follower's term.
         term: Term,
-        /// The snapshot's last index.
+        /// Index of the last entry that the snapshot contains.
         index: LogIndex,
-        /// Where the next part begins, in bytes.
+        /// Offset of the next part that the follower needs, in bytes.
         next_offset_bytes: u64,
     },
-    /// The leader asks a voter that holds its whole log to stand at once.
+    /// Sent by the leader to transfer leadership: a voter that holds the leader's entire log is to
+    /// start an election without waiting for its election timeout.
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
-    /// A candidate asks for a vote.
+    /// Sent by a candidate: requests a vote.
     Vote {
         /// The candidate's term.
         term: Term,
-        /// Its last index.
+        /// Index of the sender's last entry.
         last_index: LogIndex,
-        /// Its last entry's term.
+        /// Term of the sender's last entry.
         last_term: Term,
-        /// Whether the leader itself asked the candidate to stand.
+        /// Whether the election is a leadership transfer requested by the leader.
         is_transfer: bool,
     },
-    /// The answer to a vote, sent once the vote is synced.
+    /// The answer to a [`Message::Vote`], sent once the vote is synced.
     VoteReply {
         /// The voter's term.
         term: Term,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         is_granted: bool,
     },
 }
 
 impl Message {
-    /// The sender's term, or the term that a pre-vote asks for.
+    /// The sender's term; for a pre-vote and a granted reply, the term of the election asked about.
     #[must_use]
     pub fn term(&self) -> Term {
         match self {
--- a/crates/masticsill_quorum/src/output.rs
+++ b/crates/masticsill_quorum/src/output.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its caller.
+//! Outputs of a replica.
 
 use std::fmt;
 
@@ -8,85 +8,94 @@
     CallerToken, Entry, Envelope, LogIndex, MembershipError, Snapshot, SyncPoint, VoterId,
 };
 
-/// What a replica asks of its caller.
+/// An action that a replica requests of its caller.
 ///
-/// Outputs are carried out in order, all of one step before the next step's: a write that is
-/// overtaken by a later one would break the order that [`SyncPoint`] stands for.
+/// The caller must perform outputs in order, and all outputs of one step before those of the next:
+/// a write that is overtaken by a later one would break the order that [`SyncPoint`] numbers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// The replica's role, term or known leader changed.
     RoleChanged {
-        /// The role.
+        /// The current role.
         role: Role,
-        /// The term.
+        /// The current term.
         term: Term,
-        /// The leader, if known.
+        /// The leader of the term, if known.
         leader: Option<VoterId>,
     },
-    /// Entries are committed: apply them in order. Each is given out once in a replica's life.
+    /// Apply these committed entries in order. Each is returned at most once per [`Replica`] value.
+    ///
+    /// [`Replica`]: crate::Replica
     Apply {
-        /// The entries.
+        /// The committed entries, without gaps.
         entries: Vec<Entry>,
     },
-    /// A proposal or membership change of this replica's callers is committed.
+    /// A proposal or membership change made through this replica is committed.
     Committed {
-        /// The caller's number.
+        /// The caller's number for the request.
         token: CallerToken,
-        /// Where it stands in the log.
+        /// Index of the committed entry.
         index: LogIndex,
     },
-    /// Leadership ended before the fate of a proposal was known: it may yet be committed.
+    /// Leadership ended before the outcome of a proposal or membership change was known. The entry
+    /// may still be committed by a later leader.
     OutcomeUnknown {
-        /// The caller's number.
+        /// The caller's number for the request.
         token: CallerToken,
     },
-    /// Write to the data folder, in order; report `SyncDone` after the sync.
+    /// Write to the data folder, in order, and report [`Input::SyncDone`] after the sync.
+    ///
+    /// [`Input::SyncDone`]: crate::Input::SyncDone
     Persist {
-        /// The write's place in the order.
+        /// Sequence number of the write.
         point: SyncPoint,
         /// The write.
         write: Write,
     },
-    /// Every entry committed when the read arrived is committed here and was given out.
+    /// A read may be served: every entry that was committed when the read arrived has been returned
+    /// by [`Output::Apply`].
     ReadReady {
-        /// The caller's number.
+        /// The caller's number for the request.
         token: CallerToken,
-        /// The state to read contains at least this entry.
+        /// The state that is read must contain at least this entry.
         index: LogIndex,
     },
-    /// A membership change is refused; the log does not contain it.
+    /// A membership change is refused; it was not appended to the log.
     RefusedMembership {
-        /// The caller's number.
+        /// The caller's number for the request.
         token: CallerToken,
-        /// Why, with the remedy.
+        /// The reason and the remedy.
         error: MembershipError,
     },
-    /// A proposal or membership change is refused; the log does not contain it.
+    /// A proposal or membership change is refused; it was not appended to the log.
     RefusedPropose {
-        /// The caller's number.
+        /// The caller's number for the request.
         token: CallerToken,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// Who may accept it.
+        /// The replica that may accept the request, if known.
         leader_hint: Option<VoterId>,
     },
     /// A read is refused.
     RefusedRead {
-        /// The caller's number.
+        /// The caller's number for the request.
         token: CallerToken,
-        /// Who may serve it.
+        /// The replica that may serve the read, if known.
         leader_hint: Option<VoterId>,
     },
-    /// Replace the caller's state by a snapshot that the leader sent.
+    /// Replace the caller's state with a snapshot received from the leader.
     RestoreSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// Send a message; it may be lost. All that it relies on is synced.
+    /// Send a message. Delivery is not required. Every write that the message depends on is synced.
     Send(Envelope),
-    /// The log has grown long: serialise the state and report `SnapshotTaken`.
+    /// Enough entries were committed since the last snapshot: serialize the state and report
+    /// [`Input::SnapshotTaken`].
+    ///
+    /// [`Input::SnapshotTaken`]: crate::Input::SnapshotTaken
     TakeSnapshot {
-        /// The last entry given out as committed.
+        /// Index of the last entry returned by [`Output::Apply`].
         index: LogIndex,
     },
 }
@@ -99,35 +108,35 @@
         /// The entries, without gaps.
         entries: Vec<Entry>,
     },
-    /// Store a snapshot; the log up to its index is not needed any more.
+    /// Store a snapshot; the log up to the snapshot's index is no longer needed.
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// Drop the entries from an index on.
+    /// Remove the entries from an index on.
     TruncateFrom {
-        /// The first entry to drop.
+        /// Index of the first entry to remove.
         index: LogIndex,
     },
     /// Store the term and the vote.
     Vote {
         /// The term.
         term: Term,
-        /// Whom the replica voted for in that term.
+        /// The replica that receives the vote in `term`, if any.
         voted_for: Option<VoterId>,
     },
 }
 
-/// What a replica is.
+/// A replica's role in its term.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Role {
-    /// Stands for election in its term.
+    /// Has started an election in its term.
     Candidate,
     /// Follows a leader or waits for one.
     Follower,
-    /// Leads its term.
+    /// Leads the cluster in its term.
     Leader,
-    /// Asks whether it would be elected.
+    /// Asks the other voters whether it would be elected, before starting an election.
     PreCandidate,
 }
 
@@ -142,13 +151,13 @@
     }
 }
 
-/// Why a proposal is refused.
+/// Why a proposal or membership change is refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RefusalReason {
-    /// This replica does not lead, or its lease has run out.
+    /// This replica is not the leader, or its lease has expired.
     NotLeader,
-    /// Too many proposals wait for commitment.
+    /// Too many proposals are waiting to be committed.
     TooManyPending,
-    /// Leadership is being handed over.
+    /// A leadership transfer is in progress.
     Transferring,
 }
--- a/crates/masticsill_quorum/src/progress.rs
+++ b/crates/masticsill_quorum/src/progress.rs
@@ -1,17 +1,17 @@
-//! A leader's view of one peer's log.
+//! A leader's replication state for one peer.
 
 use masticsill_types::ClockMs;
 
 use crate::LogIndex;
 
-/// How the leader sends to a peer.
+/// How the leader replicates to a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ReplicationMode {
-    /// One message at a time until the logs are known to match.
+    /// Sends one message at a time until the logs are known to match.
     Probe { is_awaiting_reply: bool },
-    /// Entries are sent ahead of acknowledgements.
+    /// Sends entries ahead of acknowledgements.
     Replicate,
-    /// The snapshot at an index is sent part by part.
+    /// Sends the snapshot at an index, one part at a time.
     Snapshot {
         index: LogIndex,
         offset_bytes: u64,
@@ -19,7 +19,7 @@
     },
 }
 
-/// A leader's view of one peer's log.
+/// A leader's replication state for one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     pub(crate) mode: ReplicationMode,
@@ -27,11 +27,11 @@
     pub(crate) match_index: LogIndex,
     /// The next index to send.
     pub(crate) next_index: LogIndex,
-    /// The newest heartbeat round that the peer acknowledged, zero for none.
+    /// The newest heartbeat round that the peer acknowledged; zero if none.
     pub(crate) round: u64,
-    /// When the peer was last heard of in this term.
+    /// When the leader last received a message from the peer in this term.
     pub(crate) last_heard_at: Option<ClockMs>,
-    /// When the leader began to track the peer.
+    /// When the leader started to track the peer.
     pub(crate) tracked_at: ClockMs,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Notes a rejection; false when it is older than what is known.
+    /// Handles a rejection; returns `false` if it is stale or a snapshot is being sent.
     pub(crate) fn record_rejected(&mut self, previous_index: LogIndex, hint: LogIndex) -> bool {
         let is_stale = previous_index <= self.match_index || previous_index >= self.next_index;
         if is_stale || matches!(self.mode, ReplicationMode::Snapshot { .. }) {
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Allows one more message to a peer that waits: its last one may be lost.
+    /// Allows one more message while a reply is outstanding: the previous message may be lost.
     pub(crate) fn allow_resend(&mut self) {
         match &mut self.mode {
             ReplicationMode::Probe { is_awaiting_reply }
--- a/crates/masticsill_quorum/src/read.rs
+++ b/crates/masticsill_quorum/src/read.rs
@@ -1,17 +1,17 @@
-//! Reads of the current state, each proved by a heartbeat round that began after it arrived.
+//! Linearizable reads, each confirmed by a heartbeat round that started after the read arrived.
 
 use masticsill_types::ClockMs;
 
 use crate::replica::RoleState;
 use crate::{CallerToken, LogIndex, Output, Replica};
 
-/// A read that waits for its round and its index.
+/// A read waiting for a heartbeat round and a commit index.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRead {
     pub(crate) token: CallerToken,
-    /// The entry that must be committed first.
+    /// The entry that must be committed before the read is served.
     pub(crate) index: LogIndex,
-    /// The round that must be acknowledged by a majority first.
+    /// The heartbeat round that a quorum must acknowledge before the read is served.
     pub(crate) round: u64,
 }
 
@@ -30,7 +30,7 @@
             index: commit.max(state.first_index),
             round: state.last_round + 1,
         });
-        // Reads that arrive while a round is under way share the next one.
+        // Reads that arrive while other reads are pending share the next round.
         if has_no_pending_reads {
             self.start_heartbeat_round(now);
         }
--- a/crates/masticsill_quorum/src/replica.rs
+++ b/crates/masticsill_quorum/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica's state and the step that drives it.
+//! A replica's state and the step function that drives it.
 
 use std::mem;
 
@@ -15,7 +15,7 @@
     StoredState, SyncPoint, VoterId, Write,
 };
 
-/// What a replica does in its term.
+/// A replica's role with the state specific to it.
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Candidate {
@@ -29,7 +29,7 @@
     },
 }
 
-/// One replica of the log, without sockets, threads or files.
+/// One replica of the log, as a pure state machine without sockets, threads or files.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) id: VoterId,
@@ -41,7 +41,8 @@
     pub(crate) commit: LogIndex,
     pub(crate) role: RoleState,
     pub(crate) leader: Option<VoterId>,
-    /// When a leader was last heard; a start counts, for what was heard before it is forgotten.
+    /// When a leader was last heard from. Set to the start time initially, because contacts before
+    /// a restart are not known.
     pub(crate) leader_heard_at: ClockMs,
     pub(crate) election_due: ClockMs,
     pub(crate) incoming: Option<IncomingSnapshot>,
@@ -51,14 +52,16 @@
 }
 
 impl Replica {
-    /// A replica that starts from its data folder at `now`; `seed` varies its election timeouts.
+    /// Creates a replica from the state of its data folder at `now`. `seed` randomizes its election
+    /// timeouts.
     ///
-    /// The caller restores its own state from `stored.snapshot` first. Committed entries after
-    /// the snapshot are given out again.
+    /// The caller must first restore its own state from `stored.snapshot`. Committed entries after
+    /// the snapshot are returned again by [`Output::Apply`].
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] when the settings can't keep the lease.
+    /// [`SettingsError`] if the settings are inconsistent, for example if the lease could outlast
+    /// an election timeout.
     pub fn new(
         settings: ReplicaSettings,
         stored: StoredState,
@@ -88,9 +91,10 @@
         Ok(replica)
     }
 
-    /// Tells the replica something at `now` and returns what it asks for, in order.
+    /// Handles an input at time `now` and returns the resulting outputs, to be performed in order.
     ///
-    /// A leader's lease is checked before anything else, so that a pause is noticed first.
+    /// A leader's lease is checked before the input is handled, so that a leader resuming from a
+    /// pause steps down first.
     pub fn step(&mut self, now: ClockMs, input: Input) -> Vec<Output> {
         self.step_down_if_lease_expired(now);
         self.step_down_if_election_expired(now);
@@ -121,13 +125,13 @@
         self.term
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// The last entry in the log, committed or not.
+    /// Index of the last entry in the log, committed or not.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
@@ -145,7 +149,8 @@
         self.leader.as_ref()
     }
 
-    /// What the replica is. Whether a leader's lease still runs is told by `lease_confirmed_at`.
+    /// The replica's role. A leader's lease may have expired since the last step: check
+    /// [`Self::lease_confirmed_at`].
     #[must_use]
     pub fn role(&self) -> Role {
         match self.role {
@@ -166,7 +171,8 @@
     }
 
     fn receive(&mut self, now: ClockMs, envelope: Envelope) {
-        // A message for a lost folder's identity must not reach its successor.
+        // A message addressed to the identity of a lost folder must not be handled by the replica
+        // that replaced it.
         if envelope.to != self.id || envelope.from == self.id {
             return;
         }
@@ -236,13 +242,14 @@
     }
 
     fn record_own_synced_entry(&mut self, index: LogIndex, term: Term) {
-        // An entry that was replaced meanwhile has another term.
+        // An entry that was replaced in the meantime has another term.
         if self.log.term(index) == Some(term) {
             self.durability.raise_synced_index(index);
         }
     }
 
-    /// Asks for a write and holds the replica's own count of the log until it is synced.
+    /// Requests a durable write. The replica counts its own entries and vote only after the sync;
+    /// see [`Deferred`].
     pub(crate) fn persist(&mut self, write: Write) {
         let point = self.durability.next_point();
         if matches!(write, Write::Vote { .. }) {
@@ -266,13 +273,13 @@
         }
     }
 
-    /// Sends a message that relies on nothing unsynced.
+    /// Sends a message that depends on no unsynced write.
     pub(crate) fn send(&mut self, to: VoterId, message: Message) {
         let envelope = self.envelope(to, message);
         self.outputs.push(Output::Send(envelope));
     }
 
-    /// Sends a message once every write asked for so far is synced.
+    /// Sends a message once every write requested so far is synced.
     pub(crate) fn send_when_synced(&mut self, to: VoterId, message: Message) {
         let envelope = self.envelope(to, message);
         self.durability.defer(Deferred::Send(envelope));
@@ -287,7 +294,7 @@
         }
     }
 
-    /// Enters a higher term without a vote in it.
+    /// Enters a higher term as a follower that has not voted in it.
     pub(crate) fn enter_term(&mut self, now: ClockMs, term: Term) {
         self.term = term;
         self.voted_for = None;
@@ -295,7 +302,7 @@
         self.become_follower(now, None);
     }
 
-    /// Gives up any other role; what callers wait for is answered.
+    /// Becomes a follower. A leader first answers its pending requests.
     pub(crate) fn become_follower(&mut self, now: ClockMs, leader: Option<VoterId>) {
         let was_leader = matches!(self.role, RoleState::Leader(_));
         let previous = mem::replace(&mut self.role, RoleState::Follower);
@@ -330,7 +337,7 @@
         self.election_due = now + delay_ms;
     }
 
-    /// Raises the commit index and gives out what it newly covers.
+    /// Advances the commit index and outputs the newly committed entries.
     pub(crate) fn commit_up_to(&mut self, index: LogIndex) {
         let index = index.min(self.log.last_index());
         if index <= self.commit {
--- a/crates/masticsill_quorum/src/replicate.rs
+++ b/crates/masticsill_quorum/src/replicate.rs
@@ -1,4 +1,4 @@
-//! Sending entries to peers and hearing how far they got.
+//! Sending entries to peers and handling their acknowledgements.
 
 use masticsill_types::ClockMs;
 
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Sends a peer what it lacks; `must_probe` sends even an empty message, to find a gap.
+    /// Sends a peer the entries or the snapshot that it lacks. `must_probe` sends a message even if
+    /// there are no entries to send, to detect a gap in the peer's log.
     pub(crate) fn replicate_to(&mut self, peer: &VoterId, must_probe: bool) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
@@ -92,7 +93,8 @@
         self.send(peer.clone(), message);
     }
 
-    /// Notes that a peer answered; what a leader knows of it, if this is one.
+    /// Records that a peer was heard from and returns its progress; `None` if this replica is not
+    /// the leader or does not track the peer.
     pub(crate) fn record_contact(&mut self, now: ClockMs, from: &VoterId) -> Option<&mut Progress> {
         let RoleState::Leader(state) = &mut self.role else {
             return None;
--- a/crates/masticsill_quorum/src/settings.rs
+++ b/crates/masticsill_quorum/src/settings.rs
@@ -1,35 +1,40 @@
-//! Timing and sizes of a replica.
+//! Timing and size limits of a replica.
 
 use thiserror::Error;
 
-/// Timing and sizes of a replica. All replicas of a cluster use the same.
+/// Timing and size limits of a replica. All replicas of a cluster must use the same settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaSettings {
-    /// Interval between a leader's heartbeat rounds.
+    /// Interval between a leader's heartbeat rounds, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Age of the last acknowledged round at which a leader stops.
+    /// Age of the newest majority-acknowledged heartbeat round beyond which a leader steps down, in
+    /// milliseconds.
     pub lease_ms: u64,
-    /// Shortest silence after which a follower stands, and during which it refuses votes.
+    /// Shortest election timeout, in milliseconds. A follower that heard from a leader within this
+    /// time refuses to vote.
     pub election_min_ms: u64,
-    /// Longest silence after which a follower stands.
+    /// Longest election timeout, in milliseconds.
     pub election_max_ms: u64,
-    /// Voters that commit an entry or elect a leader at least, or all where fewer vote: one more
-    /// than the disks that may be lost at once. A cluster that was founded by few then keeps an
-    /// entry on a disk that is left.
+    /// Minimum number of voters needed to commit an entry or elect a leader, in addition to the
+    /// majority rule; all voters if there are fewer.
+    ///
+    /// Set to one more than the number of disks that may be lost at once: even in a cluster founded
+    /// with few voters, a committed entry then remains on at least one surviving disk.
     pub min_quorum: usize,
-    /// Payload bytes in one append message, at most, unless one entry is larger.
+    /// Maximum payload bytes in one append message; a larger entry is sent alone.
     pub max_append_bytes: usize,
-    /// Entries in one append message, at most.
+    /// Maximum number of entries in one append message.
     pub max_append_entries: usize,
-    /// Entries sent to a follower ahead of its acknowledgement, at most.
+    /// Maximum number of entries in flight to a follower, sent but not yet acknowledged.
     pub max_in_flight_entries: u64,
-    /// Proposals that may wait for commitment.
+    /// Maximum number of proposals waiting to be committed.
     pub max_pending_proposals: usize,
-    /// Data bytes in one snapshot message, at most.
+    /// Maximum snapshot data bytes in one message.
     pub max_snapshot_chunk_bytes: usize,
-    /// Entries after the last snapshot at which a new one is wanted.
+    /// Number of entries committed since the last snapshot at which a new one is requested.
     pub snapshot_interval_entries: u64,
-    /// Entries kept in memory before a snapshot, for followers that lag a little.
+    /// Number of entries before the snapshot that are kept in memory, so that followers slightly
+    /// behind need no snapshot.
     pub retained_entries: u64,
 }
 
@@ -52,29 +57,30 @@
     }
 }
 
-/// Why settings are refused.
+/// An inconsistency in [`ReplicaSettings`].
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum SettingsError {
-    /// A follower could elect another leader while the old one's lease runs.
+    /// Followers could elect another leader while the old leader's lease is still valid.
     #[error("`lease_ms` must be at most nine tenths of `election_min_ms`; lower it")]
     LeaseTooLong,
-    /// A lost heartbeat would end the lease.
+    /// Losing a single heartbeat round would end the lease, or the interval is zero.
     #[error("`heartbeat_ms` must be above zero and at most half of `lease_ms`; change it")]
     HeartbeatTooSlow,
-    /// The longest election timeout is not above the shortest.
+    /// The longest election timeout does not exceed the shortest.
     #[error("`election_max_ms` must be above `election_min_ms`; raise it")]
     ElectionRangeEmpty,
-    /// A size is zero.
+    /// A size limit is zero.
     #[error("append, window, pending and snapshot sizes must be above zero; raise them")]
     SizeZero,
 }
 
 impl ReplicaSettings {
-    /// Checks that the settings keep a leader's lease inside its followers' patience.
+    /// Checks that a leader's lease ends before its followers' election timeout, and that no size
+    /// limit is zero.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] that names the setting to change.
+    /// [`SettingsError`], naming the setting to change.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.lease_ms.saturating_mul(10) > self.election_min_ms.saturating_mul(9) {
             return Err(SettingsError::LeaseTooLong);
--- a/crates/masticsill_quorum/src/silent_members.rs
+++ b/crates/masticsill_quorum/src/silent_members.rs
@@ -1,4 +1,4 @@
-//! Members that the leader has not heard for long.
+//! Detection of members that the leader has not heard from for a long time.
 
 use masticsill_types::ClockMs;
 
@@ -6,11 +6,12 @@
 use crate::{Replica, VoterId};
 
 impl Replica {
-    /// Members that may be removed, as they have been silent for `silence_ms` while this replica
-    /// led; none on others.
+    /// Members that may be removed because this leader has not heard from them for `silence_ms`
+    /// milliseconds. Empty if this replica is not the leader.
     ///
-    /// A silent learner comes first: it would keep the voter that it replaces. A silent voter may
-    /// go while more than `target_voters` vote and none is being replaced.
+    /// Silent learners are returned first, because a silent learner prevents the removal of the
+    /// voter that it replaces. Silent voters are returned only if there is no silent learner, there
+    /// are more than `target_voters` voters and no voter is being replaced or removed.
     #[must_use]
     pub fn removable_members(
         &self,
@@ -36,7 +37,7 @@
         };
         let progress = state.progress.iter();
         let silent = progress.filter(|(_, progress)| {
-            // One that was never heard is counted from when the leader began to track it.
+            // For a member never heard from, the silence starts when the leader began to track it.
             let last_heard_at = progress.last_heard_at.unwrap_or(progress.tracked_at);
             now.since(last_heard_at) >= silence_ms
         });
--- a/crates/masticsill_quorum/src/snapshot.rs
+++ b/crates/masticsill_quorum/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taking them, sending them part by part and installing them.
+//! Snapshots: taking them, sending them in parts and installing them.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::{LogIndex, Message, Output, Replica, Snapshot, VoterId, Write};
 
 impl Replica {
-    /// Asks for a snapshot once the log has grown long since the last.
+    /// Requests a snapshot once enough entries were committed since the last one.
     pub(crate) fn request_snapshot_if_due(&mut self) {
         let entries_since_snapshot = self.commit.0.saturating_sub(self.log.snapshot_index().0);
         if self.is_snapshot_requested
@@ -42,7 +42,7 @@
         self.log.compact(snapshot, self.settings.retained_entries);
     }
 
-    /// Sends a peer the next part of the newest snapshot, unless one is under way.
+    /// Sends a peer the next part of the newest snapshot, unless a part is in flight.
     pub(crate) fn send_chunk(&mut self, peer: &VoterId) {
         let RoleState::Leader(state) = &mut self.role else {
             return;
@@ -127,7 +127,8 @@
         self.send_when_term_synced(from, message);
     }
 
-    /// Adds a part that continues what is held; returns the bytes held then.
+    /// Adds a part that continues the data received so far. Returns the number of bytes held
+    /// afterwards.
     fn add_snapshot_part(&mut self, part: IncomingSnapshot, offset_bytes: u64) -> u64 {
         let is_same = |held: &IncomingSnapshot| held.index == part.index && held.term == part.term;
         let held = match self.incoming.take() {
@@ -172,7 +173,8 @@
     }
 }
 
-/// The part of a snapshot at an offset, as a message of the term that it is then given.
+/// Returns a function that builds the message with the part of a snapshot at an offset, given the
+/// term.
 fn chunk_at(
     snapshot: &Snapshot,
     offset_bytes: u64,
--- a/crates/masticsill_quorum/src/storage.rs
+++ b/crates/masticsill_quorum/src/storage.rs
@@ -1,8 +1,8 @@
 //! A replica's data folder: identity, vote, snapshot and the log in segments.
 //!
-//! Every file is made of checksummed frames. The log is only ever appended to: one frame a sync,
-//! and a truncation is a record like any other. A failed write or sync is final: what the disk
-//! holds is not known then, so nothing more is written until the process has read it again.
+//! Every file consists of checksummed frames. The log is append-only, with one frame per sync; a
+//! truncation is a log record too. A failed write or sync is final: the state of the disk is then
+//! unknown, so nothing more is written until a restarted process has read the folder again.
 
 mod disk;
 mod error;
@@ -33,9 +33,10 @@
 pub(crate) const IDENTITY_FILE: &str = "identity";
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
 pub(crate) const VOTE_FILE: &str = "vote";
-/// Stands while the folder is emptied, so that a power loss leaves no half of it in use.
+/// Marker file that exists while the folder is being emptied, so that a folder left half emptied by
+/// a power loss is not used.
 pub(crate) const ABANDON_MARKER_FILE: &str = "given_up";
-/// Size from which a new segment is begun.
+/// Size at which a segment is closed and a new one is started.
 const SEGMENT_ROLLOVER_BYTES: u64 = 4 * 1024 * 1024;
 
 /// A replica's data folder, open for writing.
@@ -45,7 +46,7 @@
     disk: Box<dyn Disk>,
     id: VoterId,
     segments: Vec<Segment>,
-    /// Records that the next sync writes.
+    /// Records that the next sync will write.
     unwritten: Vec<LogRecord>,
     highest_unwritten: LogIndex,
     point: SyncPoint,
@@ -55,11 +56,12 @@
 }
 
 impl Storage {
-    /// Opens the data folder of a node, or creates it with a new identity.
+    /// Opens the data folder of a node, or creates it with a new random identity. Writes wait while
+    /// the disk is full; see [`Self::space_wait_canceller`].
     ///
     /// # Errors
     ///
-    /// [`StorageError`] that names the file and the remedy.
+    /// [`StorageError`], naming the file and the remedy.
     pub fn open(
         folder: &Path,
         cluster: &str,
@@ -73,12 +75,12 @@
         Ok((storage, recovered))
     }
 
-    /// Opens the data folder behind `disk`, or creates it with the identity `new_folder`, which
-    /// must be random.
+    /// Opens the data folder on `disk`, or creates it with the identity `new_folder`, which must be
+    /// random.
     ///
     /// # Errors
     ///
-    /// [`StorageError`] that names the file and the remedy.
+    /// [`StorageError`], naming the file and the remedy.
     pub fn open_with_disk(
         mut disk: Box<dyn Disk>,
         cluster: &str,
@@ -107,12 +109,13 @@
         Ok((storage, recovered))
     }
 
-    /// Makes a new folder one of the founding members of a new cluster. Every founding member is
-    /// given the same membership, once.
+    /// Makes a new folder a founding member of a new cluster. Every founding member must be given
+    /// the same membership, once.
     ///
     /// # Errors
     ///
-    /// [`StorageError::NotNew`] when the folder holds a log or snapshot.
+    /// [`StorageError::NotNew`] if the folder holds a log, a term or a snapshot; [`StorageError`]
+    /// if the write fails.
     pub fn found(
         &mut self,
         state: &mut StoredState,
@@ -127,15 +130,15 @@
         Ok(())
     }
 
-    /// Gives up a founding: the folder gets the new identity `new_folder`, which must be random,
-    /// and belongs to no cluster.
+    /// Abandons a founding: empties the folder and gives it the new identity `new_folder`, which
+    /// must be random. The folder then belongs to no cluster.
     ///
-    /// It may be done where the log was never begun: no entry counts on this folder then, and its
+    /// This is safe as long as the log is empty: no committed entry depends on this folder, and its
     /// old identity never votes again, as if the disk had been lost.
     ///
     /// # Errors
     ///
-    /// [`StorageError::NotNew`] when the folder holds an entry; [`StorageError`] of the writes.
+    /// [`StorageError::NotNew`] if the folder holds an entry; [`StorageError`] if a write fails.
     pub fn abandon_founding(&mut self, new_folder: FolderId) -> Result<StoredState, StorageError> {
         let has_entries = |segment: &Segment| segment.highest_index > LogIndex(0);
         if !self.unwritten.is_empty() || self.segments.iter().any(has_entries) {
@@ -159,14 +162,14 @@
         abandoned_state.ok_or(StorageError::Failed)
     }
 
-    /// Makes this replica the only voter, after the majority of the voters was lost for good.
+    /// Makes this replica the only voter, after the majority of the voters was lost permanently.
     ///
-    /// What the lost voters had accepted and this one had not received is lost. The folders of all
-    /// other voters must never be used again: they would be a second cluster.
+    /// Entries that the lost voters had accepted and this replica had not received are lost. The
+    /// data folders of all other voters must never be used again: they would form a second cluster.
     ///
     /// # Errors
     ///
-    /// [`StorageError`] of the writes.
+    /// [`StorageError`] if a write fails.
     pub fn force_sole_voter(&mut self, state: &mut StoredState) -> Result<(), StorageError> {
         let snapshot_index = state.snapshot.as_ref().map_or(LogIndex(0), |it| it.index);
         let last_index = state.entries.last().map_or(snapshot_index, |it| it.index);
@@ -193,11 +196,11 @@
         Ok(())
     }
 
-    /// Takes a write; it is durable after the next [`Self::sync`].
+    /// Accepts a write, which is durable after the next [`Self::sync`].
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; the storage refuses everything after it.
+    /// [`StorageError`]; after any error the storage refuses every operation.
     pub fn write(&mut self, point: SyncPoint, write: &Write) -> Result<(), StorageError> {
         self.is_pristine = false;
         match write {
@@ -223,29 +226,30 @@
         Ok(())
     }
 
-    /// Makes every write taken so far durable and returns the point of the last.
+    /// Makes every write accepted so far durable and returns the point of the last one.
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; the storage refuses everything after it.
+    /// [`StorageError`]; after any error the storage refuses every operation.
     pub fn sync(&mut self) -> Result<SyncPoint, StorageError> {
         self.run_unless_failed(Self::flush)?;
         Ok(self.point)
     }
 
-    /// The identity that the folder gives the replica.
+    /// The replica's identity, as stored in the folder.
     #[must_use]
     pub fn id(&self) -> &VoterId {
         &self.id
     }
 
-    /// What ends this storage's waits for space; a write that is given up is a failure.
+    /// A handle that cancels this storage's waits for disk space. A cancelled write fails, which is
+    /// final.
     #[must_use]
     pub fn space_wait_canceller(&self) -> SpaceWaitCanceller {
         self.space_wait_canceller.clone()
     }
 
-    /// Runs an operation unless an earlier one failed; a failure is final.
+    /// Runs an operation unless an earlier one failed. A failure is final.
     fn run_unless_failed(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
@@ -253,7 +257,7 @@
         if self.is_failed {
             return Err(StorageError::Failed);
         }
-        // A sync that failed once may succeed when asked again although data is lost.
+        // A sync that is retried after a failure may succeed although data was lost.
         let done = operation(self);
         if let Err(error) = &done {
             self.is_failed = true;
@@ -304,7 +308,7 @@
         replaced.map_err(StorageError::io("replace", file))
     }
 
-    /// Begins the first segment, or begins the last one again if nothing of it was whole.
+    /// Starts the first segment, or restarts the last one if it holds no complete record.
     fn ensure_open_segment(&mut self) -> Result<(), StorageError> {
         match self.segments.last().copied() {
             None => self.start_segment(1),
@@ -331,9 +335,9 @@
         Ok(())
     }
 
-    /// Writes a snapshot, then drops the segments that it covers.
+    /// Writes a snapshot, then removes the segments that it covers.
     fn write_snapshot(&mut self, snapshot: Snapshot) -> Result<(), StorageError> {
-        // A truncation that the snapshot relies on must be durable before it.
+        // A truncation that the snapshot depends on must be durable before the snapshot is.
         self.flush()?;
         let index = snapshot.index;
         let bytes = encode_record(&WireSnapshot::from(snapshot));
@@ -351,7 +355,7 @@
     }
 }
 
-/// Whether a folder has never taken part in anything.
+/// Whether a folder holds no snapshot, no entry and no term.
 fn is_pristine(state: &StoredState) -> bool {
     state.snapshot.is_none() && state.entries.is_empty() && state.term == Term::default()
 }
--- a/crates/masticsill_quorum/src/storage/disk.rs
+++ b/crates/masticsill_quorum/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The file operations that a data folder needs, replaceable so that tests can make them fail.
+//! The file operations that a data folder needs, behind a trait so that tests can inject failures.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -10,9 +10,9 @@
 const LOCK_FILE: &str = "lock";
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// File operations within one data folder. Names are file names without a path.
+/// File operations within one data folder. Files are named without a path.
 pub trait Disk: fmt::Debug + Send {
-    /// Appends to a file, creating it first if it is absent. Not durable before `sync`.
+    /// Appends to a file, creating it if it does not exist. Not durable until [`Self::sync`].
     ///
     /// # Errors
     ///
@@ -26,7 +26,7 @@
     /// The operating system's error.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// A file's content; none when it is absent.
+    /// A file's content; `None` if the file does not exist.
     ///
     /// # Errors
     ///
@@ -40,21 +40,21 @@
     /// The operating system's error.
     fn remove(&mut self, file: &str) -> io::Result<()>;
 
-    /// Puts content in place of a file's at once and durably.
+    /// Replaces a file's content atomically and durably, creating the file if it does not exist.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     fn replace(&mut self, file: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes a file's content and its name durable.
+    /// Makes a file's content and its directory entry durable.
     ///
     /// # Errors
     ///
     /// The operating system's error.
     fn sync(&mut self, file: &str) -> io::Result<()>;
 
-    /// Cuts a file to a size and makes that durable.
+    /// Truncates a file to a size in bytes and makes that durable.
     ///
     /// # Errors
     ///
@@ -62,11 +62,11 @@
     fn truncate(&mut self, file: &str, size_bytes: u64) -> io::Result<()>;
 }
 
-/// A data folder of the file system, locked against other processes.
+/// A data folder in the file system, locked against other processes.
 #[derive(Debug)]
 pub struct FileDisk {
     folder: PathBuf,
-    /// The file that was appended to last, kept open.
+    /// The file last appended to, kept open.
     append_handle: Option<AppendHandle>,
     _lock: File,
 }
@@ -79,11 +79,12 @@
 }
 
 impl FileDisk {
-    /// Creates the folder if it is absent and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Locked`] when another process holds it, [`StorageError::Io`] otherwise.
+    /// [`StorageError::Locked`] if another process holds the lock, [`StorageError::Io`] for any
+    /// other failure.
     pub fn open(folder: &Path) -> Result<Self, StorageError> {
         let shown = folder.display().to_string();
         fs::create_dir_all(folder).map_err(StorageError::io("create", &shown))?;
@@ -117,7 +118,7 @@
             self.append_handle = Some(AppendHandle {
                 name: name.to_owned(),
                 file,
-                // A file that exists may still be unknown to the folder on the disk.
+                // An existing file's directory entry may not be durable yet.
                 is_name_synced: false,
             });
         }
@@ -152,7 +153,7 @@
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        // A file of the same name that is begun later is another one.
+        // A file created later under the same name is a different file, so the handle is closed.
         self.append_handle
             .take_if(|append_handle| append_handle.name == file);
         fs::remove_file(self.folder.join(file))
--- a/crates/masticsill_quorum/src/storage/error.rs
+++ b/crates/masticsill_quorum/src/storage/error.rs
@@ -1,4 +1,4 @@
-//! Why a data folder can't be used.
+//! Errors of a data folder.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,10 +6,10 @@
 use masticsill_types::NodeId;
 use thiserror::Error;
 
-/// Why a data folder can't be used. After any error from a write the process must stop.
+/// An error of a data folder. After any error from a write the process must stop.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// A file holds something else than was written.
+    /// A file's content differs from what was written.
     #[error(
         "`{file}` is corrupt at byte {offset_bytes} ({reason}); don't edit it: move the data \
          folder away, start with an empty one and let this replica join in place of the old one"
@@ -17,20 +17,22 @@
     Corrupt {
         /// The file within the data folder.
         file: String,
-        /// Where the damage begins.
+        /// Offset of the first damaged record, in bytes.
         offset_bytes: u64,
-        /// What is wrong there.
+        /// What is wrong at that offset.
         reason: &'static str,
     },
-    /// An earlier write or sync failed, and what is durable is not known.
-    #[error("the data folder failed earlier; mend the disk, then restart the process")]
+    /// An earlier write or sync failed; which writes are durable is unknown.
+    #[error(
+        "an earlier write to the data folder failed; repair the disk, then restart the process"
+    )]
     Failed,
-    /// The operating system refused an operation.
+    /// The operating system reported an error.
     #[error(
         "can't {operation} `{file}`: {source}; check the disk's space and health, then restart"
     )]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: &'static str,
         /// The file within the data folder.
         file: String,
@@ -40,7 +42,7 @@
     /// Another process uses the folder.
     #[error("another process uses the data folder `{0}`; stop it first")]
     Locked(PathBuf),
-    /// A file that must be there is gone.
+    /// A required file is missing.
     #[error(
         "`{file}` is missing; put it back, or move the data folder away, start with an empty one \
          and let this replica join in place of the old one"
@@ -49,8 +51,8 @@
         /// The file within the data folder.
         file: String,
     },
-    /// Founding a cluster needs a new folder.
-    #[error("the data folder holds a log already; found a cluster on a new folder only")]
+    /// Founding a cluster, or abandoning a founding, requires a folder without a log.
+    #[error("the data folder already holds cluster state; use a new, empty data folder")]
     NotNew,
     /// The folder belongs to another cluster.
     #[error("the data folder belongs to cluster `{found}`, not `{expected}`; correct the settings")]
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Wraps an operating system's error with what was tried.
+    /// Wraps an operating system's error with the operation that failed.
     pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Io {
             operation,
--- a/crates/masticsill_quorum/src/storage/frame.rs
+++ b/crates/masticsill_quorum/src/storage/frame.rs
@@ -1,15 +1,16 @@
-//! Checksummed frames: length, checksum of the length, checksum of the body, body.
+//! Checksummed frames: length, checksum of the length, checksum of the body, then the body. The
+//! first three are 32-bit little-endian numbers.
 
 use crate::storage::StorageError;
 
 const HEADER_BYTES: usize = 12;
-/// Mixed into a length's checksum, so that zeros are not a header.
+/// Included in the checksum of the length, so that a run of zeros is not a valid header.
 const MAGIC: u32 = 0x6d71_6c31;
 
-/// The frames of a file, and how it ends.
+/// The frames of a file and how the file ends.
 #[derive(Debug)]
 pub(crate) struct FrameScan<'a> {
-    /// Offset and body of each whole frame.
+    /// Offset and body of each complete frame.
     pub(crate) frames: Vec<(usize, &'a [u8])>,
     pub(crate) end: FrameEnd,
 }
@@ -17,15 +18,15 @@
 /// How a file of frames ends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum FrameEnd {
-    /// With a whole frame.
+    /// The file ends with a complete frame.
     Clean,
-    /// With damage that something follows.
+    /// A frame is damaged in a way that an interrupted write does not explain.
     Corrupt { offset: usize, reason: &'static str },
-    /// With a last frame that was not wholly written.
+    /// The last frame was only partly written.
     Torn { offset: usize },
 }
 
-/// A whole frame, or why there is none.
+/// The result of reading one frame.
 enum FrameRead<'a> {
     Corrupt(&'static str),
     Torn,
@@ -39,7 +40,7 @@
     hasher.finalize()
 }
 
-/// A frame around a body.
+/// Encodes a body as a frame.
 pub(crate) fn encode_frame(body: &[u8]) -> Vec<u8> {
     let length = u32::try_from(body.len()).expect("bodies are far below 4 GiB");
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -50,7 +51,7 @@
     frame
 }
 
-/// Splits a file into frames.
+/// Splits a file's content into frames, up to the first torn or corrupt one.
 pub(crate) fn scan_frames(bytes: &[u8]) -> FrameScan<'_> {
     let mut frames = Vec::new();
     let mut offset = 0;
@@ -76,12 +77,13 @@
 }
 
 fn read_frame(rest: &[u8]) -> FrameRead<'_> {
-    // A file may have grown before the data reached the disk; it then ends in zeros.
+    // After a crash a file may have its new size without its new data; it then ends in zeros.
     if rest.len() < HEADER_BYTES || rest.iter().all(|byte| *byte == 0) {
         return FrameRead::Torn;
     }
     let length = read_u32(rest, 0);
-    // Only a length that is proved whole may say where the file should have ended.
+    // A length must pass its checksum before it may be used to tell a torn frame from a corrupt
+    // one.
     if read_u32(rest, 4) != header_checksum(length) {
         return FrameRead::Corrupt("the record's length fails its checksum");
     }
@@ -100,7 +102,7 @@
     }
 }
 
-/// The body of a file that holds exactly one frame.
+/// The body of the only frame of a file.
 pub(crate) fn single_frame<'a>(file: &str, bytes: &'a [u8]) -> Result<&'a [u8], StorageError> {
     let scan = scan_frames(bytes);
     match (scan.end, scan.frames.as_slice()) {
@@ -108,8 +110,10 @@
         (FrameEnd::Corrupt { offset, reason }, _) => {
             Err(StorageError::corrupt(file, offset, reason))
         }
-        (FrameEnd::Clean | FrameEnd::Torn { .. }, _) => {
-            Err(StorageError::corrupt(file, 0, "the file is not whole"))
-        }
+        (FrameEnd::Clean | FrameEnd::Torn { .. }, _) => Err(StorageError::corrupt(
+            file,
+            0,
+            "the file does not hold exactly one complete record",
+        )),
     }
 }
--- a/crates/masticsill_quorum/src/storage/open.rs
+++ b/crates/masticsill_quorum/src/storage/open.rs
@@ -1,4 +1,4 @@
-//! Opening a data folder: its identity, vote, snapshot and log as they are on the disk.
+//! Opening a data folder: reading its identity, vote, snapshot and log from the disk.
 
 use masticsill_types::{NodeId, Term, log_event};
 use serde::de::DeserializeOwned;
@@ -11,29 +11,30 @@
 use crate::wire::WireSnapshot;
 use crate::{LogIndex, Snapshot, StoredState, VoterId, events};
 
-/// The cut of a last record that was not wholly written; nothing that counted was in it.
+/// A truncation of a last record that was only partly written. The record was never reported as
+/// durable.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TornTail {
-    /// The segment within the data folder.
+    /// Name of the segment file within the data folder.
     pub file: String,
-    /// Where the record began; the file ends there now.
+    /// Offset of the removed record and new size of the file, in bytes.
     pub offset_bytes: u64,
-    /// How much was cut.
+    /// Number of bytes removed.
     pub cut_bytes: u64,
 }
 
-/// What a data folder held when it was opened.
+/// The content of a data folder when it was opened.
 #[derive(Debug)]
 pub struct RecoveredStorage {
-    /// What the replica starts from.
+    /// The state that the replica starts from.
     pub state: StoredState,
-    /// The cut that was made, if any.
+    /// The truncation of a partly written record, if there was one.
     pub torn_tail: Option<TornTail>,
-    /// Whether the folder was created just now.
+    /// Whether the folder was newly created.
     pub is_new: bool,
 }
 
-/// Reads a data folder, or gives a new one its identity.
+/// Reads a data folder, or assigns an identity to a new one.
 pub(crate) fn recover(
     disk: &mut dyn Disk,
     cluster: &str,
@@ -69,7 +70,8 @@
     Ok((recovered, replay.segments))
 }
 
-/// Ends the emptying of a folder that was given up; returns the files that are left.
+/// Finishes emptying a folder whose founding was abandoned. Returns the names of the remaining
+/// files.
 fn finish_abandoning(disk: &mut dyn Disk) -> Result<Vec<String>, StorageError> {
     let list = |disk: &dyn Disk| disk.list().map_err(StorageError::io("list", "."));
     let names = list(disk)?;
@@ -84,7 +86,8 @@
         disk.remove(name)
             .map_err(StorageError::io("remove", name))?;
     }
-    // Writing the mark again makes the removals durable before it goes itself.
+    // Writing the marker again syncs the folder, which makes the removals durable before the marker
+    // itself is removed.
     let marked = disk.replace(ABANDON_MARKER_FILE, &[]);
     marked.map_err(StorageError::io("replace", ABANDON_MARKER_FILE))?;
     let removed = disk.remove(ABANDON_MARKER_FILE);
@@ -92,7 +95,7 @@
     list(disk)
 }
 
-/// Refuses a log whose beginning was taken away.
+/// Rejects a log whose first segment is missing.
 fn check_first_segment(
     replay: &Replay,
     vote: &VoteRecord,
@@ -124,7 +127,7 @@
         cluster: cluster.to_owned(),
         replica: id.clone().into(),
     };
-    // The identity comes last: a folder with an identity always has a vote.
+    // The identity is written last, so that a folder with an identity always has a vote file.
     let vote = encode_record(&VoteRecord::default());
     disk.replace(VOTE_FILE, &vote)
         .map_err(StorageError::io("replace", VOTE_FILE))?;
@@ -173,7 +176,7 @@
     Snapshot::try_from(wire).map(Some).map_err(to_corrupt)
 }
 
-/// Reads every segment in order and cuts a torn tail off the last.
+/// Reads every segment in order and truncates a torn tail of the last one.
 fn read_log(
     disk: &mut dyn Disk,
     names: &[String],
--- a/crates/masticsill_quorum/src/storage/record.rs
+++ b/crates/masticsill_quorum/src/storage/record.rs
@@ -1,4 +1,4 @@
-//! What the files of a data folder hold.
+//! Records stored in the files of a data folder.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -6,21 +6,21 @@
 use crate::storage::frame::{encode_frame, single_frame};
 use crate::wire::{WireEntry, WireVoterId};
 
-/// Whose folder it is.
+/// The cluster and replica that a folder belongs to.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct IdentityRecord {
     pub(crate) cluster: String,
     pub(crate) replica: WireVoterId,
 }
 
-/// The term and the vote in it.
+/// The current term and the vote given in that term.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct VoteRecord {
     pub(crate) term: u64,
     pub(crate) voted_for: Option<WireVoterId>,
 }
 
-/// One record of the log. A frame holds all records of one sync.
+/// One record of the log. A frame holds all records written by one sync.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum LogRecord {
     Append(WireEntry),
--- a/crates/masticsill_quorum/src/storage/replay.rs
+++ b/crates/masticsill_quorum/src/storage/replay.rs
@@ -1,4 +1,4 @@
-//! Reading the log back from its segments.
+//! Replaying the log from its segments.
 
 use crate::storage::StorageError;
 use crate::storage::frame::{FrameEnd, scan_frames};
@@ -9,18 +9,19 @@
 const PREFIX: &str = "log-";
 const SUFFIX: &str = ".segment";
 
-/// The name of a segment.
+/// The file name of a segment.
 pub(crate) fn segment_name(sequence: u64) -> String {
     format!("{PREFIX}{sequence:016}{SUFFIX}")
 }
 
-/// The sequence number in a segment's name.
+/// The sequence number in a segment's file name; `None` for any other file.
 pub(crate) fn segment_sequence(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
     digits.parse().ok()
 }
 
-/// A segment's place and the highest index that was ever appended to it.
+/// A segment's sequence number, its size and the highest index ever appended to it, even if
+/// truncated later.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Segment {
     pub(crate) sequence: u64,
@@ -28,7 +29,7 @@
     pub(crate) size_bytes: u64,
 }
 
-/// The log as far as it was read back.
+/// The log as replayed so far.
 #[derive(Debug)]
 pub(crate) struct Replay {
     folder: FolderId,
@@ -51,7 +52,8 @@
         LogIndex(self.snapshot_index.0 + self.entries.len() as u64)
     }
 
-    /// Reads one segment; returns where a torn tail begins, which only the last may have.
+    /// Replays one segment. Returns the offset of a torn tail, if any; only the last segment may
+    /// have one.
     pub(crate) fn read_segment(
         &mut self,
         sequence: u64,
@@ -73,7 +75,7 @@
                 return Err(StorageError::corrupt(&file, offset, reason));
             }
             FrameEnd::Clean | FrameEnd::Torn { .. } => {
-                let reason = "a segment that others follow is not whole";
+                let reason = "a segment other than the last is empty or incomplete";
                 return Err(StorageError::corrupt(&file, bytes.len(), reason));
             }
         };
@@ -86,7 +88,7 @@
             let records: Vec<LogRecord> = decode_body(&file, offset, body)?;
             let is_segment_start = matches!(records.as_slice(), [LogRecord::SegmentStart { .. }]);
             if is_segment_start != (position == 0) {
-                let reason = "a segment's first record is misplaced";
+                let reason = "the segment header is missing or is not the first record";
                 return Err(StorageError::corrupt(&file, offset, reason));
             }
             for record in records {
@@ -101,7 +103,7 @@
             LogRecord::Append(entry) => self.append(file, offset, entry),
             LogRecord::SegmentStart { folder, sequence } => {
                 let is_own = folder == self.folder.0 && segment_name(sequence) == file;
-                let reason = "the segment belongs to another folder or place";
+                let reason = "the segment header names another folder or sequence number";
                 is_own
                     .then_some(())
                     .ok_or_else(|| StorageError::corrupt(file, offset, reason))
--- a/crates/masticsill_quorum/src/storage/space_wait.rs
+++ b/crates/masticsill_quorum/src/storage/space_wait.rs
@@ -1,9 +1,9 @@
-//! A disk that waits while the one below it is full.
+//! A disk wrapper that retries writes while the underlying disk is full.
 //!
-//! A full disk is no reason to end: nothing is acknowledged meanwhile, while heartbeats and reads
-//! go on, and the replica is whole again as soon as there is space. What a refused append left
-//! behind is cut before it is tried again, so that no half record stands in the log. A process that
-//! ends gives up waiting; what it could not write never counted.
+//! A full disk need not stop the process: no write is acknowledged in the meantime, heartbeats and
+//! reads continue, and the replica recovers as soon as space is available. Bytes left by a failed
+//! append are truncated before the retry, so that the log contains no partial record. A process
+//! that shuts down cancels the wait; the write that it could not complete was never acknowledged.
 
 use std::fmt;
 use std::io;
@@ -18,17 +18,17 @@
 use crate::events;
 use crate::storage::Disk;
 
-/// Pause between tries.
+/// Interval between retries of a write while the disk is full.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Lets a process that ends give up waiting for space. Copies share one state.
+/// Cancels waits for disk space when the process shuts down. Clones share one state.
 #[derive(Clone, Debug, Default)]
 pub struct SpaceWaitCanceller {
     is_cancelled: Arc<AtomicBool>,
 }
 
 impl SpaceWaitCanceller {
-    /// Lets every write for which there is no space be refused from now on.
+    /// Makes every current and later write that finds no space fail instead of waiting.
     pub fn cancel(&self) {
         self.is_cancelled.store(true, Ordering::Release);
     }
@@ -38,29 +38,31 @@
     }
 }
 
-/// A disk that waits for space. It blocks its caller, which must be a thread of its own.
+/// A disk that retries writes until there is space. It blocks the calling thread, which must be a
+/// dedicated one.
 pub struct SpaceWaitDisk<D> {
     disk: D,
     space_wait_canceller: SpaceWaitCanceller,
-    /// Sizes of the files that were appended to, as far as every append was whole.
+    /// Sizes of the files appended to, counting complete appends only.
     sizes_bytes: IndexMap<String, u64>,
     sleep_fn: fn(Duration),
 }
 
 impl<D: fmt::Debug> fmt::Debug for SpaceWaitDisk<D> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // The type is shown under the name that debug output has always had.
         let mut shown = formatter.debug_struct("PatientDisk");
         shown.field("disk", &self.disk).finish_non_exhaustive()
     }
 }
 
 impl<D: Disk> SpaceWaitDisk<D> {
-    /// Waits on the thread that writes.
+    /// Wraps a disk; retries sleep on the writing thread.
     pub fn new(disk: D) -> Self {
         Self::with_sleep(disk, thread::sleep)
     }
 
-    /// The same with another way to wait, for tests.
+    /// Like [`Self::new`], with a replacement for the sleep, for tests.
     pub fn with_sleep(disk: D, sleep_fn: fn(Duration)) -> Self {
         Self {
             disk,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// What ends its waits.
+    /// A handle that cancels this disk's waits.
     pub fn space_wait_canceller(&self) -> SpaceWaitCanceller {
         self.space_wait_canceller.clone()
     }
@@ -83,8 +85,8 @@
         Ok(content.len() as u64)
     }
 
-    /// Runs a write until the disk is no longer full or patience is over; `undo` removes what a
-    /// refused one left.
+    /// Retries a write until the disk is no longer full or the wait is cancelled. `undo` removes
+    /// what a failed attempt left behind.
     fn retry_while_full(
         &mut self,
         file: &str,
@@ -119,7 +121,7 @@
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         let before_bytes = self.size_bytes(file)?;
         let undo = |disk: &mut D| {
-            // A cut that fails shows at the next append, which is tried on the same file.
+            // A failed truncation is not reported here: the next append to the same file fails too.
             let _ = disk.truncate(file, before_bytes);
         };
         self.retry_while_full(file, |disk| disk.append(file, bytes), undo)?;
--- a/crates/masticsill_quorum/src/wire.rs
+++ b/crates/masticsill_quorum/src/wire.rs
@@ -1,4 +1,4 @@
-//! Wire form of messages, encoded with `postcard`, and of what data folders hold.
+//! Serialized form of messages and of the records in data folders, encoded with `postcard`.
 
 mod entry;
 mod message;
@@ -11,24 +11,24 @@
 pub(crate) use entry::{WireEntry, WireSnapshot, WireVoterId};
 use message::WireEnvelope;
 
-/// Why received bytes are not a message.
+/// An error in decoding a message.
 #[derive(Clone, Debug, Error)]
 pub enum WireError {
-    /// The bytes are not of this encoding.
+    /// The bytes are not a valid encoding of a message.
     #[error("the message can't be decoded ({0}); run the same version on every control instance")]
     Encoding(#[from] postcard::Error),
-    /// A node name is not valid.
-    #[error("the message holds a wrong name: {0}")]
+    /// A node name is invalid.
+    #[error("the message holds an invalid node name: {0}")]
     Name(#[from] IdError),
-    /// Entries are out of order.
+    /// Entry indexes are not consecutive.
     #[error("the message's entries have a gap; run the same version on every control instance")]
     EntryGap,
-    /// A membership names a member twice, or too many.
-    #[error("the message's membership is not valid; run the same version on every instance")]
+    /// A membership lists a member twice, or too many voters.
+    #[error("the message's membership is invalid; run the same version on every control instance")]
     Membership,
 }
 
-/// Encodes a message and its ends.
+/// Encodes a message with its sender and receiver.
 ///
 /// # Panics
 ///
@@ -39,11 +39,11 @@
     postcard::to_allocvec(&wire).expect("wire types always encode into memory")
 }
 
-/// Decodes a message and its ends.
+/// Decodes a message with its sender and receiver.
 ///
 /// # Errors
 ///
-/// [`WireError`] when the bytes are not a whole, valid message.
+/// [`WireError`] if the bytes are not a complete, valid message.
 pub fn decode_message(bytes: &[u8]) -> Result<Envelope, WireError> {
     let wire: WireEnvelope = postcard::from_bytes(bytes)?;
     Envelope::try_from(wire)
--- a/crates/masticsill_quorum/src/wire/entry.rs
+++ b/crates/masticsill_quorum/src/wire/entry.rs
@@ -1,4 +1,4 @@
-//! Wire form of identities, memberships, entries and snapshots.
+//! Serialized form of identities, memberships, entries and snapshots.
 
 use std::sync::Arc;
 
@@ -114,7 +114,7 @@
         let count = members.len();
         members.sort_unstable();
         members.dedup();
-        // A voter that is being replaced stays for one step beside its successor.
+        // A voter that is being replaced stays a voter for one step alongside its replacement.
         let is_valid = members.len() == count && membership.voters.len() <= MAX_VOTERS + 1;
         is_valid.then_some(membership).ok_or(WireError::Membership)
     }
@@ -188,12 +188,12 @@
     }
 }
 
-/// Converts each item into its wire form.
+/// Converts each item into its serialized form.
 pub(crate) fn convert<T, W: From<T>>(items: Vec<T>) -> Vec<W> {
     items.into_iter().map(W::from).collect()
 }
 
-/// Converts each item from its wire form.
+/// Converts each item from its serialized form.
 pub(crate) fn try_convert<W, T: TryFrom<W>>(items: Vec<W>) -> Result<Vec<T>, T::Error> {
     items.into_iter().map(T::try_from).collect()
 }
--- a/crates/masticsill_quorum/src/wire/message.rs
+++ b/crates/masticsill_quorum/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! Wire form of messages between replicas.
+//! Serialized form of messages between replicas.
 
 use std::sync::Arc;
 
@@ -307,7 +307,7 @@
     }
 }
 
-/// Converts entries and refuses gaps after `previous_index` and between them.
+/// Converts entries, rejecting them if their indexes do not follow `previous_index` without gaps.
 fn contiguous(previous_index: u64, wire: Vec<WireEntry>) -> Result<Vec<Entry>, WireError> {
     let entries: Vec<Entry> = try_convert(wire)?;
     let mut expected = LogIndex(previous_index);
