--- a/crates/masticsill_quorum/src/progress.rs
+++ b/crates/masticsill_quorum/src/progress.rs
@@ -6,7 +6,7 @@
 
 /// How the leader replicates to a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum ReplicationMode {
+pub(crate) enum SendMode {
     /// Sends one message at a time until the logs are known to match.
     Probe { is_awaiting_reply: bool },
     /// Sends entries ahead of acknowledgements.
@@ -22,7 +22,7 @@
 /// A leader's replication state for one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    pub(crate) mode: ReplicationMode,
+    pub(crate) mode: SendMode,
     /// The last index known to be synced at the peer.
     pub(crate) match_index: LogIndex,
     /// The next index to send.
@@ -38,7 +38,7 @@
 impl Progress {
     pub(crate) fn new(tracked_at: ClockMs, next_index: LogIndex) -> Self {
         Self {
-            mode: ReplicationMode::Probe {
+            mode: SendMode::Probe {
                 is_awaiting_reply: false,
             },
             match_index: LogIndex::default(),
@@ -53,23 +53,23 @@
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index.next());
         match self.mode {
-            ReplicationMode::Probe { .. } => self.mode = ReplicationMode::Replicate,
-            ReplicationMode::Snapshot { index, .. } if self.match_index >= index => {
-                self.mode = ReplicationMode::Replicate;
+            SendMode::Probe { .. } => self.mode = SendMode::Replicate,
+            SendMode::Snapshot { index, .. } if self.match_index >= index => {
+                self.mode = SendMode::Replicate;
             }
-            ReplicationMode::Replicate | ReplicationMode::Snapshot { .. } => {}
+            SendMode::Replicate | SendMode::Snapshot { .. } => {}
         }
     }
 
     /// Handles a rejection; returns `false` if it is stale or a snapshot is being sent.
     pub(crate) fn record_rejected(&mut self, previous_index: LogIndex, hint: LogIndex) -> bool {
         let is_stale = previous_index <= self.match_index || previous_index >= self.next_index;
-        if is_stale || matches!(self.mode, ReplicationMode::Snapshot { .. }) {
+        if is_stale || matches!(self.mode, SendMode::Snapshot { .. }) {
             return false;
         }
         let matching = hint.min(previous_index.previous()).max(self.match_index);
         self.next_index = matching.next();
-        self.mode = ReplicationMode::Probe {
+        self.mode = SendMode::Probe {
             is_awaiting_reply: false,
         };
         true
@@ -78,11 +78,11 @@
     /// Allows one more message while a reply is outstanding: the previous message may be lost.
     pub(crate) fn allow_resend(&mut self) {
         match &mut self.mode {
-            ReplicationMode::Probe { is_awaiting_reply }
-            | ReplicationMode::Snapshot {
+            SendMode::Probe { is_awaiting_reply }
+            | SendMode::Snapshot {
                 is_awaiting_reply, ..
             } => *is_awaiting_reply = false,
-            ReplicationMode::Replicate => {}
+            SendMode::Replicate => {}
         }
     }
 }
--- a/crates/masticsill_quorum/src/replicate.rs
+++ b/crates/masticsill_quorum/src/replicate.rs
@@ -2,7 +2,7 @@
 
 use masticsill_types::ClockMs;
 
-use crate::progress::{Progress, ReplicationMode};
+use crate::progress::{Progress, SendMode};
 use crate::replica::RoleState;
 use crate::{LogIndex, Message, Replica, VoterId};
 
@@ -28,17 +28,15 @@
         };
         let needs_snapshot = progress.next_index <= self.log.base_index();
         match progress.mode {
-            ReplicationMode::Snapshot { .. } => self.send_chunk(peer),
-            ReplicationMode::Probe { .. } | ReplicationMode::Replicate if needs_snapshot => {
-                self.send_chunk(peer)
-            }
-            ReplicationMode::Probe {
+            SendMode::Snapshot { .. } => self.send_chunk(peer),
+            SendMode::Probe { .. } | SendMode::Replicate if needs_snapshot => self.send_chunk(peer),
+            SendMode::Probe {
                 is_awaiting_reply: true,
             } => {}
-            ReplicationMode::Probe {
+            SendMode::Probe {
                 is_awaiting_reply: false,
             } => self.send_batch(peer),
-            ReplicationMode::Replicate => self.fill_window(peer, must_probe),
+            SendMode::Replicate => self.fill_window(peer, must_probe),
         }
     }
 
@@ -79,9 +77,9 @@
         );
         let entries = self.log.batch(progress.next_index, max_entries, max_bytes);
         match &mut progress.mode {
-            ReplicationMode::Probe { is_awaiting_reply } => *is_awaiting_reply = true,
-            ReplicationMode::Replicate => progress.next_index.0 += entries.len() as u64,
-            ReplicationMode::Snapshot { .. } => {}
+            SendMode::Probe { is_awaiting_reply } => *is_awaiting_reply = true,
+            SendMode::Replicate => progress.next_index.0 += entries.len() as u64,
+            SendMode::Snapshot { .. } => {}
         }
         let message = Message::Append {
             term: self.term,
--- a/crates/masticsill_quorum/src/snapshot.rs
+++ b/crates/masticsill_quorum/src/snapshot.rs
@@ -6,7 +6,7 @@
 
 use crate::durability::Deferred;
 use crate::follower::IncomingSnapshot;
-use crate::progress::ReplicationMode;
+use crate::progress::SendMode;
 use crate::replica::RoleState;
 use crate::{LogIndex, Message, Output, Replica, Snapshot, VoterId, Write};
 
@@ -52,7 +52,7 @@
             return;
         };
         let offset_bytes = match progress.mode {
-            ReplicationMode::Snapshot {
+            SendMode::Snapshot {
                 index,
                 offset_bytes,
                 is_awaiting_reply,
@@ -64,7 +64,7 @@
             }
             _ => 0,
         };
-        progress.mode = ReplicationMode::Snapshot {
+        progress.mode = SendMode::Snapshot {
             index: snapshot.index,
             offset_bytes,
             is_awaiting_reply: true,
@@ -89,7 +89,7 @@
             return;
         };
         match &mut progress.mode {
-            ReplicationMode::Snapshot {
+            SendMode::Snapshot {
                 index: sent,
                 offset_bytes,
                 is_awaiting_reply,
--- a/crates/masticsill_quorum/src/storage/frame.rs
+++ b/crates/masticsill_quorum/src/storage/frame.rs
@@ -113,7 +113,7 @@
         (FrameEnd::Clean | FrameEnd::Torn { .. }, _) => Err(StorageError::corrupt(
             file,
             0,
-            "the file does not hold exactly one complete record",
+            "the file is not exactly one complete record",
         )),
     }
 }
