--- a/crates/masticsill_quorum/src/storage.rs
+++ b/crates/masticsill_quorum/src/storage.rs
@@ -125,7 +125,7 @@
             return Err(StorageError::NotNew);
         }
         let snapshot = Snapshot::founding(membership);
-        self.run_unless_failed(|storage| storage.write_snapshot(snapshot.clone()))?;
+        self.run_checked(|storage| storage.write_snapshot(snapshot.clone()))?;
         state.snapshot = Some(snapshot);
         Ok(())
     }
@@ -145,7 +145,7 @@
             return Err(StorageError::NotNew);
         }
         let mut abandoned_state = None;
-        self.run_unless_failed(|storage| {
+        self.run_checked(|storage| {
             storage.replace(ABANDON_MARKER_FILE, &[])?;
             let new_id = VoterId {
                 name: storage.id.name.clone(),
@@ -207,7 +207,7 @@
             Write::Append { entries } => self.buffer_entries(entries),
             Write::Snapshot { snapshot } => {
                 let snapshot = snapshot.clone();
-                self.run_unless_failed(|storage| storage.write_snapshot(snapshot))?;
+                self.run_checked(|storage| storage.write_snapshot(snapshot))?;
             }
             Write::TruncateFrom { index } => {
                 self.unwritten.push(LogRecord::TruncateFrom(index.0));
@@ -217,9 +217,7 @@
                     term: term.0,
                     voted_for: voted_for.clone().map(WireVoterId::from),
                 };
-                self.run_unless_failed(|storage| {
-                    storage.replace(VOTE_FILE, &encode_record(&record))
-                })?;
+                self.run_checked(|storage| storage.replace(VOTE_FILE, &encode_record(&record)))?;
             }
         }
         self.point = point;
@@ -232,7 +230,7 @@
     ///
     /// [`StorageError`]; after any error the storage refuses every operation.
     pub fn sync(&mut self) -> Result<SyncPoint, StorageError> {
-        self.run_unless_failed(Self::flush)?;
+        self.run_checked(Self::flush)?;
         Ok(self.point)
     }
 
@@ -250,7 +248,7 @@
     }
 
     /// Runs an operation unless an earlier one failed. A failure is final.
-    fn run_unless_failed(
+    fn run_checked(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
--- a/crates/masticsill_quorum/src/storage/frame.rs
+++ b/crates/masticsill_quorum/src/storage/frame.rs
@@ -110,10 +110,8 @@
         (FrameEnd::Corrupt { offset, reason }, _) => {
             Err(StorageError::corrupt(file, offset, reason))
         }
-        (FrameEnd::Clean | FrameEnd::Torn { .. }, _) => Err(StorageError::corrupt(
-            file,
-            0,
-            "the file is not exactly one complete record",
-        )),
+        (FrameEnd::Clean | FrameEnd::Torn { .. }, _) => {
+            Err(StorageError::corrupt(file, 0, "not one complete record"))
+        }
     }
 }
--- a/crates/masticsill_quorum/tests/control/followers.rs
+++ b/crates/masticsill_quorum/tests/control/followers.rs
@@ -1,4 +1,5 @@
-//! Nodes that keep a copy of the catalogue under a lease, renewed by replicas and by each other.
+//! Followers: nodes that keep a copy of the catalogue under a lease, which replicas and other
+//! followers renew.
 
 use masticsill_catalogue::{Applied, CatalogueUpdate, Follower};
 use masticsill_types::{CatalogueVersion, ClockMs};
@@ -8,9 +9,10 @@
 use super::Control;
 
 pub const LEASE_MS: u64 = 200;
+/// Number of followers.
 const COUNT: usize = 3;
-/// Longest delay of the few messages that the network holds back.
-const HELD_BACK_MS: u64 = 400;
+/// Maximum delay, in milliseconds, of the few messages that the network delays for long.
+const LONG_DELAY_MAX_MS: u64 = 400;
 
 #[derive(Clone, Copy, Debug)]
 enum Source {
@@ -19,9 +21,9 @@
 }
 
 #[derive(Clone, Debug)]
-enum Mail {
-    Ask {
-        have: CatalogueVersion,
+enum PacketBody {
+    Request {
+        known_version: CatalogueVersion,
         source: Source,
     },
     Reply {
@@ -32,28 +34,29 @@
 }
 
 #[derive(Clone, Debug)]
-struct Letter {
+struct Packet {
     due: u64,
-    /// Who asked, in which life and when by its own clock.
-    asked_by: usize,
-    life: u64,
+    /// The requesting follower, its epoch and the time of the request by its own clock.
+    requester: usize,
+    epoch: u64,
     sent_at: ClockMs,
-    mail: Mail,
+    body: PacketBody,
 }
 
 #[derive(Debug)]
 struct Node {
     follower: Follower,
     clock_offset_ms: u64,
-    life: u64,
-    /// Until when nothing comes in or goes out.
-    cut_until: u64,
-    /// Until when it does nothing at all.
+    /// Incremented at every restart; replies to requests of an earlier epoch are ignored.
+    epoch: u64,
+    /// Time until which the follower neither receives nor sends messages.
+    isolated_until: u64,
+    /// Time until which the follower is paused.
     paused_until: u64,
-    /// The highest version in this life.
-    held: CatalogueVersion,
-    /// The highest version that it was fresh with, in all its lives.
-    acted: CatalogueVersion,
+    /// The version held at the last check in this epoch.
+    last_version: CatalogueVersion,
+    /// The highest version that the follower was fresh with, in any epoch.
+    highest_fresh_version: CatalogueVersion,
 }
 
 impl Node {
@@ -63,18 +66,18 @@
 
     fn restart(&mut self, now: u64) {
         self.follower = Follower::new(self.clock(now));
-        self.held = CatalogueVersion::default();
-        self.life += 1;
+        self.last_version = CatalogueVersion::default();
+        self.epoch += 1;
     }
 }
 
 #[derive(Debug)]
 pub struct Followers {
-    /// Strides in which a follower was fresh.
+    /// Number of checks in which a follower was fresh.
     pub fresh: u64,
-    /// Strides in which a follower was not fresh.
+    /// Number of checks in which a follower was not fresh.
     pub stale: u64,
-    letters: Vec<Letter>,
+    packets: Vec<Packet>,
     nodes: Vec<Node>,
 }
 
@@ -86,39 +89,39 @@
             Node {
                 follower: Follower::new(ClockMs(now + clock_offset_ms)),
                 clock_offset_ms,
-                life: 0,
-                cut_until: 0,
+                epoch: 0,
+                isolated_until: 0,
                 paused_until: 0,
-                held: CatalogueVersion::default(),
-                acted: CatalogueVersion::default(),
+                last_version: CatalogueVersion::default(),
+                highest_fresh_version: CatalogueVersion::default(),
             }
         });
         Self {
             fresh: 0,
             stale: 0,
-            letters: Vec::new(),
+            packets: Vec::new(),
             nodes: nodes.collect(),
         }
     }
 
-    /// Delivers what is due, asks, and checks every copy.
+    /// Delivers due messages, sends requests and checks every follower's copy.
     pub fn step(&mut self, simulation: &mut Simulation<Control>) {
         self.deliver(simulation);
-        for place in 0..self.nodes.len() {
+        for position in 0..self.nodes.len() {
             if simulation.random.random_ratio(1, 2) {
-                self.ask(simulation, place);
+                self.send_request(simulation, position);
             }
-            self.check(simulation, place);
+            self.check(simulation, position);
         }
     }
 
     pub fn inject_fault(&mut self, simulation: &mut Simulation<Control>) {
-        let place = simulation.random.random_range(0..self.nodes.len());
+        let position = simulation.random.random_range(0..self.nodes.len());
         let until = simulation.now + simulation.random.random_range(1..400);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[position];
         match simulation.random.random_range(0..3) {
             0 => node.restart(simulation.now),
-            1 => node.cut_until = until,
+            1 => node.isolated_until = until,
             _ => node.paused_until = until,
         }
     }
@@ -126,46 +129,46 @@
     /// Ends all faults.
     pub fn heal(&mut self) {
         for node in &mut self.nodes {
-            node.cut_until = 0;
+            node.isolated_until = 0;
             node.paused_until = 0;
         }
     }
 
-    /// Whether everyone is fresh with the newest version.
+    /// Whether every follower is fresh with the newest version.
     pub fn are_current(&self, simulation: &Simulation<Control>) -> bool {
-        let newest = simulation.application.naive.accepted.len() as u64;
+        let newest = simulation.application.reference.accepted.len() as u64;
         self.nodes.iter().all(|node| {
             let is_fresh = node.follower.is_fresh(node.clock(simulation.now), LEASE_MS);
             is_fresh && node.follower.version().0 == newest
         })
     }
 
-    fn ask(&mut self, simulation: &mut Simulation<Control>, place: usize) {
-        let node = &self.nodes[place];
+    fn send_request(&mut self, simulation: &mut Simulation<Control>, position: usize) {
+        let node = &self.nodes[position];
         if node.paused_until > simulation.now {
             return;
         }
         let anyone = simulation.random.random_range(0..simulation.nodes.len());
         let source = match simulation.random.random_range(0..3) {
-            0 => Source::Follower((place + simulation.random.random_range(1..COUNT)) % COUNT),
+            0 => Source::Follower((position + simulation.random.random_range(1..COUNT)) % COUNT),
             1 => Source::Replica(anyone),
             _ => Source::Replica(simulation.leader().unwrap_or(anyone)),
         };
-        let letter = Letter {
+        let packet = Packet {
             due: simulation.now,
-            asked_by: place,
-            life: node.life,
+            requester: position,
+            epoch: node.epoch,
             sent_at: node.clock(simulation.now),
-            mail: Mail::Ask {
-                have: node.follower.version(),
+            body: PacketBody::Request {
+                known_version: node.follower.version(),
                 source,
             },
         };
-        self.post(simulation, &letter);
+        self.send(simulation, &packet);
     }
 
-    /// Sends a letter late, lost, twice or out of order.
-    fn post(&mut self, simulation: &mut Simulation<Control>, letter: &Letter) {
+    /// Sends a message, which may be lost, delayed, duplicated or reordered.
+    fn send(&mut self, simulation: &mut Simulation<Control>, packet: &Packet) {
         let Faults {
             loss_percent,
             duplicate_percent,
@@ -173,7 +176,7 @@
             ..
         } = simulation.faults;
         let random = &mut simulation.random;
-        if self.nodes[letter.asked_by].cut_until > simulation.now {
+        if self.nodes[packet.requester].isolated_until > simulation.now {
             return;
         }
         let copies = 1 + u32::from(random.random_range(0..100) < duplicate_percent);
@@ -181,64 +184,67 @@
             if random.random_range(0..100) < loss_percent {
                 continue;
             }
-            // A network that loses nothing holds nothing back.
-            let is_held_back = loss_percent > 0 && random.random_ratio(1, 8);
-            let longest_ms = if is_held_back {
-                HELD_BACK_MS
+            // Long delays occur only on a network that also loses messages.
+            let has_long_delay = loss_percent > 0 && random.random_ratio(1, 8);
+            let max_delay_ms = if has_long_delay {
+                LONG_DELAY_MAX_MS
             } else {
                 delay_max_ms
             };
-            let due = letter.due + random.random_range(0..=longest_ms);
-            let letter = letter.clone();
-            self.letters.push(Letter { due, ..letter });
+            let due = packet.due + random.random_range(0..=max_delay_ms);
+            let packet = packet.clone();
+            self.packets.push(Packet { due, ..packet });
         }
     }
 
     fn deliver(&mut self, simulation: &mut Simulation<Control>) {
         let now = simulation.now;
-        let is_due = |letter: &mut Letter| letter.due <= now;
-        let mut due: Vec<Letter> = self.letters.extract_if(.., is_due).collect();
+        let is_due = |packet: &mut Packet| packet.due <= now;
+        let mut due: Vec<Packet> = self.packets.extract_if(.., is_due).collect();
         while !due.is_empty() {
-            let place = simulation.random.random_range(0..due.len());
-            let letter = due.swap_remove(place);
-            match letter.mail {
-                Mail::Ask { have, source } => {
-                    if let Some(mail) = self.answer(simulation, source, have) {
+            let position = simulation.random.random_range(0..due.len());
+            let packet = due.swap_remove(position);
+            match packet.body {
+                PacketBody::Request {
+                    known_version,
+                    source,
+                } => {
+                    if let Some(body) = self.answer(simulation, source, known_version) {
                         let due = now;
-                        self.post(
+                        self.send(
                             simulation,
-                            &Letter {
+                            &Packet {
                                 due,
-                                mail,
-                                ..letter
+                                body,
+                                ..packet
                             },
                         );
                     }
                 }
-                Mail::Reply { .. } => self.take_reply(now, letter),
+                PacketBody::Reply { .. } => self.handle_reply(now, packet),
             }
         }
     }
 
-    /// What a source answers now; none when it is down, paused or cut off.
+    /// A source's reply at this time; `None` if it is down, paused or isolated.
     fn answer(
         &self,
         simulation: &mut Simulation<Control>,
         source: Source,
-        have: CatalogueVersion,
-    ) -> Option<Mail> {
+        known_version: CatalogueVersion,
+    ) -> Option<PacketBody> {
         let now = simulation.now;
         let (age_ms, catalogue) = match source {
-            Source::Follower(place) => {
-                let node = &self.nodes[place];
-                if node.paused_until.max(node.cut_until) > now {
+            Source::Follower(position) => {
+                let node = &self.nodes[position];
+                if node.paused_until.max(node.isolated_until) > now {
                     return None;
                 }
                 let age_ms = node.follower.age_ms(node.clock(now));
                 (age_ms, node.follower.catalogue())
             }
-            Source::Replica(place) => {
-                let node = &mut simulation.nodes[place];
+            Source::Replica(position) => {
+                let node = &mut simulation.nodes[position];
                 let replica = node.replica.as_ref().filter(|_| node.paused_at.is_none())?;
                 let clock = ClockMs(now + node.clock_offset_ms);
                 let proof = replica.lease_read_point(clock);
@@ -252,37 +258,37 @@
                 (age_ms, node.machine.control.catalogue())
             }
         };
-        Some(Mail::Reply {
+        Some(PacketBody::Reply {
             age_ms,
-            update: catalogue.update_since(have),
+            update: catalogue.update_since(known_version),
             version: catalogue.version(),
         })
     }
 
-    fn take_reply(&mut self, now: u64, letter: Letter) {
-        let node = &mut self.nodes[letter.asked_by];
-        let Mail::Reply {
+    fn handle_reply(&mut self, now: u64, packet: Packet) {
+        let node = &mut self.nodes[packet.requester];
+        let PacketBody::Reply {
             age_ms,
             update,
             version,
-        } = letter.mail
+        } = packet.body
         else {
             return;
         };
-        if node.life != letter.life || node.cut_until > now {
+        if node.epoch != packet.epoch || node.isolated_until > now {
             return;
         }
         if node.paused_until > now {
             let due = node.paused_until;
-            let mail = Mail::Reply {
+            let body = PacketBody::Reply {
                 age_ms,
                 update,
                 version,
             };
-            self.letters.push(Letter {
+            self.packets.push(Packet {
                 due,
-                mail,
-                ..letter
+                body,
+                ..packet
             });
             return;
         }
@@ -291,34 +297,37 @@
             assert_ne!(
                 applied,
                 Applied::Gap,
-                "a delta begins after what was asked for"
+                "the delta starts after the version that was requested"
             );
         }
         if let Some(age_ms) = age_ms {
-            node.follower.renew_by_age(version, letter.sent_at, age_ms);
+            node.follower.renew_by_age(version, packet.sent_at, age_ms);
         }
     }
 
-    fn check(&mut self, simulation: &Simulation<Control>, place: usize) {
+    fn check(&mut self, simulation: &Simulation<Control>, position: usize) {
         let (now, control) = (simulation.now, &simulation.application);
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[position];
         if node.paused_until > now {
             return;
         }
         let version = node.follower.version();
-        assert!(version >= node.held, "follower {place} goes back");
-        if version > node.held {
-            control.naive.check_catalogue(node.follower.catalogue());
+        assert!(
+            version >= node.last_version,
+            "the version of follower {position} went backwards"
+        );
+        if version > node.last_version {
+            control.reference.check_catalogue(node.follower.catalogue());
         }
-        node.held = version;
+        node.last_version = version;
         let clock = node.clock(now);
         if let Some(age_ms) = node.follower.age_ms(clock) {
-            // An age has a millisecond for rounding added.
+            // One millisecond is added to every age to allow for rounding.
             let as_of = (now + 1).saturating_sub(age_ms);
             let floor = control.floor_before(as_of);
             assert!(
                 version.0 >= floor,
-                "as of {as_of}: {version} misses {floor}"
+                "version {version} as of {as_of} does not cover acknowledged version {floor}"
             );
         }
         if !node.follower.is_fresh(clock, LEASE_MS) {
@@ -329,13 +338,13 @@
         let floor = control.floor_before(now.saturating_sub(LEASE_MS));
         assert!(
             version.0 >= floor,
-            "fresh at {now}, but {version} misses {floor}"
+            "fresh at {now}, but version {version} does not cover acknowledged version {floor}"
         );
         assert!(
-            version >= node.acted,
-            "acts on {version} after {}",
-            node.acted
+            version >= node.highest_fresh_version,
+            "fresh with version {version} after having been fresh with {}",
+            node.highest_fresh_version
         );
-        node.acted = version;
+        node.highest_fresh_version = version;
     }
 }
--- a/crates/masticsill_quorum/tests/control/operators.rs
+++ b/crates/masticsill_quorum/tests/control/operators.rs
@@ -1,4 +1,5 @@
-//! Operators who race and resend changes, and entries that claim, reassign and settle calls.
+//! Clients of the control state: operators that send conflicting changes and resend them, and entry
+//! nodes that claim, reassign and settle calls.
 
 use std::num::NonZeroU32;
 
@@ -15,14 +16,14 @@
 use super::{Control, encode};
 
 const ENTRIES: u32 = 4;
-/// Commands that are resent most: the last ones.
+/// Number of most recent commands from which resent commands are mostly chosen.
 const RECENT: usize = 12;
 
 pub fn workspace() -> WorkspaceId {
     "fliesenwerk".parse().unwrap()
 }
 
-/// Everyone who sends commands, with all that they ever sent.
+/// All clients, with every command that they have sent.
 #[derive(Debug, Default)]
 pub struct Clients {
     sent: Vec<Action>,
@@ -49,11 +50,11 @@
     }))
 }
 
-/// The leader, and now and then anyone.
-fn address(simulation: &mut Simulation<Control>) -> usize {
+/// Picks the leader, or in one of six cases any node.
+fn pick_node(simulation: &mut Simulation<Control>) -> usize {
     let anyone = simulation.random.random_range(0..simulation.nodes.len());
-    let is_astray = simulation.random.random_ratio(1, 6);
-    let leader = simulation.leader().filter(|_| !is_astray);
+    let ignores_leader = simulation.random.random_ratio(1, 6);
+    let leader = simulation.leader().filter(|_| !ignores_leader);
     leader.unwrap_or(anyone)
 }
 
@@ -63,7 +64,7 @@
         self.last_number
     }
 
-    /// Sends commands to one replica, under a wall clock that may go back.
+    /// Sends commands to one replica. Their wall-clock times may go backwards.
     fn send(&mut self, simulation: &mut Simulation<Control>, node: usize, actions: Vec<Action>) {
         let contents = actions.iter().map(|action| {
             let at_wall_ms = simulation.now + simulation.random.random_range(0..50);
@@ -74,27 +75,27 @@
         simulation.propose_contents_to(node, &contents);
     }
 
-    /// One to three operators change the same entry, expecting the same version.
-    pub fn race(&mut self, simulation: &mut Simulation<Control>) {
+    /// Sends one to three concurrent changes of the same entry that expect the same version.
+    pub fn send_concurrent_changes(&mut self, simulation: &mut Simulation<Control>) {
         let random = &mut simulation.random;
         let entry = format!("e{}", random.random_range(0..ENTRIES));
         let entry: EntryId = entry.parse().unwrap();
-        let naive = &simulation.application.naive;
+        let reference = &simulation.application.reference;
         let expected = if random.random_ratio(1, 6) {
-            random.random_range(0..=naive.accepted.len() as u64)
+            random.random_range(0..=reference.accepted.len() as u64)
         } else {
-            naive.version_of(&entry)
+            reference.version_of(&entry)
         };
         let count = random.random_range(1..=3);
         let changes: Vec<Action> = (0..count)
             .map(|_| self.new_change(&mut simulation.random, &entry, expected))
             .collect();
         if simulation.random.random() {
-            let node = address(simulation);
+            let node = pick_node(simulation);
             return self.send(simulation, node, changes);
         }
         for change in changes {
-            let node = address(simulation);
+            let node = pick_node(simulation);
             self.send(simulation, node, vec![change]);
         }
     }
@@ -122,7 +123,8 @@
         Action::Change(change, scope)
     }
 
-    /// Sends a command again as if its answer was lost; rarely under the same id, but changed.
+    /// Resends a command as if its answer had been lost; in one of eight cases with changed content
+    /// under the same id.
     pub fn resend(&mut self, simulation: &mut Simulation<Control>) {
         let is_recent = simulation.random.random_ratio(3, 4);
         let from = if is_recent {
@@ -135,19 +137,19 @@
             return;
         };
         if simulation.random.random_ratio(1, 8) {
-            vary(&mut again, &mut simulation.random);
+            alter_command(&mut again, &mut simulation.random);
         }
-        let node = address(simulation);
+        let node = pick_node(simulation);
         self.send(simulation, node, vec![again]);
     }
 
-    /// Entries claim a call, move it or record its end.
+    /// Sends commands by which entry nodes claim a call, reassign it or record its end.
     pub fn claim(&mut self, simulation: &mut Simulation<Control>) {
         let random = &mut simulation.random;
-        // Early calls are left behind as time goes on.
+        // New calls replace earlier ones over time.
         let id = u128::from(simulation.now / 400 * 3 + random.random_range(0..3));
         let id = GenerationId(id);
-        let held = simulation.application.naive.claims.get(&id);
+        let held = simulation.application.reference.claims.get(&id);
         let version = held.map_or(0, |record| record.version);
         let version = if random.random_ratio(1, 5) {
             random.random_range(0..=version + 1)
@@ -160,7 +162,7 @@
             new_claim_action(&mut simulation.random, id, version, nonce)
         });
         let actions = actions.collect();
-        let node = address(simulation);
+        let node = pick_node(simulation);
         self.send(simulation, node, actions);
     }
 }
@@ -205,11 +207,11 @@
     }
 }
 
-/// Changes what a command says under the same id or nonce.
-fn vary(action: &mut Action, random: &mut ChaCha8Rng) {
+/// Changes a command's content but keeps its id or nonce.
+fn alter_command(action: &mut Action, random: &mut ChaCha8Rng) {
     let owner = format!("entry-{}", random.random_range(0..3));
     match action {
-        // The same id of another operator is another change.
+        // The same id from another operator identifies a different change.
         Action::Change(change, _) if random.random_ratio(1, 3) => {
             change.operator = "bo".parse().unwrap();
         }
--- a/crates/masticsill_quorum/tests/control/naive.rs
+++ b/crates/masticsill_quorum/tests/control/reference.rs
@@ -1,4 +1,5 @@
-//! The naive single copy of the control state: lists that are searched, nothing dropped.
+//! Reference model of the control state: a single copy made of lists that are searched linearly and
+//! never trimmed.
 
 use indexmap::IndexMap;
 use masticsill_catalogue::{
@@ -11,7 +12,7 @@
 
 use super::operators::workspace;
 
-/// A change that took effect.
+/// A change that was accepted.
 #[derive(Debug)]
 pub struct Accepted {
     pub index: LogIndex,
@@ -19,19 +20,19 @@
     pub version: u64,
 }
 
-/// Every command ever committed, in order, with its one answer.
+/// Every committed command in order, with its expected answer.
 #[derive(Debug, Default)]
-pub struct Naive {
+pub struct ReferenceModel {
     pub accepted: Vec<Accepted>,
     pub answers: IndexMap<LogIndex, (Command, CommandAnswer)>,
     pub claims: IndexMap<GenerationId, ClaimRecord>,
-    pub trail: Vec<AuditRecord>,
-    first: Vec<(Change, ChangeAnswer)>,
+    pub audit_trail: Vec<AuditRecord>,
+    first_answers: Vec<(Change, ChangeAnswer)>,
     order_sequence: u64,
     wall_ms: u64,
 }
 
-impl Naive {
+impl ReferenceModel {
     pub fn apply(&mut self, index: LogIndex, command: Command) {
         self.wall_ms = self.wall_ms.max(command.at_wall_ms);
         let answer = match &command.action {
@@ -44,7 +45,7 @@
                 CommandAnswer::OrderSequence(self.order_sequence)
             }
             Action::NoteReplicas { .. } | Action::PutDocument { .. } => {
-                panic!("no client does that here")
+                panic!("no client in this test sends this command")
             }
             Action::Reassign(reassign) => CommandAnswer::Claim(self.reassign(reassign)),
             Action::Settle(settle) => CommandAnswer::Claim(self.settle(settle)),
@@ -60,13 +61,13 @@
     ) -> ChangeAnswer {
         let is_same =
             |it: &&(Change, ChangeAnswer)| it.0.id == change.id && it.0.operator == change.operator;
-        let first = self.first.iter().find(is_same);
-        if let Some((first, answer)) = first
-            && first == change
+        let first_answers = self.first_answers.iter().find(is_same);
+        if let Some((first_answers, answer)) = first_answers
+            && first_answers == change
         {
             return answer.clone();
         }
-        let is_reuse = first.is_some();
+        let is_reuse = first_answers.is_some();
         let is_put = matches!(change.content, ChangeContent::Put(_));
         let has_owner = is_put || self.version_of(&change.entry) > 0;
         let answer = if is_reuse {
@@ -74,7 +75,7 @@
         } else {
             self.decide(index, change, scope, has_owner)
         };
-        self.trail.push(AuditRecord {
+        self.audit_trail.push(AuditRecord {
             action: AuditAction::Change(ChangeRecord {
                 answer: answer.clone(),
                 entry: change.entry.clone(),
@@ -85,10 +86,10 @@
             }),
             at_wall_ms: self.wall_ms,
             operator: change.operator.clone(),
-            sequence: self.trail.len() as u64 + 1,
+            sequence: self.audit_trail.len() as u64 + 1,
         });
         if !is_reuse {
-            self.first.push((change.clone(), answer.clone()));
+            self.first_answers.push((change.clone(), answer.clone()));
         }
         answer
     }
@@ -122,7 +123,7 @@
         ChangeAnswer::Accepted { version }
     }
 
-    /// The version of an entry in force; zero without one.
+    /// The version of an entry that is in effect; zero if there is none.
     pub fn version_of(&self, entry: &EntryId) -> u64 {
         let is_of_entry = |it: &&Accepted| it.change.entry == *entry;
         let last = self.accepted.iter().rev().find(is_of_entry);
@@ -193,10 +194,13 @@
         ClaimAnswer::Settled
     }
 
-    /// Checks that a catalogue holds exactly what was accepted up to its version.
+    /// Checks that a catalogue holds exactly the changes accepted up to its version.
     pub fn check_catalogue(&self, catalogue: &Catalogue) {
         let count = usize::try_from(catalogue.version().0).unwrap();
-        assert!(count <= self.accepted.len(), "a version never accepted");
+        assert!(
+            count <= self.accepted.len(),
+            "the catalogue has a version that was never accepted"
+        );
         let mut expected: IndexMap<&EntryId, (u64, &CatalogueEntry)> = IndexMap::new();
         for it in &self.accepted[..count] {
             match &it.change.content {
@@ -209,7 +213,10 @@
         let held = catalogue.entries();
         let held = held.map(|it| (&it.entry.id, (it.version.0, &it.entry)));
         let held: IndexMap<_, _> = held.collect();
-        assert_eq!(held, expected, "version {count} differs");
+        assert_eq!(
+            held, expected,
+            "the catalogue differs from the model at version {count}"
+        );
     }
 
     /// The catalogue's version after the entry at an index.
--- a/crates/masticsill_quorum/tests/differential.rs
+++ b/crates/masticsill_quorum/tests/differential.rs
@@ -1,18 +1,18 @@
-//! Generated schedules of faults: replicas against a naive single copy.
+//! Generated fault schedules: replicas compared with a non-replicated reference model.
 
 mod simulation;
 
 use rand::Rng;
 use simulation::Simulation;
-use simulation::schedule::{draw_faults, inject_fault, run_schedules, voters_of};
+use simulation::schedule::{draw_faults, inject_fault, run_schedules, voter_count};
 
 const SCHEDULES: u64 = 10_000;
-const FAULTY_MS: u64 = 1_400;
-const STRIDE_MS: u64 = 6;
+const FAULT_PHASE_MS: u64 = 1_400;
+const STEP_MS: u64 = 6;
 
-/// A schedule's number of voters and faults, all drawn from its seed.
+/// Creates a simulation whose number of voters and faults are drawn from the seed.
 fn generate(seed: u64) -> Simulation {
-    let mut simulation = Simulation::new(seed, voters_of(seed), simulation::CALM);
+    let mut simulation = Simulation::new(seed, voter_count(seed), simulation::NO_FAULTS);
     simulation.faults = draw_faults(&mut simulation.random);
     simulation
 }
@@ -34,18 +34,18 @@
     }
 }
 
-/// Runs one schedule; returns commands accepted and reads served.
+/// Runs one schedule and returns the number of commands accepted and of reads served.
 fn run_schedule(seed: u64) -> [u64; 2] {
     let mut simulation = generate(seed);
-    let rarity = simulation.random.random_range(6..50);
-    while simulation.now < FAULTY_MS {
-        simulation.run_for(STRIDE_MS);
+    let fault_odds = simulation.random.random_range(6..50);
+    while simulation.now < FAULT_PHASE_MS {
+        simulation.run_for(STEP_MS);
         call(&mut simulation);
-        if simulation.random.random_range(0..rarity) == 0 {
+        if simulation.random.random_range(0..fault_odds) == 0 {
             inject_fault(&mut simulation);
         }
     }
-    simulation.settle();
+    simulation.heal_and_check();
     let model = &simulation.model;
     [model.accepted_commands() as u64, model.done_reads() as u64]
 }
@@ -54,6 +54,6 @@
 fn replicas_agree_with_a_single_copy() {
     let (count, [accepted, reads]) = run_schedules(SCHEDULES, run_schedule);
     println!("{count} schedules: {accepted} commands accepted, {reads} reads served");
-    // A schedule that accepts nothing proves nothing.
+    // Guards against schedules that exercise nothing.
     assert!(accepted > count * 3 && reads > count);
 }
--- a/crates/masticsill_quorum/tests/elections.rs
+++ b/crates/masticsill_quorum/tests/elections.rs
@@ -1,4 +1,4 @@
-//! Rules of elections and commitment that generated schedules reach rarely.
+//! Election and commitment rules that the generated schedules rarely exercise.
 
 mod simulation;
 
@@ -9,7 +9,7 @@
     Replica, Role, Snapshot, StoredState, SyncPoint, VoterId,
 };
 use masticsill_types::{ClockMs, NodeId, Term};
-use simulation::{CALM, Simulation, settings};
+use simulation::{NO_FAULTS, Simulation, settings};
 
 const START: ClockMs = ClockMs(5_000);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Replica 1 of three, with one synced entry of term 1.
+/// Replica 1 of a three-voter cluster, with one synced entry of term 1.
 fn replica_with_old_entry() -> Replica {
     let stored = StoredState {
         id: id(1),
@@ -42,27 +42,28 @@
     Replica::new(settings(), stored, START, 1).unwrap()
 }
 
-/// The replica as leader of term 2, its first entry not synced yet; the time it was elected at.
+/// The same replica as leader of term 2, with its first entry not synced yet, and the time of its
+/// election.
 fn leader_with_old_entry() -> (Replica, u64) {
     let mut replica = replica_with_old_entry();
     let now = START.0 + settings().election_max_ms;
-    stand(&mut replica, now);
+    start_election(&mut replica, now);
     sync(&mut replica, now, 1);
-    hear(&mut replica, now, 2, vote_reply(2, true));
+    receive(&mut replica, now, 2, vote_reply(2, true));
     assert_eq!(replica.role(), Role::Leader);
     (replica, now)
 }
 
-/// Lets the replica stand in term 2; its own vote is not synced yet.
-fn stand(replica: &mut Replica, now: u64) -> Vec<Output> {
+/// Makes the replica start an election in term 2; its own vote is not synced yet.
+fn start_election(replica: &mut Replica, now: u64) -> Vec<Output> {
     replica.step(ClockMs(now), Input::Tick);
     let (term, is_granted) = (Term(2), true);
-    let stood = hear(replica, now, 2, Message::PreVoteReply { term, is_granted });
+    let outputs = receive(replica, now, 2, Message::PreVoteReply { term, is_granted });
     assert_eq!(replica.role(), Role::Candidate);
-    stood
+    outputs
 }
 
-fn hear(replica: &mut Replica, now: u64, from: u64, message: Message) -> Vec<Output> {
+fn receive(replica: &mut Replica, now: u64, from: u64, message: Message) -> Vec<Output> {
     let envelope = Envelope {
         from: id(from),
         to: id(1),
@@ -125,19 +126,22 @@
 }
 
 #[test]
-fn an_older_term_is_committed_only_with_an_entry_of_the_leaders_own() {
+fn entries_of_older_terms_commit_only_with_an_entry_of_the_current_term() {
     let (mut replica, now) = leader_with_old_entry();
     sync(&mut replica, now, 2);
-    let alone = hear(&mut replica, now, 2, accepted(2, 1));
-    assert!(!commits(&alone), "an entry of term 1 alone");
-    assert!(commits(&hear(&mut replica, now, 2, accepted(2, 2))));
+    let alone = receive(&mut replica, now, 2, accepted(2, 1));
+    assert!(
+        !commits(&alone),
+        "an entry of term 1 was committed without one of term 2"
+    );
+    assert!(commits(&receive(&mut replica, now, 2, accepted(2, 2))));
     assert_eq!(replica.commit_index(), LogIndex(2));
 }
 
 #[test]
 fn a_leader_counts_its_own_entries_once_synced() {
     let (mut replica, now) = leader_with_old_entry();
-    assert!(!commits(&hear(&mut replica, now, 2, accepted(2, 2))));
+    assert!(!commits(&receive(&mut replica, now, 2, accepted(2, 2))));
     assert!(commits(&sync(&mut replica, now, 2)));
 }
 
@@ -145,9 +149,10 @@
 fn a_candidate_asks_for_votes_and_counts_its_own_once_synced() {
     let mut replica = replica_with_old_entry();
     let now = START.0 + settings().election_max_ms;
-    assert!(sent(&stand(&mut replica, now)).is_empty());
-    // An answer can't come before the question; the own vote must not count all the same.
-    hear(&mut replica, now, 2, vote_reply(2, true));
+    assert!(sent(&start_election(&mut replica, now)).is_empty());
+    // No reply can arrive before the request was sent. If one did, the candidate's own unsynced
+    // vote must still not be counted.
+    receive(&mut replica, now, 2, vote_reply(2, true));
     assert_eq!(replica.role(), Role::Candidate);
     let asked = sync(&mut replica, now, 1);
     let votes = sent(&asked)
@@ -158,12 +163,12 @@
 }
 
 #[test]
-fn a_candidate_paused_past_the_lease_does_not_lead_on_old_votes() {
+fn a_candidate_paused_past_the_lease_does_not_become_leader() {
     let mut replica = replica_with_old_entry();
     let now = START.0 + settings().election_max_ms;
-    stand(&mut replica, now);
+    start_election(&mut replica, now);
     sync(&mut replica, now, 1);
-    hear(
+    receive(
         &mut replica,
         now + settings().lease_ms + 1,
         2,
@@ -173,10 +178,10 @@
 }
 
 #[test]
-fn a_read_waits_for_a_round_that_began_after_it() {
+fn a_read_waits_for_a_heartbeat_round_started_after_it() {
     let (mut replica, now) = leader_with_old_entry();
     sync(&mut replica, now, 2);
-    hear(&mut replica, now, 2, accepted(2, 2));
+    receive(&mut replica, now, 2, accepted(2, 2));
     let token = CallerToken(1);
     let ready = Output::ReadReady {
         token,
@@ -184,13 +189,13 @@
     };
     let asked = replica.step(ClockMs(now), Input::ReadIndex { token });
     assert!(!asked.contains(&ready));
-    // The first round began with the election.
-    assert!(!hear(&mut replica, now, 2, acknowledged(1)).contains(&ready));
-    assert!(hear(&mut replica, now, 2, acknowledged(2)).contains(&ready));
+    // The first round was started by the election, before the read.
+    assert!(!receive(&mut replica, now, 2, acknowledged(1)).contains(&ready));
+    assert!(receive(&mut replica, now, 2, acknowledged(2)).contains(&ready));
 }
 
 #[test]
-fn what_was_meant_for_a_lost_folder_is_dropped() {
+fn a_message_to_the_identity_of_a_lost_folder_is_dropped() {
     let mut replica = replica_with_old_entry();
     let mut to = id(1);
     to.folder = FolderId(99);
@@ -205,14 +210,17 @@
 }
 
 #[test]
-fn a_vote_is_sent_once_synced_and_only_for_a_whole_log() {
+fn a_vote_is_sent_after_sync_and_only_for_an_up_to_date_log() {
     let now = START.0 + settings().election_min_ms;
-    for (last_index, last_term, is_wanted) in [(1, 1, true), (2, 1, true), (0, 0, false)] {
+    for (last_index, last_term, expects_grant) in [(1, 1, true), (2, 1, true), (0, 0, false)] {
         let mut replica = replica_with_old_entry();
-        let before = hear(&mut replica, now, 2, vote(2, last_index, last_term));
-        assert!(sent(&before).is_empty(), "a reply before the sync");
+        let before = receive(&mut replica, now, 2, vote(2, last_index, last_term));
+        assert!(
+            sent(&before).is_empty(),
+            "the vote was sent before it was synced"
+        );
         let after = sync(&mut replica, now, 2);
-        let is_granted = is_wanted;
+        let is_granted = expects_grant;
         assert_eq!(
             sent(&after),
             [&Message::VoteReply {
@@ -220,12 +228,12 @@
                 is_granted
             }]
         );
-        // Another candidate of the term is refused, whatever its log.
-        let second = hear(&mut replica, now, 3, vote(2, 9, 1));
+        // A second candidate of the same term is refused, however up to date its log is.
+        let second = receive(&mut replica, now, 3, vote(2, 9, 1));
         let second_reply = [&second, &sync(&mut replica, now, 3)].map(|it| sent(it).len());
         assert_eq!(second_reply.iter().sum::<usize>(), 1);
         assert!(
-            !is_wanted
+            !expects_grant
                 || matches!(
                     sent(&second)[0],
                     Message::VoteReply {
@@ -238,41 +246,49 @@
 }
 
 #[test]
-fn a_replica_that_hears_a_leader_or_has_just_started_does_not_vote() {
-    let patience_ms = settings().election_min_ms;
+fn a_replica_with_recent_leader_contact_or_just_started_does_not_vote() {
+    let min_timeout_ms = settings().election_min_ms;
     let mut replica = replica_with_old_entry();
-    let early = START.0 + patience_ms - 1;
-    assert!(hear(&mut replica, early, 2, vote(2, 1, 1)).is_empty());
+    let early = START.0 + min_timeout_ms - 1;
+    assert!(receive(&mut replica, early, 2, vote(2, 1, 1)).is_empty());
     let heartbeat = Message::Heartbeat {
         term: Term(1),
         round: 1,
         commit: LogIndex(0),
     };
     let heard_at = early + 1_000;
-    hear(&mut replica, heard_at, 3, heartbeat);
-    assert!(hear(&mut replica, heard_at + patience_ms - 1, 2, vote(2, 1, 1)).is_empty());
+    receive(&mut replica, heard_at, 3, heartbeat);
+    assert!(
+        receive(
+            &mut replica,
+            heard_at + min_timeout_ms - 1,
+            2,
+            vote(2, 1, 1)
+        )
+        .is_empty()
+    );
     assert_eq!(replica.term(), Term(1));
-    assert!(!hear(&mut replica, heard_at + patience_ms, 2, vote(2, 1, 1)).is_empty());
+    assert!(!receive(&mut replica, heard_at + min_timeout_ms, 2, vote(2, 1, 1)).is_empty());
     assert_eq!(replica.term(), Term(2));
 }
 
 #[test]
-fn a_sync_of_a_replaced_write_proves_nothing_about_the_same_entry() {
+fn syncing_a_replaced_write_does_not_make_the_rewritten_entry_durable() {
     let mut replica = replica_with_old_entry();
     let now = START.0;
-    hear(
+    receive(
         &mut replica,
         now + 1,
         2,
         append(3, (1, 1), vec![entry(2, 3)]),
     );
-    hear(
+    receive(
         &mut replica,
         now + 2,
         3,
         append(4, (1, 1), vec![entry(2, 4)]),
     );
-    let again = hear(
+    let again = receive(
         &mut replica,
         now + 3,
         2,
@@ -291,7 +307,7 @@
     assert!(again.iter().any(is_last));
     assert!(sent(&sync(&mut replica, now + 4, 2)).is_empty());
     sync(&mut replica, now + 4, 6);
-    let repeated = hear(
+    let repeated = receive(
         &mut replica,
         now + 5,
         2,
@@ -299,15 +315,15 @@
     );
     assert!(
         sent(&repeated).is_empty(),
-        "acknowledged before the newest write is synced"
+        "the entry was acknowledged before its newest write was synced"
     );
     assert!(sent(&sync(&mut replica, now + 6, 8)).contains(&&accepted(5, 2)));
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_disturb_the_leader() {
+fn a_replica_returning_from_a_partition_does_not_depose_the_leader() {
     for is_one_way in [false, true] {
-        let mut simulation = Simulation::new(11, 3, CALM);
+        let mut simulation = Simulation::new(11, 3, NO_FAULTS);
         let leader = simulation.wait_for_leader();
         let cut = (leader + 1) % 3;
         for other in [leader, (leader + 2) % 3] {
--- a/crates/masticsill_quorum/tests/full_disk.rs
+++ b/crates/masticsill_quorum/tests/full_disk.rs
@@ -1,4 +1,4 @@
-//! A full disk is waited for, and leaves no half record behind.
+//! Writes wait while the disk is full and leave no partial record behind.
 
 mod simulation;
 
@@ -12,22 +12,22 @@
 use masticsill_types::{NodeId, Term};
 use simulation::disk::MemoryDisk;
 
-/// A file in memory that takes so many bytes, and more after each try that it refused.
+/// An in-memory file of limited size. Each refused write frees some more space.
 #[derive(Clone, Debug, Default)]
-struct SmallDisk {
-    shared: Arc<Mutex<Small>>,
+struct LimitedDisk {
+    shared: Arc<Mutex<LimitedDiskState>>,
 }
 
 #[derive(Debug)]
-struct Small {
+struct LimitedDiskState {
     content: Vec<u8>,
     free_bytes: usize,
-    /// What comes back after each refusal.
+    /// Number of bytes freed after each refused write.
     freed_bytes: usize,
     refused: usize,
 }
 
-impl Default for Small {
+impl Default for LimitedDiskState {
     fn default() -> Self {
         Self {
             content: Vec::new(),
@@ -42,7 +42,7 @@
     io::ErrorKind::StorageFull.into()
 }
 
-impl SmallDisk {
+impl LimitedDisk {
     fn with_free(free_bytes: usize) -> Self {
         let disk = Self::default();
         disk.shared.lock().unwrap().free_bytes = free_bytes;
@@ -63,17 +63,17 @@
     }
 }
 
-impl Disk for SmallDisk {
+impl Disk for LimitedDisk {
     fn append(&mut self, _: &str, bytes: &[u8]) -> io::Result<()> {
-        let mut small = self.shared.lock().unwrap();
-        let taken = bytes.len().min(small.free_bytes);
-        small.content.extend(&bytes[..taken]);
-        small.free_bytes -= taken;
+        let mut state = self.shared.lock().unwrap();
+        let taken = bytes.len().min(state.free_bytes);
+        state.content.extend(&bytes[..taken]);
+        state.free_bytes -= taken;
         if taken == bytes.len() {
             return Ok(());
         }
-        small.refused += 1;
-        small.free_bytes += small.freed_bytes;
+        state.refused += 1;
+        state.free_bytes += state.freed_bytes;
         Err(full())
     }
 
@@ -90,13 +90,13 @@
     }
 
     fn replace(&mut self, _: &str, bytes: &[u8]) -> io::Result<()> {
-        let mut small = self.shared.lock().unwrap();
-        if bytes.len() > small.free_bytes {
-            small.refused += 1;
-            small.free_bytes += small.freed_bytes;
+        let mut state = self.shared.lock().unwrap();
+        if bytes.len() > state.free_bytes {
+            state.refused += 1;
+            state.free_bytes += state.freed_bytes;
             return Err(full());
         }
-        small.content = bytes.to_vec();
+        state.content = bytes.to_vec();
         Ok(())
     }
 
@@ -105,53 +105,56 @@
     }
 
     fn truncate(&mut self, _: &str, size_bytes: u64) -> io::Result<()> {
-        let mut small = self.shared.lock().unwrap();
+        let mut state = self.shared.lock().unwrap();
         let size = usize::try_from(size_bytes).unwrap();
-        small.free_bytes += small.content.len() - size;
-        small.content.truncate(size);
+        state.free_bytes += state.content.len() - size;
+        state.content.truncate(size);
         Ok(())
     }
 }
 
-fn patient(disk: &SmallDisk) -> SpaceWaitDisk<SmallDisk> {
+fn waiting_disk(disk: &LimitedDisk) -> SpaceWaitDisk<LimitedDisk> {
     SpaceWaitDisk::with_sleep(disk.clone(), |_: Duration| {})
 }
 
 #[test]
-fn an_append_waits_for_space_and_leaves_nothing_half() {
-    let disk = SmallDisk::with_free(10);
-    let mut patient = patient(&disk);
-    patient.append("log", b"12345678").unwrap();
-    patient.append("log", b"abcdefgh").unwrap();
-    let small = disk.shared.lock().unwrap();
-    assert_eq!(small.content, b"12345678abcdefgh");
-    assert!(small.refused >= 3);
+fn an_append_waits_for_space_and_leaves_no_partial_write() {
+    let disk = LimitedDisk::with_free(10);
+    let mut waiting_disk = waiting_disk(&disk);
+    waiting_disk.append("log", b"12345678").unwrap();
+    waiting_disk.append("log", b"abcdefgh").unwrap();
+    let state = disk.shared.lock().unwrap();
+    assert_eq!(state.content, b"12345678abcdefgh");
+    assert!(state.refused >= 3);
 }
 
 #[test]
 fn a_replacement_waits_for_space() {
-    let disk = SmallDisk::with_free(0);
-    patient(&disk).replace("vote", b"term 7").unwrap();
+    let disk = LimitedDisk::with_free(0);
+    waiting_disk(&disk).replace("vote", b"term 7").unwrap();
     assert_eq!(disk.shared.lock().unwrap().content, b"term 7");
 }
 
 #[test]
-fn an_append_after_a_restart_is_cut_where_the_file_ended() {
-    let disk = SmallDisk::with_free(4);
+fn a_failed_append_after_a_restart_is_truncated_to_the_original_size() {
+    let disk = LimitedDisk::with_free(4);
     disk.shared.lock().unwrap().content = b"before ".to_vec();
-    patient(&disk).append("log", b"after").unwrap();
+    waiting_disk(&disk).append("log", b"after").unwrap();
     assert_eq!(disk.shared.lock().unwrap().content, b"before after");
 }
 
 #[test]
-fn a_wait_for_space_ends_when_it_is_told_to() {
-    let disk = SmallDisk::full();
+fn a_wait_for_space_can_be_cancelled() {
+    let disk = LimitedDisk::full();
     disk.shared.lock().unwrap().content = b"before ".to_vec();
-    let mut patient = patient(&disk);
-    let space_wait_canceller = patient.space_wait_canceller();
+    let mut waiting_disk = waiting_disk(&disk);
+    let space_wait_canceller = waiting_disk.space_wait_canceller();
     let waiting = thread::spawn(move || {
-        let refused = patient.append("log", b"after").unwrap_err();
-        (refused, patient.replace("vote", b"term 7").unwrap_err())
+        let refused = waiting_disk.append("log", b"after").unwrap_err();
+        (
+            refused,
+            waiting_disk.replace("vote", b"term 7").unwrap_err(),
+        )
     });
     disk.await_refusal();
     space_wait_canceller.cancel();
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn what_was_given_up_is_never_reported_as_durable() {
+fn a_cancelled_write_is_never_reported_as_durable() {
     let disk = MemoryDisk::default();
     let node = NodeId::new("control-1").unwrap();
     let opened = Storage::open_with_disk(Box::new(disk.clone()), "cluster", &node, FolderId(1));
@@ -173,7 +176,7 @@
     };
     storage.write(SyncPoint(1), &vote(1)).unwrap();
     assert_eq!(storage.sync().unwrap(), SyncPoint(1));
-    // A disk whose wait was given up refuses like one that fails.
+    // A cancelled wait returns the same error as a failing disk.
     disk.set_sync_failing(true);
     assert!(storage.write(SyncPoint(2), &vote(2)).is_err());
     disk.set_sync_failing(false);
--- a/crates/masticsill_quorum/tests/lease_pause.rs
+++ b/crates/masticsill_quorum/tests/lease_pause.rs
@@ -1,14 +1,14 @@
-//! A leader that is cut off or paused stops before it does anything else.
+//! A leader that was isolated or paused past its lease steps down before it does anything else.
 
 mod simulation;
 
 use masticsill_quorum::{Input, Role};
-use simulation::{CALM, Fate, Simulation, settings};
+use simulation::{NO_FAULTS, Outcome, Simulation, settings};
 
 #[test]
-fn a_leader_paused_between_check_and_write_accepts_nothing() {
+fn a_leader_paused_between_lease_check_and_write_accepts_nothing() {
     for seed in 0..50 {
-        let mut simulation = Simulation::new(seed, 3, CALM);
+        let mut simulation = Simulation::new(seed, 3, NO_FAULTS);
         let leader = simulation.wait_for_leader();
         let (command, proposal) = simulation.new_proposal();
         let proposals = vec![proposal];
@@ -22,36 +22,37 @@
         let newer = simulation.propose_to(successor);
         simulation.run_for(100);
         assert!(matches!(
-            simulation.model.fate(newer),
-            Some(Fate::Accepted(_))
+            simulation.model.outcome(newer),
+            Some(Outcome::Accepted(_))
         ));
 
-        // The resume itself checks that a proposal is refused and no proof is given.
+        // `Simulation::resume` itself checks that the old leader refuses a proposal and returns no
+        // lease read point.
         simulation.run_for(500);
         assert_eq!(
-            simulation.model.fate(command),
-            Some(Fate::Unknown),
+            simulation.model.outcome(command),
+            Some(Outcome::Unknown),
             "seed {seed}"
         );
-        simulation.settle();
+        simulation.heal_and_check();
     }
 }
 
 #[test]
-fn a_sync_that_ends_past_the_lease_accepts_nothing() {
-    let mut simulation = Simulation::new(1, 3, CALM);
+fn a_sync_finished_after_the_lease_accepts_nothing() {
+    let mut simulation = Simulation::new(1, 3, NO_FAULTS);
     let leader = simulation.wait_for_leader();
     simulation.faults.sync_max_ms = 0;
     let command = simulation.propose_to(leader);
     simulation.pause(leader, settings().lease_ms + 1);
     simulation.run_for(settings().lease_ms + 2);
-    assert_eq!(simulation.model.fate(command), Some(Fate::Unknown));
-    simulation.settle();
+    assert_eq!(simulation.model.outcome(command), Some(Outcome::Unknown));
+    simulation.heal_and_check();
 }
 
 #[test]
-fn an_isolated_leader_stops_for_as_long_as_it_is_cut_off() {
-    let mut simulation = Simulation::new(2, 5, CALM);
+fn an_isolated_leader_steps_down_until_the_partition_heals() {
+    let mut simulation = Simulation::new(2, 5, NO_FAULTS);
     let leader = simulation.wait_for_leader();
     let last_acknowledged = simulation.now;
     simulation.isolate(leader);
@@ -64,16 +65,16 @@
             assert_ne!(role, Some(Role::Leader));
             assert_eq!(node.lease_read_point(simulation.now), None);
             let command = simulation.propose_to(leader);
-            assert_eq!(simulation.model.fate(command), Some(Fate::Refused));
+            assert_eq!(simulation.model.outcome(command), Some(Outcome::Refused));
         }
     }
-    let term = simulation.wait_for_leader();
+    let successor = simulation.wait_for_leader();
     simulation.heal();
     simulation.run_for(1_000);
     assert_eq!(
         simulation.wait_for_leader(),
-        term,
-        "the returned replica steps into line"
+        successor,
+        "the former leader deposed its successor"
     );
-    simulation.settle();
+    simulation.heal_and_check();
 }
--- a/crates/masticsill_quorum/tests/lost_folder.rs
+++ b/crates/masticsill_quorum/tests/lost_folder.rs
@@ -1,4 +1,4 @@
-//! Data folders that are lost, and the membership changes that replace them.
+//! Lost data folders, and the membership changes that replace their replicas.
 
 mod simulation;
 
@@ -8,10 +8,10 @@
     CallerToken, FolderId, Input, MembershipChange, MembershipError, Output, Replica, Role, VoterId,
 };
 use masticsill_types::{ClockMs, NodeId};
-use simulation::{CALM, Simulation, settings};
+use simulation::{NO_FAULTS, Simulation, settings};
 
 fn with_commands(seed: u64, count: usize) -> Simulation {
-    let mut simulation = Simulation::new(seed, count, CALM);
+    let mut simulation = Simulation::new(seed, count, NO_FAULTS);
     let leader = simulation.wait_for_leader();
     for _ in 0..10 {
         simulation.propose_batch_to(leader, 3);
@@ -20,11 +20,12 @@
     simulation
 }
 
-/// Asks for the repair once; the rest must follow by itself.
-fn repair(simulation: &mut Simulation) {
+/// Requests the admission of each unknown replica once and waits until the membership is repaired;
+/// the leader must perform all further steps unprompted.
+fn repair_and_wait(simulation: &mut Simulation) {
     simulation.wait_for_leader();
     simulation.repair();
-    simulation.run_until("the repair", |it| it.is_repaired());
+    simulation.run_until("the membership is repaired", |it| it.is_repaired());
 }
 
 #[test]
@@ -35,15 +36,15 @@
         for lost in [leader, (leader + 1) % 3] {
             simulation.lose_folder(lost, 20);
             simulation.run_for(50);
-            repair(&mut simulation);
+            repair_and_wait(&mut simulation);
         }
-        simulation.settle();
+        simulation.heal_and_check();
         assert_eq!(simulation.model.accepted_commands(), 31);
     }
 }
 
 #[test]
-fn a_lost_folder_never_votes_under_its_old_name() {
+fn a_replica_with_a_lost_folder_does_not_vote_under_its_old_identity() {
     let mut simulation = with_commands(5, 3);
     let leader = simulation.wait_for_leader();
     simulation.lose_folder((leader + 1) % 3, 1);
@@ -51,43 +52,43 @@
     for _ in 0..100 {
         simulation.run_for(50);
         let survivor = (leader + 2) % 3;
-        let roles = [survivor, (leader + 1) % 3].map(|place| {
-            let replica = simulation.nodes[place].replica.as_ref();
+        let roles = [survivor, (leader + 1) % 3].map(|node_index| {
+            let replica = simulation.nodes[node_index].replica.as_ref();
             replica.map(Replica::role)
         });
         assert!(
             !roles.contains(&Some(Role::Leader)),
-            "one of two voters elected itself"
+            "a replica was elected with one of three votes"
         );
     }
-    simulation.settle();
+    simulation.heal_and_check();
 }
 
 #[test]
-fn a_second_loss_right_after_a_repair_loses_nothing() {
+fn a_folder_loss_right_after_a_repair_loses_no_data() {
     for seed in 0..30 {
         let mut simulation = with_commands(seed, 3);
         for lost in [0, 1, 2, 0] {
             simulation.lose_folder(lost, 5);
-            repair(&mut simulation);
+            repair_and_wait(&mut simulation);
         }
-        simulation.settle();
+        simulation.heal_and_check();
     }
 }
 
 #[test]
-fn two_losses_at_once_of_five_lose_nothing() {
+fn losing_two_of_five_folders_at_once_loses_no_data() {
     for seed in 0..30 {
         let mut simulation = with_commands(seed, 5);
         let leader = simulation.wait_for_leader();
         simulation.lose_folder(leader, 5);
         simulation.lose_folder((leader + 2) % 5, 5);
-        simulation.settle();
+        simulation.heal_and_check();
     }
 }
 
 #[test]
-fn a_learner_that_is_not_there_is_not_promoted() {
+fn an_unreachable_learner_is_not_promoted() {
     let mut simulation = with_commands(6, 3);
     let leader = simulation.wait_for_leader();
     let id = VoterId {
@@ -95,7 +96,7 @@
         folder: FolderId(9),
     };
     let replaces = None;
-    simulation.change_at(
+    simulation.propose_change_to(
         leader,
         MembershipChange::Join {
             id: id.clone(),
@@ -105,13 +106,13 @@
     simulation.run_for(1_000);
     assert_eq!(simulation.model.membership.learners.len(), 1);
     assert_eq!(simulation.model.membership.voters.len(), 3);
-    simulation.change_at(leader, MembershipChange::Remove { id });
+    simulation.propose_change_to(leader, MembershipChange::Remove { id });
     simulation.run_for(100);
     assert!(simulation.is_repaired());
 }
 
 #[test]
-fn a_learner_is_spare_once_it_was_silent_for_long() {
+fn a_silent_learner_becomes_removable() {
     let mut simulation = with_commands(10, 3);
     let leader = simulation.wait_for_leader();
     simulation.run_for(1_000);
@@ -124,19 +125,23 @@
         id: id.clone(),
         replaces,
     };
-    simulation.change_at(leader, join);
-    let spare = |it: &Simulation| it.nodes[leader].removable_members(it.now, 500, 3);
-    assert_eq!(spare(&simulation), [], "it has had no time to answer");
+    simulation.propose_change_to(leader, join);
+    let removable = |it: &Simulation| it.nodes[leader].removable_members(it.now, 500, 3);
+    assert_eq!(
+        removable(&simulation),
+        [],
+        "the learner has had no time to answer"
+    );
     simulation.run_for(600);
-    assert_eq!(spare(&simulation), [id]);
+    assert_eq!(removable(&simulation), [id]);
 }
 
 #[test]
-fn a_voter_that_is_removed_leaves_the_others_in_peace() {
+fn a_removed_voter_does_not_depose_the_leader() {
     let mut simulation = with_commands(7, 5);
     let leader = simulation.wait_for_leader();
     let id = simulation.nodes[leader].id.clone();
-    simulation.change_at(leader, MembershipChange::Remove { id });
+    simulation.propose_change_to(leader, MembershipChange::Remove { id });
     simulation.run_for(1_000);
     assert_eq!(simulation.model.membership.voters.len(), 4);
     let successor = simulation.wait_for_leader();
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn changes_that_overlap_are_refused() {
+fn overlapping_membership_changes_are_refused() {
     let mut simulation = with_commands(8, 3);
     let leader = simulation.wait_for_leader();
     let change = |number| MembershipChange::Join {
--- a/crates/masticsill_quorum/tests/simulation/application.rs
+++ b/crates/masticsill_quorum/tests/simulation/application.rs
@@ -1,45 +1,45 @@
-//! What the simulated replicas replicate.
+//! The application that the simulated replicas replicate.
 
 use masticsill_quorum::{Entry, LogIndex, Payload, Snapshot, VoterId};
 
 use super::model::{Model, command_of};
 
-/// A replicated state machine, its clients and what they check.
+/// A replicated state machine, its clients and their checks.
 ///
-/// A command begins with its number, eight bytes little-endian.
+/// Each command starts with its number: eight bytes, little-endian.
 pub trait Application {
-    /// One replica's state; a restart forgets it.
+    /// One replica's state, which is lost in a restart.
     type State: Default;
 
-    /// A whole command that no client waits for.
+    /// Builds a complete command that no client waits for.
     fn command(&mut self, number: u64) -> Vec<u8>;
 
-    /// An entry is committed, wherever that is known first.
+    /// Called once per entry, when the first replica reports it committed.
     fn commit(&mut self, _entry: &Entry) {}
 
-    /// A replica applies an entry.
+    /// Applies an entry to a replica's state.
     fn apply(&mut self, state: &mut Self::State, entry: &Entry);
 
-    /// A replica takes a snapshot's state over.
+    /// Replaces a replica's state with that of a snapshot.
     fn restore(&self, state: &mut Self::State, snapshot: &Snapshot, model: &Model);
 
-    /// A replica's state for a snapshot.
-    fn serialise(&self, state: &Self::State) -> Vec<u8>;
+    /// Serializes a replica's state for a snapshot.
+    fn serialize(&self, state: &Self::State) -> Vec<u8>;
 
-    /// A client's command is accepted by the replica that it asked.
+    /// Called when a client's command is accepted by the replica it was sent to.
     fn answer(&mut self, _now: u64, _state: &Self::State, _index: LogIndex) {}
 
-    /// A client begins to read.
+    /// Called when a client starts a read.
     fn begin_read(&mut self, _number: u64) {}
 
-    /// A client reads a replica's state.
+    /// Called when a client's read of a replica's state is served.
     fn end_read(&mut self, _now: u64, _state: &Self::State, _number: u64) {}
 
-    /// Checks a replica's state that has applied the whole committed log.
+    /// Checks the state of a replica that has applied the entire committed log.
     fn check(&self, id: &VoterId, state: &Self::State, model: &Model);
 }
 
-/// Numbers in a list.
+/// An application whose state is the list of all command numbers.
 #[derive(Debug, Default)]
 pub struct Numbers;
 
@@ -52,7 +52,7 @@
 
     fn apply(&mut self, state: &mut Vec<u64>, entry: &Entry) {
         if let Payload::Command(bytes) = &entry.payload {
-            assert_eq!(bytes.len(), 8, "a number has no content");
+            assert_eq!(bytes.len(), 8, "a command must consist of its number only");
         }
         state.extend(command_of(entry));
     }
@@ -62,15 +62,18 @@
         let numbers = numbers.map(|bytes| u64::from_le_bytes(bytes.try_into().unwrap()));
         *state = numbers.collect();
         let expected = model.commands_up_to(snapshot.index);
-        assert_eq!(*state, expected, "a wrong snapshot");
+        assert_eq!(
+            *state, expected,
+            "the snapshot's state differs from the model"
+        );
     }
 
-    fn serialise(&self, state: &Vec<u64>) -> Vec<u8> {
+    fn serialize(&self, state: &Vec<u64>) -> Vec<u8> {
         state.iter().flat_map(|id| id.to_le_bytes()).collect()
     }
 
     fn check(&self, id: &VoterId, state: &Vec<u64>, model: &Model) {
         let expected = model.commands_up_to(model.last_index());
-        assert_eq!(*state, expected, "{id} differs");
+        assert_eq!(*state, expected, "the state of {id} differs from the model");
     }
 }
--- a/crates/masticsill_quorum/tests/simulation/disk.rs
+++ b/crates/masticsill_quorum/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets what was not synced.
+//! An in-memory disk that loses unsynced data in a crash.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,7 +18,7 @@
     is_sync_failing: bool,
 }
 
-/// Copies share one folder.
+/// An in-memory disk. Clones share one folder.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     folder: Arc<Mutex<MemoryFolder>>,
@@ -33,7 +33,8 @@
         self.folder().is_sync_failing = is_failing;
     }
 
-    /// Cuts each file to what was synced and a part of the rest that `keep` chooses by its size.
+    /// Truncates each file to its synced part plus as many of its unsynced bytes as `keep` returns,
+    /// given their number.
     pub fn crash(&self, mut keep: impl FnMut(usize) -> usize) {
         let mut folder = self.folder();
         folder.is_sync_failing = false;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Changes a file as if by damage.
+    /// Damages a file by changing its content.
     pub fn damage(&self, file: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut folder = self.folder();
         let damaged = folder.files.get_mut(file).unwrap();
--- a/crates/masticsill_quorum/tests/simulation/mod.rs
+++ b/crates/masticsill_quorum/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Replicas on memory disks, joined by a faulty network, on one simulated clock.
+//! Simulation of replicas on in-memory disks, connected by a faulty network, on one simulated
+//! clock.
 
-// Each test file uses its own part of this harness.
+// Each test file uses only a part of this harness.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod application;
@@ -21,12 +22,12 @@
 use rand_chacha::ChaCha8Rng;
 
 pub use application::{Application, Numbers};
-pub use model::{Fate, Model};
+pub use model::{Model, Outcome};
 use node::Node;
 
 pub const TICK_MS: u64 = 10;
 
-/// Short times and sizes, so that a schedule meets every mechanism.
+/// Small times and sizes, so that a short schedule exercises every mechanism.
 pub fn settings() -> ReplicaSettings {
     ReplicaSettings {
         heartbeat_ms: 25,
@@ -44,7 +45,7 @@
     }
 }
 
-/// What the network and the disks do to everyone.
+/// Network and disk faults that apply to every node.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss_percent: u32,
@@ -54,7 +55,7 @@
     pub stall_permille: u32,
 }
 
-pub const CALM: Faults = Faults {
+pub const NO_FAULTS: Faults = Faults {
     loss_percent: 0,
     duplicate_percent: 0,
     delay_max_ms: 2,
@@ -71,18 +72,18 @@
     },
     Resume {
         node: usize,
-        life: u64,
+        epoch: u64,
     },
     Start {
         node: usize,
     },
     Sync {
         node: usize,
-        life: u64,
+        epoch: u64,
     },
     Tick {
         node: usize,
-        life: u64,
+        epoch: u64,
     },
 }
 
@@ -96,40 +97,41 @@
     settings: ReplicaSettings,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     last_number: u64,
-    /// `cuts[from][to]`
+    /// `cuts[from][to]` tells whether messages from one node to another are dropped.
     cuts: Vec<Vec<bool>>,
 }
 
 impl Simulation {
-    /// A founded cluster of `count` voters that replicate numbers.
+    /// Creates a founded cluster of `count` voters that replicate [`Numbers`].
     pub fn new(seed: u64, count: usize, faults: Faults) -> Self {
-        Self::found(seed, count, faults, settings(), Numbers)
+        Self::with_settings(seed, count, faults, settings(), Numbers)
     }
 }
 
 impl<A: Application> Simulation<A> {
-    /// A founded cluster of `count` voters.
-    pub fn found(
+    /// Creates a founded cluster of `count` voters.
+    pub fn with_settings(
         seed: u64,
         count: usize,
         faults: Faults,
         settings: ReplicaSettings,
         application: A,
     ) -> Self {
-        Self::found_among(seed, [count; 3], faults, settings, application)
+        Self::with_founders(seed, [count; 3], faults, settings, application)
     }
 
-    /// The first `founders` of `count` nodes are founded as voters, of whom the first `told` know it
-    /// already; the others' folders are new.
-    pub fn found_among(
+    /// Creates a cluster of `count` nodes. The first `founders` of them are its founding voters, of
+    /// which the first `informed` have stored the founding; the folders of all others are new.
+    pub fn with_founders(
         seed: u64,
-        [told, founders, count]: [usize; 3],
+        [informed, founders, count]: [usize; 3],
         faults: Faults,
         settings: ReplicaSettings,
         application: A,
     ) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let nodes = (0..count).map(|place| Node::new(place, random.random_range(0..10_000)));
+        let nodes =
+            (0..count).map(|node_index| Node::new(node_index, random.random_range(0..10_000)));
         let nodes: Vec<Node<A::State>> = nodes.collect();
         let mut simulation = Self {
             application,
@@ -147,7 +149,7 @@
         let voters: Vec<VoterId> = founding.map(|it| it.id.clone()).collect();
         simulation.model.membership = Membership::from_voters(voters.iter().cloned());
         for node in 0..count {
-            if node < told {
+            if node < informed {
                 simulation.nodes[node].found(&voters);
             }
             simulation.start(node);
@@ -155,7 +157,7 @@
         simulation
     }
 
-    /// Numbers for events, commands, reads and changes; never twice the same.
+    /// Returns a unique number for an event, command, read or change.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -183,14 +185,14 @@
         self.now = end;
     }
 
-    /// Handles the next event, whenever it is due.
+    /// Advances the clock to the next event and handles it.
     pub fn run_event(&mut self) {
         let Reverse((at, _, event)) = self.events.pop().unwrap();
         self.now = at;
         self.handle(event);
     }
 
-    /// Runs until a condition holds; fails after ten simulated seconds.
+    /// Runs until a condition holds; panics after ten simulated seconds.
     pub fn run_until(&mut self, what: &str, mut is_met: impl FnMut(&mut Self) -> bool) {
         for _ in 0..2_000 {
             if is_met(self) {
@@ -198,7 +200,7 @@
             }
             self.run_for(5);
         }
-        panic!("not met within ten simulated seconds: {what}");
+        panic!("condition not met within ten simulated seconds: {what}");
     }
 
     fn handle(&mut self, event: Event) {
@@ -207,16 +209,16 @@
                 let envelope = decode_message(&bytes).unwrap();
                 self.input(to, Input::Message(envelope));
             }
-            Event::Resume { node, life } if self.nodes[node].life == life => self.resume(node),
+            Event::Resume { node, epoch } if self.nodes[node].epoch == epoch => self.resume(node),
             Event::Start { node } if !self.nodes[node].is_running() => self.start(node),
-            Event::Sync { node, life } if self.nodes[node].life == life => {
+            Event::Sync { node, epoch } if self.nodes[node].epoch == epoch => {
                 if let Some(point) = self.nodes[node].sync() {
                     self.input(node, Input::SyncDone { up_to: point });
                 }
             }
-            Event::Tick { node, life } if self.nodes[node].life == life => {
+            Event::Tick { node, epoch } if self.nodes[node].epoch == epoch => {
                 self.input(node, Input::Tick);
-                self.schedule(TICK_MS, Event::Tick { node, life });
+                self.schedule(TICK_MS, Event::Tick { node, epoch });
             }
             _ => {}
         }
@@ -226,12 +228,12 @@
         let seed = self.random.random();
         let (now, settings) = (self.now, self.settings.clone());
         self.nodes[node].start(now, seed, settings, &self.application, &self.model);
-        let life = self.nodes[node].life;
+        let epoch = self.nodes[node].epoch;
         let first_ms = self.random.random_range(0..TICK_MS);
-        self.schedule(first_ms, Event::Tick { node, life });
+        self.schedule(first_ms, Event::Tick { node, epoch });
     }
 
-    /// Loses all that a node has not synced; it starts again after `down_ms`.
+    /// Crashes a node, which may lose any unsynced data, and restarts it after `down_ms`.
     pub fn restart(&mut self, node: usize, down_ms: u64) {
         let is_torn = self.chance(50);
         let random = &mut self.random;
@@ -239,18 +241,18 @@
         self.schedule(down_ms, Event::Start { node });
     }
 
-    /// Cuts a node's power: nothing that it has not synced is left.
+    /// Cuts a node's power, which loses all unsynced data, and restarts it after `down_ms`.
     pub fn cut_power(&mut self, node: usize, down_ms: u64) {
         self.nodes[node].crash(false, |_| 0);
         self.schedule(down_ms, Event::Start { node });
     }
 
-    /// Takes a node away, which never comes back.
-    pub fn take_away(&mut self, node: usize) {
+    /// Stops a node permanently.
+    pub fn remove_permanently(&mut self, node: usize) {
         self.nodes[node].crash(false, |_| 0);
     }
 
-    /// Loses a node's folder; it starts under a new identity after `down_ms`.
+    /// Removes a node's data folder; the node restarts with a new identity after `down_ms`.
     pub fn lose_folder(&mut self, node: usize, down_ms: u64) {
         let folder = self.random.random();
         self.nodes[node].lose_folder(folder);
@@ -260,8 +262,8 @@
     pub fn pause(&mut self, node: usize, duration_ms: u64) {
         if self.nodes[node].is_running() && self.nodes[node].paused_at.is_none() {
             self.nodes[node].paused_at = Some(self.now);
-            let life = self.nodes[node].life;
-            self.schedule(duration_ms, Event::Resume { node, life });
+            let epoch = self.nodes[node].epoch;
+            self.schedule(duration_ms, Event::Resume { node, epoch });
         }
     }
 
@@ -270,19 +272,23 @@
             return;
         };
         let is_past_lease = self.now - paused_at > self.settings.lease_ms;
-        let stalled = std::mem::take(&mut self.nodes[node].stalled);
-        // The node must answer the check below, so it does not stall again just here.
+        let delayed_outputs = std::mem::take(&mut self.nodes[node].delayed_outputs);
+        // The node must reply to the check below, so it must not stall again at this point.
         let stall_permille = std::mem::take(&mut self.faults.stall_permille);
-        self.carry_out(node, stalled);
+        self.perform_outputs(node, delayed_outputs);
         if is_past_lease && self.nodes[node].is_running() {
             assert_eq!(
                 self.nodes[node].lease_read_point(self.now),
                 None,
-                "a stale proof"
+                "a lease read point was returned past the lease"
             );
             let command = self.propose_to(node);
-            let refused = Some(Fate::Refused);
-            assert_eq!(self.model.fate(command), refused, "accepted past the lease");
+            let refused = Some(Outcome::Refused);
+            assert_eq!(
+                self.model.outcome(command),
+                refused,
+                "a proposal was accepted past the lease"
+            );
         }
         self.faults.stall_permille = stall_permille;
         for input in std::mem::take(&mut self.nodes[node].backlog) {
@@ -292,9 +298,9 @@
 
     pub fn set_cut(&mut self, from: usize, to: usize, is_cut: bool) {
         self.cuts[from][to] = is_cut;
-        let is_deaf = (0..self.nodes.len()).all(|other| other == to || self.cuts[other][to]);
-        let deaf_since = &mut self.nodes[to].deaf_since;
-        *deaf_since = is_deaf.then_some(deaf_since.unwrap_or(self.now));
+        let is_unreachable = (0..self.nodes.len()).all(|other| other == to || self.cuts[other][to]);
+        let unreachable_since = &mut self.nodes[to].unreachable_since;
+        *unreachable_since = is_unreachable.then_some(unreachable_since.unwrap_or(self.now));
     }
 
     pub fn isolate(&mut self, node: usize) {
@@ -312,7 +318,8 @@
         }
     }
 
-    /// Steps a node unless it is down or paused, and checks what it may not do.
+    /// Passes an input to a node unless it is down or paused, and checks its outputs against the
+    /// lease rules.
     pub fn input(&mut self, node: usize, input: Input) {
         if !self.nodes[node].is_running() {
             return;
@@ -324,7 +331,7 @@
         let outputs = self.nodes[node].step(self.now, input);
         self.check_isolation(node, &outputs);
         if let Some((commit, at)) = self.nodes[node].lease_read_point(self.now) {
-            self.model.check_as_of(commit, at);
+            self.model.check_commit_covers(commit, at);
         }
         let stall_permille = self.faults.stall_permille;
         if !outputs.is_empty() && self.random.random_range(0..1000) < stall_permille {
@@ -332,19 +339,19 @@
             self.stall(node, outputs, duration_ms);
             return;
         }
-        self.carry_out(node, outputs);
+        self.perform_outputs(node, outputs);
     }
 
-    /// Pauses a node between its decision and what it does about it.
+    /// Pauses a node between a step and the execution of the step's outputs.
     pub fn stall(&mut self, node: usize, outputs: Vec<Output>, duration_ms: u64) {
         self.pause(node, duration_ms);
-        self.nodes[node].stalled = outputs;
+        self.nodes[node].delayed_outputs = outputs;
     }
 
     fn check_isolation(&self, node: usize, outputs: &[Output]) {
-        let deaf_since = self.nodes[node].deaf_since;
+        let unreachable_since = self.nodes[node].unreachable_since;
         let is_past = |since: u64| self.now - since > self.settings.lease_ms;
-        if !deaf_since.is_some_and(is_past) {
+        if !unreachable_since.is_some_and(is_past) {
             return;
         }
         let replica = self.nodes[node].replica.as_ref().unwrap();
@@ -357,24 +364,24 @@
             |output: &Output| matches!(output, Output::Committed { .. } | Output::ReadReady { .. });
         assert!(
             !outputs.iter().any(serves),
-            "an isolated replica accepts or serves"
+            "an isolated replica accepts a proposal or serves a read"
         );
     }
 
-    fn carry_out(&mut self, node: usize, outputs: Vec<Output>) {
-        let is_wanted = |output: &Output| matches!(output, Output::TakeSnapshot { .. });
-        let needs_snapshot = outputs.iter().any(is_wanted);
+    fn perform_outputs(&mut self, node: usize, outputs: Vec<Output>) {
+        let is_snapshot_request = |output: &Output| matches!(output, Output::TakeSnapshot { .. });
+        let needs_snapshot = outputs.iter().any(is_snapshot_request);
         for output in outputs {
-            self.carry_out_one(node, output);
+            self.perform_output(node, output);
         }
-        // The next input waits until every output of this one is carried out.
+        // All outputs of this input must be performed before the next input.
         if needs_snapshot {
-            let (index, data) = self.nodes[node].serialise(&self.application);
+            let (index, data) = self.nodes[node].serialize(&self.application);
             self.input(node, Input::SnapshotTaken { index, data });
         }
     }
 
-    fn carry_out_one(&mut self, node: usize, output: Output) {
+    fn perform_output(&mut self, node: usize, output: Output) {
         let now = self.now;
         match output {
             Output::RoleChanged { role, term, .. } => {
@@ -391,19 +398,19 @@
                 }
             }
             Output::Committed { token, index } => {
-                let is_command = self.model.fate(token.0).is_some();
-                self.model.settle(now, token.0, Fate::Accepted(index));
+                let is_command = self.model.outcome(token.0).is_some();
+                self.model.resolve(now, token.0, Outcome::Accepted(index));
                 if is_command {
                     let state = &self.nodes[node].machine;
                     self.application.answer(now, state, index);
                 }
             }
-            Output::OutcomeUnknown { token } => self.model.settle(now, token.0, Fate::Unknown),
+            Output::OutcomeUnknown { token } => self.model.resolve(now, token.0, Outcome::Unknown),
             Output::Persist { point, write } => {
                 if self.nodes[node].write(point, write) {
-                    let life = self.nodes[node].life;
+                    let epoch = self.nodes[node].epoch;
                     let delay_ms = self.random.random_range(0..=self.faults.sync_max_ms);
-                    self.schedule(delay_ms, Event::Sync { node, life });
+                    self.schedule(delay_ms, Event::Sync { node, epoch });
                 }
             }
             Output::ReadReady { token, index } => {
@@ -413,7 +420,7 @@
                 self.application.end_read(now, state, token.0);
             }
             Output::RefusedPropose { token, .. } | Output::RefusedMembership { token, .. } => {
-                self.model.settle(now, token.0, Fate::Refused);
+                self.model.resolve(now, token.0, Outcome::Refused);
             }
             Output::RefusedRead { .. } | Output::TakeSnapshot { .. } => {}
             Output::RestoreSnapshot { snapshot } => {
@@ -440,21 +447,21 @@
         }
     }
 
-    /// The node that leads the highest term.
+    /// The leader of the highest term.
     pub fn leader(&self) -> Option<usize> {
-        let is_leader = |place: &usize| {
-            let replica = self.nodes[*place].replica.as_ref();
+        let is_leader = |node_index: &usize| {
+            let replica = self.nodes[*node_index].replica.as_ref();
             replica.is_some_and(|it| it.role() == Role::Leader)
         };
         let leaders = (0..self.nodes.len()).filter(is_leader);
-        leaders.max_by_key(|place| self.nodes[*place].replica.as_ref().map(Replica::term))
+        leaders.max_by_key(|node_index| self.nodes[*node_index].replica.as_ref().map(Replica::term))
     }
 
     pub fn wait_for_leader(&mut self) -> usize {
         let mut leader = None;
-        self.run_until("a leader that proves its state current", |simulation| {
-            leader = simulation.leader().filter(|place| {
-                let node = &simulation.nodes[*place];
+        self.run_until("a leader returns a lease read point", |simulation| {
+            leader = simulation.leader().filter(|node_index| {
+                let node = &simulation.nodes[*node_index];
                 node.paused_at.is_none() && node.lease_read_point(simulation.now).is_some()
             });
             leader.is_some()
@@ -477,7 +484,7 @@
         }
     }
 
-    /// Proposes commands of these contents, each after its number.
+    /// Proposes one command for each of `contents`, each prefixed with its number.
     pub fn propose_contents_to(&mut self, node: usize, contents: &[Vec<u8>]) {
         let proposals = contents.iter().map(|content| {
             let id = self.next_number();
@@ -508,12 +515,12 @@
         self.input(node, Input::ReadIndex { token });
     }
 
-    pub fn change_at(&mut self, node: usize, change: MembershipChange) {
+    pub fn propose_change_to(&mut self, node: usize, change: MembershipChange) {
         let token = CallerToken(self.next_number());
         self.input(node, Input::ChangeMembership { token, change });
     }
 
-    /// Lets the leader admit each node that runs under an identity unknown to it.
+    /// Asks the leader to admit each node whose identity is not a member.
     pub fn repair(&mut self) {
         let Some(leader) = self.leader() else {
             return;
@@ -523,14 +530,14 @@
             let replica = self.nodes[leader].replica.as_ref();
             if replica.is_some_and(|it| !it.membership().is_member(&id)) {
                 let replaces = None;
-                self.change_at(leader, MembershipChange::Join { id, replaces });
+                self.propose_change_to(leader, MembershipChange::Join { id, replaces });
             }
         }
     }
 
-    /// What a quorum does that looks after itself: it admits each node that asks, and removes
-    /// silent members while more than `wanted` vote.
-    pub fn tend(&mut self, wanted: usize, silence_ms: u64) {
+    /// Maintains the membership without an operator: admits each running node that is not a
+    /// member, and removes silent members while there are more than `target_voters` voters.
+    pub fn maintain_membership(&mut self, target_voters: usize, silence_ms: u64) {
         let Some(leader) = self.leader() else {
             return;
         };
@@ -543,22 +550,22 @@
                 changes.push(MembershipChange::Join { id, replaces });
             }
         }
-        let spare = node.removable_members(self.now, silence_ms, wanted);
-        let spare = spare.into_iter().take(1);
-        changes.extend(spare.map(|id| MembershipChange::Remove { id }));
+        let removable = node.removable_members(self.now, silence_ms, target_voters);
+        let removable = removable.into_iter().take(1);
+        changes.extend(removable.map(|id| MembershipChange::Remove { id }));
         for change in changes {
-            self.change_at(leader, change);
+            self.propose_change_to(leader, change);
         }
     }
 
-    /// Identities of the nodes that run.
+    /// Identities of the running nodes.
     pub fn running(&self) -> Vec<VoterId> {
         let running = self.nodes.iter().filter(|node| node.is_running());
         running.map(|node| node.id.clone()).collect()
     }
 
-    /// Whether the committed membership is that of the nodes that run.
-    pub fn is_tended(&self) -> bool {
+    /// Whether the voters of the committed membership are exactly the running nodes.
+    pub fn is_membership_current(&self) -> bool {
         let membership = &self.model.membership;
         let is_settled = membership.learners.is_empty() && membership.leaving.is_empty();
         let running = self.running();
@@ -566,7 +573,8 @@
         is_settled && is_exact && running.iter().all(|id| membership.is_voter(id))
     }
 
-    /// Whether the committed membership has exactly the identities that exist now as voters.
+    /// Whether the voters of the committed membership are exactly the current identities of all
+    /// nodes.
     pub fn is_repaired(&self) -> bool {
         let membership = &self.model.membership;
         let is_settled = membership.learners.is_empty() && membership.leaving.is_empty();
@@ -575,8 +583,9 @@
         is_settled && is_exact && self.nodes.iter().all(votes)
     }
 
-    /// Whether the cluster is repaired and everyone runs and has applied everything.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the membership is repaired, and every node is running and has applied the entire
+    /// log.
+    pub fn has_converged(&self) -> bool {
         let last_index = self.model.last_index();
         let is_current = |node: &Node<A::State>| {
             let last = node.replica.as_ref().map(Replica::last_index);
@@ -585,26 +594,30 @@
         self.is_repaired() && self.nodes.iter().all(is_current)
     }
 
-    /// Ends all faults, repairs, and checks that the cluster answers and is the same everywhere.
-    pub fn settle(&mut self) {
-        self.faults = CALM;
+    /// Ends all faults, repairs the membership, and checks that the cluster accepts a command and
+    /// that the state is the same on every node.
+    pub fn heal_and_check(&mut self) {
+        self.faults = NO_FAULTS;
         self.heal();
-        self.run_until("a whole cluster", |simulation| {
-            simulation.repair();
-            simulation.is_whole()
-        });
+        self.run_until(
+            "the cluster is repaired and every node has applied the entire log",
+            |simulation| {
+                simulation.repair();
+                simulation.has_converged()
+            },
+        );
         let mut command = 0;
-        self.run_until("an accepted command", |simulation| {
-            let fate = simulation.model.fate(command);
-            // A pause that ends only now may still depose a leader.
-            let is_open = matches!(fate, None | Some(Fate::Refused | Fate::Unknown));
-            if is_open && let Some(leader) = simulation.leader() {
+        self.run_until("a command is accepted", |simulation| {
+            let outcome = simulation.model.outcome(command);
+            // A node that resumes from a pause only now may still depose the leader.
+            let must_propose = matches!(outcome, None | Some(Outcome::Refused | Outcome::Unknown));
+            if must_propose && let Some(leader) = simulation.leader() {
                 command = simulation.propose_to(leader);
             }
-            matches!(fate, Some(Fate::Accepted(_)))
+            matches!(outcome, Some(Outcome::Accepted(_)))
         });
         let last_index = self.model.last_index();
-        self.run_until("everyone applies it", |simulation| {
+        self.run_until("every node has applied the command", |simulation| {
             simulation
                 .nodes
                 .iter()
--- a/crates/masticsill_quorum/tests/simulation/model.rs
+++ b/crates/masticsill_quorum/tests/simulation/model.rs
@@ -1,12 +1,12 @@
-//! The naive single copy that replicas are compared with.
+//! The non-replicated reference model that replicas are compared with.
 
 use indexmap::IndexMap;
 use masticsill_quorum::{Entry, LogIndex, Membership, Payload, VoterId};
 use masticsill_types::Term;
 
-/// What a client knows of its command.
+/// What a client knows about the outcome of its command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum Outcome {
     Accepted(LogIndex),
     Pending,
     Refused,
@@ -15,12 +15,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Command {
-    fate: Fate,
-    /// The highest index accepted or read before the command was proposed.
+    outcome: Outcome,
+    /// The highest index that any client had seen accepted or read when the command was proposed.
     floor: LogIndex,
 }
 
-/// One log, one set of clients and one leader a term.
+/// One log, its clients' commands and reads, and the single leader of each term.
 #[derive(Debug, Default)]
 pub struct Model {
     log: Vec<Entry>,
@@ -29,7 +29,7 @@
     leaders: IndexMap<Term, VoterId>,
     commands: IndexMap<u64, Command>,
     reads: IndexMap<u64, (LogIndex, bool)>,
-    /// When each new highest index was accepted, oldest first.
+    /// The time at which each new highest index was accepted or read, oldest first.
     accepted: Vec<(u64, LogIndex)>,
     floor: LogIndex,
 }
@@ -40,11 +40,14 @@
         assert_eq!(known, leader, "two leaders in term {term}");
     }
 
-    /// Takes a committed entry in; returns whether it was not known as committed.
+    /// Records a committed entry; returns whether it was not known to be committed before.
     pub fn commit(&mut self, entry: &Entry) -> bool {
         let position = usize::try_from(entry.index.0).unwrap() - 1;
         if let Some(known) = self.log.get(position) {
-            assert_eq!(known, entry, "a committed entry differs");
+            assert_eq!(
+                known, entry,
+                "two different entries were committed at one index"
+            );
             return false;
         }
         assert_eq!(position, self.log.len(), "committed entries have a gap");
@@ -59,12 +62,12 @@
         LogIndex(self.log.len() as u64)
     }
 
-    /// The commands of the committed log up to an index.
+    /// The numbers of the commands in the committed log up to an index.
     pub fn commands_up_to(&self, index: LogIndex) -> Vec<u64> {
         let count = usize::try_from(index.0).unwrap();
         assert!(
             count <= self.log.len(),
-            "a snapshot holds what was never committed"
+            "a snapshot covers entries that were never committed"
         );
         let commands = self.log[..count].iter().filter_map(command_of);
         commands.collect()
@@ -72,34 +75,34 @@
 
     pub fn propose(&mut self, id: u64) {
         let floor = self.floor;
-        let fate = Fate::Pending;
-        self.commands.insert(id, Command { fate, floor });
+        let outcome = Outcome::Pending;
+        self.commands.insert(id, Command { outcome, floor });
     }
 
-    pub fn fate(&self, id: u64) -> Option<Fate> {
-        self.commands.get(&id).map(|command| command.fate)
+    pub fn outcome(&self, id: u64) -> Option<Outcome> {
+        self.commands.get(&id).map(|command| command.outcome)
     }
 
-    pub fn settle(&mut self, now: u64, id: u64, fate: Fate) {
+    pub fn resolve(&mut self, now: u64, id: u64, outcome: Outcome) {
         let Some(command) = self.commands.get_mut(&id) else {
             return;
         };
         assert_eq!(
-            command.fate,
-            Fate::Pending,
+            command.outcome,
+            Outcome::Pending,
             "command {id} is answered twice"
         );
-        command.fate = fate;
-        if let Fate::Accepted(index) = fate {
+        command.outcome = outcome;
+        if let Outcome::Accepted(index) = outcome {
             assert!(
                 index > command.floor,
-                "command {id} stands before an earlier one"
+                "command {id} has a lower index than one accepted before it was proposed"
             );
             let held = self.log.get(usize::try_from(index.0).unwrap() - 1);
             assert_eq!(
                 held.and_then(command_of),
                 Some(id),
-                "accepted, not committed"
+                "command {id} was accepted but is not committed at its index"
             );
             self.raise_floor(now, index);
         }
@@ -120,17 +123,17 @@
         let (floor, is_done) = &mut self.reads[&id];
         assert!(
             applied >= index,
-            "read {id} is ready before its index is applied"
+            "read {id} was served before its index was applied"
         );
         assert!(
             applied >= *floor,
-            "read {id} misses what was accepted before it began"
+            "read {id} misses an entry accepted before the read started"
         );
         *is_done = true;
         self.raise_floor(now, applied);
     }
 
-    /// The newest entry that a client was told of.
+    /// The newest entry that was acknowledged to a client.
     pub fn newest_accepted(&self) -> Option<&Entry> {
         self.log
             .get(usize::try_from(self.floor.0).unwrap().checked_sub(1)?)
@@ -141,23 +144,23 @@
     }
 
     pub fn accepted_commands(&self) -> usize {
-        let fates = self.commands.values().map(|command| command.fate);
-        fates
-            .filter(|fate| matches!(fate, Fate::Accepted(_)))
+        let outcomes = self.commands.values().map(|command| command.outcome);
+        outcomes
+            .filter(|outcome| matches!(outcome, Outcome::Accepted(_)))
             .count()
     }
 
-    /// Checks a leader's statement that its commit index covers all accepted before `at`.
-    pub fn check_as_of(&self, commit: LogIndex, at: u64) {
+    /// Checks a leader's claim that its commit index covers every entry accepted before `at`.
+    pub fn check_commit_covers(&self, commit: LogIndex, at: u64) {
         let earlier = self.accepted.iter().rev().find(|(when, _)| *when < at);
         let covered = earlier.map_or(LogIndex(0), |(_, index)| *index);
         assert!(
             commit >= covered,
-            "as of {at}: commit {commit} misses {covered}"
+            "commit index {commit} at time {at} does not cover accepted index {covered}"
         );
     }
 
-    /// Checks that each command is there once, if accepted, and not at all, if refused.
+    /// Checks that each accepted command is in the log once, and that no refused command is.
     pub fn check_commands(&self) {
         let mut counts: IndexMap<u64, usize> = IndexMap::new();
         for id in self.log.iter().filter_map(command_of) {
@@ -165,15 +168,15 @@
         }
         for (id, command) in &self.commands {
             let count = counts.get(id).copied().unwrap_or(0);
-            let is_right = match command.fate {
-                Fate::Accepted(_) => count == 1,
-                Fate::Pending | Fate::Unknown => count <= 1,
-                Fate::Refused => count == 0,
+            let is_right = match command.outcome {
+                Outcome::Accepted(_) => count == 1,
+                Outcome::Pending | Outcome::Unknown => count <= 1,
+                Outcome::Refused => count == 0,
             };
             assert!(
                 is_right,
-                "command {id}, {:?}, stands {count} times",
-                command.fate
+                "command {id} with outcome {:?} is in the log {count} times",
+                command.outcome
             );
         }
     }
--- a/crates/masticsill_quorum/tests/simulation/node.rs
+++ b/crates/masticsill_quorum/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One simulated node: replica, storage, state machine and its own clock.
+//! A simulated node: a replica with its storage, state machine and clock.
 
 use std::sync::Arc;
 
@@ -19,14 +19,15 @@
     pub id: VoterId,
     pub disk: MemoryDisk,
     pub replica: Option<Replica>,
-    pub life: u64,
+    /// Incremented at every start and crash; events scheduled in an earlier epoch are ignored.
+    pub epoch: u64,
     pub machine: S,
     pub applied: LogIndex,
     pub paused_at: Option<u64>,
-    /// Since when nothing reaches this node.
-    pub deaf_since: Option<u64>,
+    /// Time since which no message can reach this node, if so.
+    pub unreachable_since: Option<u64>,
     pub backlog: Vec<Input>,
-    pub stalled: Vec<Output>,
+    pub delayed_outputs: Vec<Output>,
     storage: Option<Storage>,
     pub clock_offset_ms: u64,
     pub started_at: ClockMs,
@@ -34,20 +35,20 @@
 }
 
 impl<S: Default> Node<S> {
-    pub fn new(place: usize, clock_offset_ms: u64) -> Self {
-        let name = NodeId::new(format!("control-{place}")).unwrap();
-        let folder = FolderId(place as u64 + 1);
+    pub fn new(node_index: usize, clock_offset_ms: u64) -> Self {
+        let name = NodeId::new(format!("control-{node_index}")).unwrap();
+        let folder = FolderId(node_index as u64 + 1);
         Self {
             id: VoterId { name, folder },
             disk: MemoryDisk::default(),
             replica: None,
-            life: 0,
+            epoch: 0,
             machine: S::default(),
             applied: LogIndex(0),
             paused_at: None,
-            deaf_since: None,
+            unreachable_since: None,
             backlog: Vec::new(),
-            stalled: Vec::new(),
+            delayed_outputs: Vec::new(),
             storage: None,
             clock_offset_ms,
             started_at: ClockMs(0),
@@ -66,8 +67,8 @@
         storage.found(&mut recovered.state, membership).unwrap();
     }
 
-    /// Whether an entry is durable in the node's folder.
-    pub fn keeps(&self, entry: &Entry) -> bool {
+    /// Whether an entry, or a snapshot that covers it, is in the node's folder.
+    pub fn has_durable(&self, entry: &Entry) -> bool {
         let (_, recovered) = self.open();
         let state = recovered.state;
         let is_covered = state.snapshot.is_some_and(|it| it.index >= entry.index);
@@ -100,10 +101,10 @@
         let replica = Replica::new(settings, recovered.state, now, seed).unwrap();
         self.replica = Some(replica);
         self.storage = Some(storage);
-        self.life += 1;
+        self.epoch += 1;
     }
 
-    /// Stops and forgets what was not synced; `is_torn` stops in the middle of a sync.
+    /// Crashes the node, which loses all unsynced data. With `is_torn` it crashes during a sync.
     pub fn crash(&mut self, is_torn: bool, mut keep: impl FnMut(usize) -> usize) {
         if let Some(mut storage) = self.storage.take()
             && is_torn
@@ -117,12 +118,12 @@
         }
         self.disk.crash(keep);
         self.replica = None;
-        self.life += 1;
+        self.epoch += 1;
         self.machine = S::default();
         self.applied = LogIndex(0);
         self.paused_at = None;
         self.backlog.clear();
-        self.stalled.clear();
+        self.delayed_outputs.clear();
         self.unwritten.clear();
     }
 
@@ -137,26 +138,31 @@
         self.replica.as_mut().unwrap().step(now, input)
     }
 
-    /// The replica's proof, with its point on the simulation's clock.
+    /// The replica's lease read point, with its time converted to the simulation's clock.
     pub fn lease_read_point(&self, now: u64) -> Option<(LogIndex, u64)> {
         let replica = self.replica.as_ref()?;
         let (commit, at) = replica.lease_read_point(self.clock(now))?;
         Some((commit, at.0 - self.clock_offset_ms))
     }
 
-    /// Members that may go, of those that this node, as a leader, has not heard for so long.
-    pub fn removable_members(&self, now: u64, silence_ms: u64, wanted: usize) -> Vec<VoterId> {
+    /// Members that may be removed because this leader has not heard from them for `silence_ms`.
+    pub fn removable_members(
+        &self,
+        now: u64,
+        silence_ms: u64,
+        target_voters: usize,
+    ) -> Vec<VoterId> {
         let replica = self.replica.as_ref().unwrap();
-        replica.removable_members(self.clock(now), silence_ms, wanted)
+        replica.removable_members(self.clock(now), silence_ms, target_voters)
     }
 
-    /// Queues a write for the storage; true when a sync must be scheduled.
+    /// Queues a write for the storage; returns whether a sync must be scheduled.
     pub fn write(&mut self, point: SyncPoint, write: Write) -> bool {
         self.unwritten.push((point, write));
         self.unwritten.len() == 1
     }
 
-    /// Does what a storage thread does: writes all that is queued, then syncs.
+    /// Acts as the storage thread: writes all queued writes, then syncs.
     pub fn sync(&mut self) -> Option<SyncPoint> {
         let storage = self.storage.as_mut()?;
         for (point, write) in self.unwritten.drain(..) {
@@ -169,7 +175,7 @@
         assert_eq!(
             entry.index,
             self.applied.next(),
-            "entries are given out once, in order"
+            "entries must be output once each, in order"
         );
         self.applied = entry.index;
         application.apply(&mut self.machine, entry);
@@ -185,8 +191,8 @@
         self.applied = snapshot.index;
     }
 
-    pub fn serialise(&self, application: &impl Application<State = S>) -> (LogIndex, Arc<[u8]>) {
-        let data = application.serialise(&self.machine);
+    pub fn serialize(&self, application: &impl Application<State = S>) -> (LogIndex, Arc<[u8]>) {
+        let data = application.serialize(&self.machine);
         (self.applied, Arc::from(data))
     }
 }
--- a/crates/masticsill_quorum/tests/simulation/schedule.rs
+++ b/crates/masticsill_quorum/tests/simulation/schedule.rs
@@ -1,4 +1,4 @@
-//! Generated schedules: faults drawn from a seed, and the runner that prints failing seeds.
+//! Generated fault schedules: faults drawn from a seed, and a runner that reports failing seeds.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,12 +11,12 @@
 
 const THREADS: usize = 2;
 
-/// A schedule's number of voters.
-pub fn voters_of(seed: u64) -> usize {
+/// Number of voters in a schedule.
+pub fn voter_count(seed: u64) -> usize {
     if seed.is_multiple_of(2) { 3 } else { 5 }
 }
 
-/// Draws what the network and the disks do to everyone.
+/// Draws the network and disk faults that apply to every node.
 pub fn draw_faults(random: &mut impl Rng) -> Faults {
     Faults {
         loss_percent: random.random_range(0..20),
@@ -27,8 +27,8 @@
     }
 }
 
-/// Nodes that may lose their folder now without a majority being lost.
-fn spare_losses<A: Application>(simulation: &Simulation<A>) -> usize {
+/// Number of nodes that may lose their folder now without a majority being lost.
+fn tolerable_losses<A: Application>(simulation: &Simulation<A>) -> usize {
     let tolerated = (simulation.nodes.len() - 1) / 2;
     if simulation.is_repaired() {
         tolerated
@@ -40,9 +40,9 @@
 pub fn inject_fault<A: Application>(simulation: &mut Simulation<A>) {
     let count = simulation.nodes.len();
     let anyone = simulation.random.random_range(0..count);
-    // Most of what can go wrong begins with a leader.
-    let is_aimed = simulation.random.random_range(0..2) == 0;
-    let leader = simulation.leader().filter(|_| is_aimed);
+    // Most failures involve the leader, so half of the faults target it.
+    let targets_leader = simulation.random.random_range(0..2) == 0;
+    let leader = simulation.leader().filter(|_| targets_leader);
     let node = leader.unwrap_or(anyone);
     let other = (node + simulation.random.random_range(1..count)) % count;
     let duration_ms = simulation.random.random_range(1..250);
@@ -56,23 +56,23 @@
         5 => simulation.isolate(node),
         6..=7 => simulation.set_cut(node, other, true),
         8 => {
-            for place in 0..count {
-                simulation.restart(place, duration_ms / 4);
+            for node_index in 0..count {
+                simulation.restart(node_index, duration_ms / 4);
             }
         }
         9 => {
-            // Leaves the leader with a minority.
+            // Leaves the node connected to a single other node.
             simulation.isolate(node);
             simulation.set_cut(node, other, false);
             simulation.set_cut(other, node, false);
         }
         10 => simulation.input(node, Input::TransferLeadership { target: None }),
         11..=12 => {
-            let spare = spare_losses(simulation);
-            if spare > 0 {
+            let tolerable = tolerable_losses(simulation);
+            if tolerable > 0 {
                 simulation.lose_folder(node, duration_ms);
             }
-            if spare > 1 {
+            if tolerable > 1 {
                 simulation.lose_folder(other, duration_ms);
             }
         }
@@ -80,9 +80,12 @@
     }
 }
 
-/// Runs schedules on a few threads, by default `count` from seed zero.
+/// Runs schedules on [`THREADS`] threads: by default `count` schedules from seed zero. The
+/// environment variables `QUORUM_SEED` and `QUORUM_SCHEDULES` override the first seed and the
+/// count.
 ///
-/// Each run returns counts of what it reached; their sums come back after the number run.
+/// Each run returns counts of what it exercised. Returns the number of schedules run and the sums
+/// of these counts.
 pub fn run_schedules<const COUNTS: usize>(
     count: u64,
     run_schedule: impl Fn(u64) -> [u64; COUNTS] + Sync,
@@ -94,7 +97,8 @@
     thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
-                // Schedules take unlike times, so each thread takes the next that is free.
+                // Schedules differ in duration, so each thread takes the next one that is not
+                // taken.
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= first + count {
--- a/crates/masticsill_quorum/tests/storage.rs
+++ b/crates/masticsill_quorum/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder: what a crash, damage or a failing disk leaves of it.
+//! Recovery of a data folder after a crash, damage or a failing disk.
 
 mod simulation;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Writes and syncs each, one sync a write.
+/// Writes each of `writes`, with one sync per write.
 fn write_all(disk: &MemoryDisk, writes: &[Write]) {
     let (mut storage, _) = open(disk).unwrap();
     for (number, write) in (1..).zip(writes) {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_is_synced_is_read_back() {
+fn synced_writes_are_recovered() {
     let disk = MemoryDisk::default();
     let voted_for = Some(VoterId {
         name: node(),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_is_not_synced_is_forgotten() {
+fn unsynced_writes_are_lost_in_a_crash() {
     let disk = MemoryDisk::default();
     write_all(&disk, &[entries(1..=2, 1)]);
     let (mut storage, _) = open(&disk).unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_at_any_length_and_reported() {
+fn a_torn_tail_of_any_length_is_truncated_and_reported() {
     let disk = MemoryDisk::default();
     write_all(&disk, &[entries(1..=2, 1)]);
     let whole = size_bytes(&disk);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_last_record_or_a_tail_of_zeros_is_torn() {
+fn a_damaged_last_record_or_a_tail_of_zeros_counts_as_torn() {
     for is_zeros in [false, true] {
         let disk = MemoryDisk::default();
         write_all(&disk, &[entries(1..=2, 1)]);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn damage_before_the_last_record_refuses_to_start() {
+fn damage_before_the_last_record_fails_the_open() {
     let disk = MemoryDisk::default();
     write_all(&disk, &[entries(1..=2, 1)]);
     let whole = size_bytes(&disk);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_truncation_is_durable_before_the_snapshot_that_needs_it() {
+fn a_truncation_is_durable_before_the_snapshot_that_depends_on_it() {
     let disk = MemoryDisk::default();
     write_all(&disk, &[entries(1..=6, 1)]);
     let (mut storage, _) = open(&disk).unwrap();
@@ -280,7 +280,7 @@
     assert_matches!(again, Err(StorageError::NotNew));
 }
 
-/// A disk on which power is lost at one of its changes, before or after that.
+/// A disk that loses power after a number of changes: every later change fails.
 #[derive(Debug)]
 struct FaultyDisk {
     changes_left: usize,
@@ -293,7 +293,7 @@
         change: impl FnOnce(&mut MemoryDisk) -> io::Result<T>,
     ) -> io::Result<T> {
         let Some(left) = self.changes_left.checked_sub(1) else {
-            return Err(io::Error::other("power is lost"));
+            return Err(io::Error::other("the power was lost"));
         };
         self.changes_left = left;
         change(&mut self.disk)
@@ -330,8 +330,8 @@
     }
 }
 
-/// A folder that was founded with others, and has taken a term since.
-fn founded(disk: &MemoryDisk) -> VoterId {
+/// A founded folder that has stored a term since, and its identity.
+fn founded_folder(disk: &MemoryDisk) -> VoterId {
     let (mut storage, mut recovered) = open(disk).unwrap();
     let id = recovered.state.id.clone();
     let membership = Membership::from_voters([id.clone()]);
@@ -347,43 +347,43 @@
 }
 
 #[test]
-fn a_founding_that_is_given_up_leaves_a_new_folder_whenever_power_is_lost() {
+fn an_abandoned_founding_leaves_a_new_folder_whenever_power_is_lost() {
     for changes_left in 0..20 {
         let disk = MemoryDisk::default();
-        let id = founded(&disk);
+        let id = founded_folder(&disk);
         let faulty = FaultyDisk {
             changes_left,
             disk: disk.clone(),
         };
         let opened = Storage::open_with_disk(Box::new(faulty), "cluster", &node(), FolderId(8));
         let (mut storage, _) = opened.unwrap();
-        let given_up = storage.abandon_founding(FolderId(9));
+        let abandoned = storage.abandon_founding(FolderId(9));
         disk.crash(|_| 0);
         let reopened =
             Storage::open_with_disk(Box::new(disk.clone()), "cluster", &node(), FolderId(10));
         let (_, recovered) = reopened.unwrap();
         let state = recovered.state;
         if state.id == id {
-            // It was not begun: all is as before.
-            assert!(given_up.is_err() && state.snapshot.is_some() && state.term == Term(3));
+            // Abandoning has not started: the state is unchanged.
+            assert!(abandoned.is_err() && state.snapshot.is_some() && state.term == Term(3));
             continue;
         }
         assert_eq!(
             (state.snapshot, state.term, state.entries),
             (None, Term(0), Vec::new())
         );
-        if let Ok(given_up) = given_up {
-            assert_eq!(given_up.id, state.id);
+        if let Ok(abandoned) = abandoned {
+            assert_eq!(abandoned.id, state.id);
             return;
         }
     }
-    panic!("it is never whole");
+    panic!("abandoning did not complete within 20 changes");
 }
 
 #[test]
-fn a_folder_with_entries_is_not_given_up() {
+fn a_founding_on_a_folder_with_entries_is_not_abandoned() {
     let disk = MemoryDisk::default();
-    founded(&disk);
+    founded_folder(&disk);
     let (mut storage, _) = open(&disk).unwrap();
     storage.write(SyncPoint(1), &entries(1..=1, 3)).unwrap();
     assert_matches!(
@@ -398,14 +398,14 @@
 }
 
 #[test]
-fn a_file_system_folder_is_given_up() {
+fn a_founding_on_a_file_system_folder_is_abandoned() {
     let folder = tempfile::tempdir().unwrap();
     let (mut storage, mut recovered) = Storage::open(folder.path(), "cluster", &node()).unwrap();
     let membership = Membership::from_voters([recovered.state.id.clone()]);
     storage.found(&mut recovered.state, membership).unwrap();
     let state = storage.abandon_founding(FolderId(9)).unwrap();
     assert_eq!((state.id.folder, state.snapshot), (FolderId(9), None));
-    // What is written now must be in the new files.
+    // Later writes must go to the new files, not to a removed one that is still open.
     storage.write(SyncPoint(1), &entries(1..=2, 1)).unwrap();
     storage.sync().unwrap();
     drop(storage);
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn a_sole_voter_keeps_what_it_holds() {
+fn a_forced_sole_voter_keeps_its_log() {
     let disk = MemoryDisk::default();
     write_all(&disk, &[entries(1..=2, 1)]);
     let (mut storage, mut recovered) = open(&disk).unwrap();
--- a/crates/masticsill_quorum/tests/wire_form.rs
+++ b/crates/masticsill_quorum/tests/wire_form.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes.
+//! Encoding and decoding of messages.
 
 use std::sync::Arc;
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_message_comes_back_as_it_went() {
+fn every_message_round_trips() {
     let (term, index, last_term) = (Term(7), LogIndex(9), Term(6));
     let is_granted = true;
     let messages = [
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn messages_that_would_break_a_replica_are_refused() {
+fn invalid_memberships_and_entry_gaps_are_refused() {
     let mut twice = membership();
     twice.voters.push(id(3));
     let repeated = append(vec![entry(5, Payload::Membership(twice))]);
