--- a/crates/masticsill_quorum/src/founding.rs
+++ b/crates/masticsill_quorum/src/founding.rs
@@ -21,9 +21,9 @@
 /// Delay between one candidate's turn to found and the next one's, by rank, in case the earlier
 /// candidate does not act.
 const RANK_DELAY_MS: u64 = 700;
-/// Minimum time since its start before a process grants a reservation. A restarted process has lost
-/// the reservation that it held; after this time that founding is over, and its members have
-/// announced the cluster.
+/// Minimum age of a process that grants a reservation. A restart loses a reservation granted
+/// earlier; by this age the founding that held it is over, and its members have announced the
+/// cluster.
 const MIN_PROCESS_AGE_MS: u64 = 1_500;
 /// How long a reservation is valid: longer than [`FOUNDING_TIMEOUT_MS`] plus the time that the
 /// members need to store the founding state.
--- a/crates/masticsill_quorum/src/leader.rs
+++ b/crates/masticsill_quorum/src/leader.rs
@@ -127,9 +127,9 @@
     /// Payload of a leader's first entry: the founding membership if no log entry sets a membership
     /// yet, a no-op otherwise.
     ///
-    /// Without that, a founding member that has not stored the founding snapshot would accept
-    /// entries without knowing any member. If the other members were then lost, no leader could be
-    /// elected from its data.
+    /// Without the membership entry, a founding member that has not stored the founding snapshot
+    /// would accept entries without knowing any member. If the other members were then lost, no
+    /// leader could be elected from the data of that member.
     fn first_entry_payload(&self) -> Payload {
         match self.log.membership() {
             (LogIndex(0), membership) => Payload::Membership(membership.clone()),
--- a/crates/masticsill_quorum/src/settings.rs
+++ b/crates/masticsill_quorum/src/settings.rs
@@ -7,7 +7,7 @@
 pub struct ReplicaSettings {
     /// Interval between a leader's heartbeat rounds, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Age of the newest majority-acknowledged heartbeat round beyond which a leader steps down, in
+    /// Age of the newest quorum-acknowledged heartbeat round beyond which a leader steps down, in
     /// milliseconds.
     pub lease_ms: u64,
     /// Shortest election timeout, in milliseconds. A follower that heard from a leader within this
--- a/crates/masticsill_quorum/src/storage.rs
+++ b/crates/masticsill_quorum/src/storage.rs
@@ -144,7 +144,7 @@
         if !self.unwritten.is_empty() || self.segments.iter().any(has_entries) {
             return Err(StorageError::NotNew);
         }
-        let mut abandoned_state = None;
+        let mut new_state = None;
         self.run_checked(|storage| {
             storage.replace(ABANDON_MARKER_FILE, &[])?;
             let new_id = VoterId {
@@ -156,10 +156,10 @@
             storage.segments = segments;
             storage.point = SyncPoint::default();
             storage.is_pristine = true;
-            abandoned_state = Some(recovered.state);
+            new_state = Some(recovered.state);
             storage.ensure_open_segment()
         })?;
-        abandoned_state.ok_or(StorageError::Failed)
+        new_state.ok_or(StorageError::Failed)
     }
 
     /// Makes this replica the only voter, after the majority of the voters was lost permanently.
--- a/crates/masticsill_quorum/src/storage/space_wait.rs
+++ b/crates/masticsill_quorum/src/storage/space_wait.rs
@@ -50,7 +50,7 @@
 
 impl<D: fmt::Debug> fmt::Debug for SpaceWaitDisk<D> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The type is shown under the name that debug output has always had.
+        // A fixed name in the debug output, which does not follow the name of the type.
         let mut shown = formatter.debug_struct("PatientDisk");
         shown.field("disk", &self.disk).finish_non_exhaustive()
     }
@@ -121,7 +121,7 @@
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         let before_bytes = self.size_bytes(file)?;
         let undo = |disk: &mut D| {
-            // A failed truncation is not reported here: the next append to the same file fails too.
+            // A failed truncation is ignored: its cause shows at the next append to the same file.
             let _ = disk.truncate(file, before_bytes);
         };
         self.retry_while_full(file, |disk| disk.append(file, bytes), undo)?;
