--- a/crates/masticsill_quorum/src/replica.rs
+++ b/crates/masticsill_quorum/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica's state and the step that drives it.
+//! A replica's state and the step function that drives it.
 
 use std::mem;
 
@@ -15,12 +15,12 @@
     StoredState, SyncPoint, VoterId, Write,
 };
 
-/// What a replica does in its term.
+/// A replica's role with the state specific to it.
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Candidate {
         granted: Vec<VoterId>,
-        stood_at: ClockMs,
+        election_started_at: ClockMs,
     },
     Follower,
     Leader(Box<LeaderState>),
@@ -29,7 +29,7 @@
     },
 }
 
-/// One replica of the log, without sockets, threads or files.
+/// One replica of the log, as a pure state machine without sockets, threads or files.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) id: VoterId,
@@ -41,24 +41,27 @@
     pub(crate) commit: LogIndex,
     pub(crate) role: RoleState,
     pub(crate) leader: Option<VoterId>,
-    /// When a leader was last heard; a start counts, for what was heard before it is forgotten.
-    pub(crate) heard_leader_at: ClockMs,
+    /// When a leader was last heard from. Set to the start time initially, because contacts before
+    /// a restart are not known.
+    pub(crate) leader_heard_at: ClockMs,
     pub(crate) election_due: ClockMs,
     pub(crate) incoming: Option<IncomingSnapshot>,
-    pub(crate) is_snapshot_asked: bool,
+    pub(crate) is_snapshot_requested: bool,
     pub(crate) outputs: Vec<Output>,
     random: ChaCha8Rng,
 }
 
 impl Replica {
-    /// A replica that starts from its data folder at `now`; `seed` varies its election timeouts.
+    /// Creates a replica from the state of its data folder at `now`. `seed` randomizes its election
+    /// timeouts.
     ///
-    /// The caller restores its own state from `stored.snapshot` first. Committed entries after
-    /// the snapshot are given out again.
+    /// The caller must first restore its own state from `stored.snapshot`. Committed entries after
+    /// the snapshot are returned again by [`Output::Apply`].
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] when the settings can't keep the lease.
+    /// [`SettingsError`] if the settings are inconsistent, for example if the lease could outlast
+    /// an election timeout.
     pub fn new(
         settings: ReplicaSettings,
         stored: StoredState,
@@ -77,23 +80,24 @@
             voted_for: stored.voted_for,
             role: RoleState::Follower,
             leader: None,
-            heard_leader_at: now,
+            leader_heard_at: now,
             election_due: now,
             incoming: None,
-            is_snapshot_asked: false,
+            is_snapshot_requested: false,
             outputs: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         };
-        replica.delay_election(now);
+        replica.reset_election_timer(now);
         Ok(replica)
     }
 
-    /// Tells the replica something at `now` and returns what it asks for, in order.
+    /// Handles an input at time `now` and returns the resulting outputs, to be performed in order.
     ///
-    /// A leader's lease is checked before anything else, so that a pause is noticed first.
+    /// A leader's lease is checked before the input is handled, so that a leader resuming from a
+    /// pause steps down first.
     pub fn step(&mut self, now: ClockMs, input: Input) -> Vec<Output> {
-        self.stop_past_lease(now);
-        self.stop_late_candidate(now);
+        self.step_down_if_lease_expired(now);
+        self.step_down_if_election_expired(now);
         match input {
             Input::ChangeMembership { token, change } => {
                 self.change_membership(now, token, &change);
@@ -101,8 +105,8 @@
             Input::Message(envelope) => self.receive(now, envelope),
             Input::Propose { proposals } => self.propose(proposals),
             Input::ReadIndex { token } => self.read_index(now, token),
-            Input::SnapshotTaken { index, data } => self.take_snapshot(index, data),
-            Input::SyncDone { up_to } => self.finish_sync(now, up_to),
+            Input::SnapshotTaken { index, data } => self.store_snapshot(index, data),
+            Input::SyncDone { up_to } => self.handle_sync_done(now, up_to),
             Input::Tick => self.tick(now),
             Input::TransferLeadership { target } => self.transfer_leadership(now, target.as_ref()),
         }
@@ -121,13 +125,13 @@
         self.term
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// The last entry in the log, committed or not.
+    /// Index of the last entry in the log, committed or not.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
@@ -145,7 +149,8 @@
         self.leader.as_ref()
     }
 
-    /// What the replica is. Whether a leader's lease still runs is told by `confirmed_as_of`.
+    /// The replica's role. A leader's lease may have expired since the last step: check
+    /// [`Self::lease_confirmed_at`].
     #[must_use]
     pub fn role(&self) -> Role {
         match self.role {
@@ -160,22 +165,23 @@
         match self.role {
             RoleState::Leader(_) => self.tick_leader(now),
             RoleState::Candidate { .. } | RoleState::Follower | RoleState::PreCandidate { .. } => {
-                self.stand_if_due(now);
+                self.start_pre_vote_if_due(now);
             }
         }
     }
 
     fn receive(&mut self, now: ClockMs, envelope: Envelope) {
-        // A message for a lost folder's identity must not reach its successor.
+        // A message addressed to the identity of a lost folder must not be handled by the replica
+        // that replaced it.
         if envelope.to != self.id || envelope.from == self.id {
             return;
         }
         let Envelope { from, message, .. } = envelope;
-        if message.term() > self.term && !self.enters_term_of(now, &from, &message) {
+        if message.term() > self.term && !self.enter_message_term(now, &from, &message) {
             return;
         }
         if message.term() < self.term {
-            self.answer_old_term(from, &message);
+            self.reply_to_old_term(from, &message);
             return;
         }
         match message {
@@ -199,29 +205,29 @@
             | Message::SnapshotChunk { .. }
             | Message::TimeoutNow { .. } => self.follow(now, from, message),
             Message::AppendAccepted { match_index, .. } => {
-                self.note_accepted(now, &from, match_index);
+                self.handle_append_accepted(now, &from, match_index);
             }
             Message::AppendRejected {
                 previous_index,
                 hint,
                 ..
-            } => self.note_rejected(now, &from, previous_index, hint),
+            } => self.handle_append_rejected(now, &from, previous_index, hint),
             Message::HeartbeatAcknowledged { round, .. } => {
-                self.note_acknowledged(now, &from, round);
+                self.handle_heartbeat_acknowledged(now, &from, round);
             }
             Message::SnapshotProgress {
                 index,
                 next_offset_bytes,
                 ..
-            } => self.note_snapshot_progress(now, &from, index, next_offset_bytes),
+            } => self.handle_snapshot_progress(now, &from, index, next_offset_bytes),
         }
     }
 
-    fn finish_sync(&mut self, now: ClockMs, up_to: SyncPoint) {
-        self.durability.sync(up_to);
-        while let Some(deferred) = self.durability.release() {
+    fn handle_sync_done(&mut self, now: ClockMs, up_to: SyncPoint) {
+        self.durability.mark_synced(up_to);
+        while let Some(deferred) = self.durability.pop_ready() {
             match deferred {
-                Deferred::OwnEntry { index, term } => self.note_own_entry(index, term),
+                Deferred::OwnEntry { index, term } => self.record_own_synced_entry(index, term),
                 Deferred::OwnVote { term } if term == self.term => {
                     let own = self.id.clone();
                     self.count_vote(now, own, true);
@@ -235,18 +241,19 @@
         self.advance_commit();
     }
 
-    fn note_own_entry(&mut self, index: LogIndex, term: Term) {
-        // An entry that was replaced meanwhile has another term.
+    fn record_own_synced_entry(&mut self, index: LogIndex, term: Term) {
+        // An entry that was replaced in the meantime has another term.
         if self.log.term(index) == Some(term) {
-            self.durability.raise(index);
+            self.durability.raise_synced_index(index);
         }
     }
 
-    /// Asks for a write and holds the replica's own count of the log until it is synced.
+    /// Requests a durable write. The replica counts its own entries and vote only after the sync;
+    /// see [`Deferred`].
     pub(crate) fn persist(&mut self, write: Write) {
         let point = self.durability.next_point();
         if matches!(write, Write::Vote { .. }) {
-            self.durability.note_term_write();
+            self.durability.mark_term_write();
         }
         self.outputs.push(Output::Persist { point, write });
     }
@@ -266,20 +273,20 @@
         }
     }
 
-    /// Sends a message that relies on nothing unsynced.
+    /// Sends a message that depends on no unsynced write.
     pub(crate) fn send(&mut self, to: VoterId, message: Message) {
         let envelope = self.envelope(to, message);
         self.outputs.push(Output::Send(envelope));
     }
 
-    /// Sends a message once every write asked for so far is synced.
+    /// Sends a message once every write requested so far is synced.
     pub(crate) fn send_when_synced(&mut self, to: VoterId, message: Message) {
         let envelope = self.envelope(to, message);
         self.durability.defer(Deferred::Send(envelope));
     }
 
     /// Sends a message once the current term is synced.
-    pub(crate) fn send_in_term(&mut self, to: VoterId, message: Message) {
+    pub(crate) fn send_when_term_synced(&mut self, to: VoterId, message: Message) {
         if self.durability.is_term_synced() {
             self.send(to, message);
         } else {
@@ -287,7 +294,7 @@
         }
     }
 
-    /// Enters a higher term without a vote in it.
+    /// Enters a higher term as a follower that has not voted in it.
     pub(crate) fn enter_term(&mut self, now: ClockMs, term: Term) {
         self.term = term;
         self.voted_for = None;
@@ -295,15 +302,15 @@
         self.become_follower(now, None);
     }
 
-    /// Gives up any other role; what callers wait for is answered.
+    /// Becomes a follower. A leader first answers its pending requests.
     pub(crate) fn become_follower(&mut self, now: ClockMs, leader: Option<VoterId>) {
         let was_leader = matches!(self.role, RoleState::Leader(_));
         let previous = mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(state) = previous {
-            self.answer_abandoned(*state);
+            self.fail_pending_requests(*state);
         }
         if was_leader || leader.is_some() || self.leader.is_some() {
-            self.delay_election(now);
+            self.reset_election_timer(now);
         }
         self.leader = leader;
         self.incoming = None;
@@ -311,26 +318,26 @@
     }
 
     pub(crate) fn report_role(&mut self) {
-        self.outputs.push(Output::Became {
+        self.outputs.push(Output::RoleChanged {
             role: self.role(),
             term: self.term,
             leader: self.leader.clone(),
         });
     }
 
-    pub(crate) fn delay_election(&mut self, now: ClockMs) {
+    pub(crate) fn reset_election_timer(&mut self, now: ClockMs) {
         let range = self.settings.election_min_ms..=self.settings.election_max_ms;
         let delay_ms = self.random.random_range(range);
         self.election_due = now + delay_ms;
     }
 
-    pub(crate) fn retry_election_soon(&mut self, now: ClockMs) {
+    pub(crate) fn set_short_election_timer(&mut self, now: ClockMs) {
         let shortest_ms = self.settings.heartbeat_ms;
         let delay_ms = self.random.random_range(shortest_ms..=shortest_ms * 3);
         self.election_due = now + delay_ms;
     }
 
-    /// Raises the commit index and gives out what it newly covers.
+    /// Advances the commit index and outputs the newly committed entries.
     pub(crate) fn commit_up_to(&mut self, index: LogIndex) {
         let index = index.min(self.log.last_index());
         if index <= self.commit {
@@ -338,7 +345,7 @@
         }
         let entries = self.log.between(self.commit, index);
         self.commit = index;
-        self.outputs.push(Output::Commit { entries });
-        self.ask_for_snapshot();
+        self.outputs.push(Output::Apply { entries });
+        self.request_snapshot_if_due();
     }
 }
--- a/crates/masticsill_quorum/src/storage.rs
+++ b/crates/masticsill_quorum/src/storage.rs
@@ -1,16 +1,16 @@
 //! A replica's data folder: identity, vote, snapshot and the log in segments.
 //!
-//! Every file is made of checksummed frames. The log is only ever appended to: one frame a sync,
-//! and a truncation is a record like any other. A failed write or sync is final: what the disk
-//! holds is not known then, so nothing more is written until the process has read it again.
+//! Every file consists of checksummed frames. The log is append-only, with one frame per sync; a
+//! truncation is a log record too. A failed write or sync is final: the state of the disk is then
+//! unknown, so nothing more is written until a restarted process has read the folder again.
 
 mod disk;
 mod error;
 mod frame;
 mod open;
-mod patience;
 mod record;
 mod replay;
+mod space_wait;
 
 use std::path::Path;
 
@@ -27,16 +27,17 @@
 
 pub use disk::{Disk, FileDisk};
 pub use error::StorageError;
-pub use open::{Recovered, TornTail};
-pub use patience::{Patience, PatientDisk};
+pub use open::{RecoveredStorage, TornTail};
+pub use space_wait::{SpaceWaitCanceller, SpaceWaitDisk};
 
 pub(crate) const IDENTITY_FILE: &str = "identity";
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
 pub(crate) const VOTE_FILE: &str = "vote";
-/// Stands while the folder is emptied, so that a power loss leaves no half of it in use.
-pub(crate) const GIVEN_UP_FILE: &str = "given_up";
-/// Size from which a new segment is begun.
-const SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
+/// Marker file that exists while the folder is being emptied, so that a folder left half emptied by
+/// a power loss is not used.
+pub(crate) const ABANDON_MARKER_FILE: &str = "given_up";
+/// Size at which a segment is closed and a new one is started.
+const SEGMENT_ROLLOVER_BYTES: u64 = 4 * 1024 * 1024;
 
 /// A replica's data folder, open for writing.
 #[derive(Debug)]
@@ -45,46 +46,47 @@
     disk: Box<dyn Disk>,
     id: VoterId,
     segments: Vec<Segment>,
-    /// Records that the next sync writes.
+    /// Records that the next sync will write.
     unwritten: Vec<LogRecord>,
     highest_unwritten: LogIndex,
     point: SyncPoint,
     is_pristine: bool,
     is_failed: bool,
-    patience: Patience,
+    space_wait_canceller: SpaceWaitCanceller,
 }
 
 impl Storage {
-    /// Opens the data folder of a node, or creates it with a new identity.
+    /// Opens the data folder of a node, or creates it with a new random identity. Writes wait while
+    /// the disk is full; see [`Self::space_wait_canceller`].
     ///
     /// # Errors
     ///
-    /// [`StorageError`] that names the file and the remedy.
+    /// [`StorageError`], naming the file and the remedy.
     pub fn open(
         folder: &Path,
         cluster: &str,
         node: &NodeId,
-    ) -> Result<(Self, Recovered), StorageError> {
-        let disk = PatientDisk::new(FileDisk::open(folder)?);
-        let patience = disk.patience();
-        let opened = Self::open_on(Box::new(disk), cluster, node, FolderId(rand::random()));
+    ) -> Result<(Self, RecoveredStorage), StorageError> {
+        let disk = SpaceWaitDisk::new(FileDisk::open(folder)?);
+        let space_wait_canceller = disk.space_wait_canceller();
+        let opened = Self::open_with_disk(Box::new(disk), cluster, node, FolderId(rand::random()));
         let (mut storage, recovered) = opened?;
-        storage.patience = patience;
+        storage.space_wait_canceller = space_wait_canceller;
         Ok((storage, recovered))
     }
 
-    /// Opens the data folder behind `disk`, or creates it with the identity `new_folder`, which
-    /// must be random.
+    /// Opens the data folder on `disk`, or creates it with the identity `new_folder`, which must be
+    /// random.
     ///
     /// # Errors
     ///
-    /// [`StorageError`] that names the file and the remedy.
-    pub fn open_on(
+    /// [`StorageError`], naming the file and the remedy.
+    pub fn open_with_disk(
         mut disk: Box<dyn Disk>,
         cluster: &str,
         node: &NodeId,
         new_folder: FolderId,
-    ) -> Result<(Self, Recovered), StorageError> {
+    ) -> Result<(Self, RecoveredStorage), StorageError> {
         let new_id = VoterId {
             name: node.clone(),
             folder: new_folder,
@@ -101,18 +103,19 @@
             point: SyncPoint::default(),
             is_pristine: is_pristine(state),
             is_failed: false,
-            patience: Patience::default(),
+            space_wait_canceller: SpaceWaitCanceller::default(),
         };
-        storage.prepare_segment()?;
+        storage.ensure_open_segment()?;
         Ok((storage, recovered))
     }
 
-    /// Makes a new folder one of the founding members of a new cluster. Every founding member is
-    /// given the same membership, once.
+    /// Makes a new folder a founding member of a new cluster. Every founding member must be given
+    /// the same membership, once.
     ///
     /// # Errors
     ///
-    /// [`StorageError::NotNew`] when the folder holds a log or snapshot.
+    /// [`StorageError::NotNew`] if the folder holds a log, a term or a snapshot; [`StorageError`]
+    /// if the write fails.
     pub fn found(
         &mut self,
         state: &mut StoredState,
@@ -122,28 +125,28 @@
             return Err(StorageError::NotNew);
         }
         let snapshot = Snapshot::founding(membership);
-        self.guarded(|storage| storage.write_snapshot(snapshot.clone()))?;
+        self.run_checked(|storage| storage.write_snapshot(snapshot.clone()))?;
         state.snapshot = Some(snapshot);
         Ok(())
     }
 
-    /// Gives up a founding: the folder gets the new identity `new_folder`, which must be random,
-    /// and belongs to no cluster.
+    /// Abandons a founding: empties the folder and gives it the new identity `new_folder`, which
+    /// must be random. The folder then belongs to no cluster.
     ///
-    /// It may be done where the log was never begun: no entry counts on this folder then, and its
+    /// This is safe as long as the log is empty: no committed entry depends on this folder, and its
     /// old identity never votes again, as if the disk had been lost.
     ///
     /// # Errors
     ///
-    /// [`StorageError::NotNew`] when the folder holds an entry; [`StorageError`] of the writes.
-    pub fn give_up(&mut self, new_folder: FolderId) -> Result<StoredState, StorageError> {
+    /// [`StorageError::NotNew`] if the folder holds an entry; [`StorageError`] if a write fails.
+    pub fn abandon_founding(&mut self, new_folder: FolderId) -> Result<StoredState, StorageError> {
         let has_entries = |segment: &Segment| segment.highest_index > LogIndex(0);
         if !self.unwritten.is_empty() || self.segments.iter().any(has_entries) {
             return Err(StorageError::NotNew);
         }
-        let mut given = None;
-        self.guarded(|storage| {
-            storage.replace(GIVEN_UP_FILE, &[])?;
+        let mut new_state = None;
+        self.run_checked(|storage| {
+            storage.replace(ABANDON_MARKER_FILE, &[])?;
             let new_id = VoterId {
                 name: storage.id.name.clone(),
                 folder: new_folder,
@@ -153,20 +156,20 @@
             storage.segments = segments;
             storage.point = SyncPoint::default();
             storage.is_pristine = true;
-            given = Some(recovered.state);
-            storage.prepare_segment()
+            new_state = Some(recovered.state);
+            storage.ensure_open_segment()
         })?;
-        given.ok_or(StorageError::Failed)
+        new_state.ok_or(StorageError::Failed)
     }
 
-    /// Makes this replica the only voter, after the majority of the voters was lost for good.
+    /// Makes this replica the only voter, after the majority of the voters was lost permanently.
     ///
-    /// What the lost voters had accepted and this one had not received is lost. The folders of all
-    /// other voters must never be used again: they would be a second cluster.
+    /// Entries that the lost voters had accepted and this replica had not received are lost. The
+    /// data folders of all other voters must never be used again: they would form a second cluster.
     ///
     /// # Errors
     ///
-    /// [`StorageError`] of the writes.
+    /// [`StorageError`] if a write fails.
     pub fn force_sole_voter(&mut self, state: &mut StoredState) -> Result<(), StorageError> {
         let snapshot_index = state.snapshot.as_ref().map_or(LogIndex(0), |it| it.index);
         let last_index = state.entries.last().map_or(snapshot_index, |it| it.index);
@@ -174,7 +177,7 @@
         let entry = Entry {
             index: last_index.next(),
             term,
-            payload: Payload::Membership(Membership::of_voters([self.id.clone()])),
+            payload: Payload::Membership(Membership::from_voters([self.id.clone()])),
         };
         let vote = Write::Vote {
             term,
@@ -193,18 +196,18 @@
         Ok(())
     }
 
-    /// Takes a write; it is durable after the next [`Self::sync`].
+    /// Accepts a write, which is durable after the next [`Self::sync`].
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; the storage refuses everything after it.
+    /// [`StorageError`]; after any error the storage refuses every operation.
     pub fn write(&mut self, point: SyncPoint, write: &Write) -> Result<(), StorageError> {
         self.is_pristine = false;
         match write {
-            Write::Append { entries } => self.hold_entries(entries),
+            Write::Append { entries } => self.buffer_entries(entries),
             Write::Snapshot { snapshot } => {
                 let snapshot = snapshot.clone();
-                self.guarded(|storage| storage.write_snapshot(snapshot))?;
+                self.run_checked(|storage| storage.write_snapshot(snapshot))?;
             }
             Write::TruncateFrom { index } => {
                 self.unwritten.push(LogRecord::TruncateFrom(index.0));
@@ -214,44 +217,45 @@
                     term: term.0,
                     voted_for: voted_for.clone().map(WireVoterId::from),
                 };
-                self.guarded(|storage| storage.replace(VOTE_FILE, &encode_record(&record)))?;
+                self.run_checked(|storage| storage.replace(VOTE_FILE, &encode_record(&record)))?;
             }
         }
         self.point = point;
         Ok(())
     }
 
-    /// Makes every write taken so far durable and returns the point of the last.
+    /// Makes every write accepted so far durable and returns the point of the last one.
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; the storage refuses everything after it.
+    /// [`StorageError`]; after any error the storage refuses every operation.
     pub fn sync(&mut self) -> Result<SyncPoint, StorageError> {
-        self.guarded(Self::flush)?;
+        self.run_checked(Self::flush)?;
         Ok(self.point)
     }
 
-    /// The identity that the folder gives the replica.
+    /// The replica's identity, as stored in the folder.
     #[must_use]
     pub fn id(&self) -> &VoterId {
         &self.id
     }
 
-    /// What ends this storage's waits for space; a write that is given up is a failure.
+    /// A handle that cancels this storage's waits for disk space. A cancelled write fails, which is
+    /// final.
     #[must_use]
-    pub fn patience(&self) -> Patience {
-        self.patience.clone()
+    pub fn space_wait_canceller(&self) -> SpaceWaitCanceller {
+        self.space_wait_canceller.clone()
     }
 
-    /// Runs an operation unless an earlier one failed; a failure is final.
-    fn guarded(
+    /// Runs an operation unless an earlier one failed. A failure is final.
+    fn run_checked(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
         if self.is_failed {
             return Err(StorageError::Failed);
         }
-        // A sync that failed once may succeed when asked again although data is lost.
+        // A sync that is retried after a failure may succeed although data was lost.
         let done = operation(self);
         if let Err(error) = &done {
             self.is_failed = true;
@@ -260,7 +264,7 @@
         done
     }
 
-    fn hold_entries(&mut self, entries: &[Entry]) {
+    fn buffer_entries(&mut self, entries: &[Entry]) {
         let records = entries.iter().cloned().map(WireEntry::from);
         self.unwritten.extend(records.map(LogRecord::Append));
         if let Some(last) = entries.last() {
@@ -283,8 +287,8 @@
         segment.size_bytes += frame.len() as u64;
         let (sequence, size_bytes) = (segment.sequence, segment.size_bytes);
         self.append(sequence, &frame)?;
-        if size_bytes >= SEGMENT_BYTES {
-            self.begin_segment(sequence + 1)?;
+        if size_bytes >= SEGMENT_ROLLOVER_BYTES {
+            self.start_segment(sequence + 1)?;
         }
         Ok(())
     }
@@ -302,19 +306,19 @@
         replaced.map_err(StorageError::io("replace", file))
     }
 
-    /// Begins the first segment, or begins the last one again if nothing of it was whole.
-    fn prepare_segment(&mut self) -> Result<(), StorageError> {
+    /// Starts the first segment, or restarts the last one if it holds no complete record.
+    fn ensure_open_segment(&mut self) -> Result<(), StorageError> {
         match self.segments.last().copied() {
-            None => self.begin_segment(1),
+            None => self.start_segment(1),
             Some(last) if last.size_bytes == 0 => {
                 self.segments.pop();
-                self.begin_segment(last.sequence)
+                self.start_segment(last.sequence)
             }
             Some(_) => Ok(()),
         }
     }
 
-    fn begin_segment(&mut self, sequence: u64) -> Result<(), StorageError> {
+    fn start_segment(&mut self, sequence: u64) -> Result<(), StorageError> {
         let start = LogRecord::SegmentStart {
             folder: self.id.folder.0,
             sequence,
@@ -329,16 +333,16 @@
         Ok(())
     }
 
-    /// Writes a snapshot, then drops the segments that it covers.
+    /// Writes a snapshot, then removes the segments that it covers.
     fn write_snapshot(&mut self, snapshot: Snapshot) -> Result<(), StorageError> {
-        // A truncation that the snapshot relies on must be durable before it.
+        // A truncation that the snapshot depends on must be durable before the snapshot is.
         self.flush()?;
         let index = snapshot.index;
         let bytes = encode_record(&WireSnapshot::from(snapshot));
         self.replace(SNAPSHOT_FILE, &bytes)?;
         let last = self.segments.last().copied();
         if let Some(last) = last.filter(|it| it.highest_index > LogIndex(0)) {
-            self.begin_segment(last.sequence + 1)?;
+            self.start_segment(last.sequence + 1)?;
         }
         while self.segments.len() > 1 && self.segments[0].highest_index <= index {
             let file = segment_name(self.segments.remove(0).sequence);
@@ -349,7 +353,7 @@
     }
 }
 
-/// Whether a folder has never taken part in anything.
+/// Whether a folder holds no snapshot, no entry and no term.
 fn is_pristine(state: &StoredState) -> bool {
     state.snapshot.is_none() && state.entries.is_empty() && state.term == Term::default()
 }
--- a/crates/masticsill_quorum/src/storage/patience.rs
+++ b/crates/masticsill_quorum/src/storage/space_wait.rs
@@ -1,9 +1,9 @@
-//! A disk that waits while the one below it is full.
+//! A disk wrapper that retries writes while the underlying disk is full.
 //!
-//! A full disk is no reason to end: nothing is acknowledged meanwhile, while heartbeats and reads
-//! go on, and the replica is whole again as soon as there is space. What a refused append left
-//! behind is cut before it is tried again, so that no half record stands in the log. A process that
-//! ends gives up waiting; what it could not write never counted.
+//! A full disk need not stop the process: no write is acknowledged in the meantime, heartbeats and
+//! reads continue, and the replica recovers as soon as space is available. Bytes left by a failed
+//! append are truncated before the retry, so that the log contains no partial record. A process
+//! that shuts down cancels the wait; the write that it could not complete was never acknowledged.
 
 use std::fmt;
 use std::io;
@@ -18,61 +18,63 @@
 use crate::events;
 use crate::storage::Disk;
 
-/// Pause between tries.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Interval between retries of a write while the disk is full.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Lets a process that ends give up waiting for space. Copies share one state.
+/// Cancels waits for disk space when the process shuts down. Clones share one state.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
-    is_over: Arc<AtomicBool>,
+pub struct SpaceWaitCanceller {
+    is_cancelled: Arc<AtomicBool>,
 }
 
-impl Patience {
-    /// Lets every write for which there is no space be refused from now on.
-    pub fn end(&self) {
-        self.is_over.store(true, Ordering::Release);
+impl SpaceWaitCanceller {
+    /// Makes every current and later write that finds no space fail instead of waiting.
+    pub fn cancel(&self) {
+        self.is_cancelled.store(true, Ordering::Release);
     }
 
-    fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Acquire)
+    fn is_cancelled(&self) -> bool {
+        self.is_cancelled.load(Ordering::Acquire)
     }
 }
 
-/// A disk that waits for space. It blocks its caller, which must be a thread of its own.
-pub struct PatientDisk<D> {
+/// A disk that retries writes until there is space. It blocks the calling thread, which must be a
+/// dedicated one.
+pub struct SpaceWaitDisk<D> {
     disk: D,
-    patience: Patience,
-    /// Sizes of the files that were appended to, as far as every append was whole.
+    space_wait_canceller: SpaceWaitCanceller,
+    /// Sizes of the files appended to, counting complete appends only.
     sizes_bytes: IndexMap<String, u64>,
-    wait: fn(Duration),
+    sleep_fn: fn(Duration),
 }
 
-impl<D: fmt::Debug> fmt::Debug for PatientDisk<D> {
+impl<D: fmt::Debug> fmt::Debug for SpaceWaitDisk<D> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // A fixed name in the debug output, which does not follow the name of the type.
         let mut shown = formatter.debug_struct("PatientDisk");
         shown.field("disk", &self.disk).finish_non_exhaustive()
     }
 }
 
-impl<D: Disk> PatientDisk<D> {
-    /// Waits on the thread that writes.
+impl<D: Disk> SpaceWaitDisk<D> {
+    /// Wraps a disk; retries sleep on the writing thread.
     pub fn new(disk: D) -> Self {
-        Self::waiting_by(disk, thread::sleep)
+        Self::with_sleep(disk, thread::sleep)
     }
 
-    /// The same with another way to wait, for tests.
-    pub fn waiting_by(disk: D, wait: fn(Duration)) -> Self {
+    /// Like [`Self::new`], with a replacement for the sleep, for tests.
+    pub fn with_sleep(disk: D, sleep_fn: fn(Duration)) -> Self {
         Self {
             disk,
-            patience: Patience::default(),
+            space_wait_canceller: SpaceWaitCanceller::default(),
             sizes_bytes: IndexMap::new(),
-            wait,
+            sleep_fn,
         }
     }
 
-    /// What ends its waits.
-    pub fn patience(&self) -> Patience {
-        self.patience.clone()
+    /// A handle that cancels this disk's waits.
+    pub fn space_wait_canceller(&self) -> SpaceWaitCanceller {
+        self.space_wait_canceller.clone()
     }
 
     fn size_bytes(&mut self, file: &str) -> io::Result<u64> {
@@ -83,46 +85,46 @@
         Ok(content.len() as u64)
     }
 
-    /// Runs a write until the disk is no longer full or patience is over; `undo` removes what a
-    /// refused one left.
-    fn until_space(
+    /// Retries a write until the disk is no longer full or the wait is cancelled. `undo` removes
+    /// what a failed attempt left behind.
+    fn retry_while_full(
         &mut self,
         file: &str,
         write: impl Fn(&mut D) -> io::Result<()>,
         undo: impl Fn(&mut D),
     ) -> io::Result<()> {
-        let mut is_said = false;
+        let mut is_full_logged = false;
         loop {
             let refused = match write(&mut self.disk) {
                 Err(error) if error.kind() == io::ErrorKind::StorageFull => error,
                 done => {
-                    if is_said {
+                    if is_full_logged {
                         log_event!(info, events::DISK_HAS_SPACE, file = file);
                     }
                     return done;
                 }
             };
             undo(&mut self.disk);
-            if self.patience.is_over() {
+            if self.space_wait_canceller.is_cancelled() {
                 return Err(refused);
             }
-            if !is_said {
+            if !is_full_logged {
                 log_event!(warn, events::DISK_FULL, file = file);
             }
-            is_said = true;
-            (self.wait)(PAUSE);
+            is_full_logged = true;
+            (self.sleep_fn)(RETRY_INTERVAL);
         }
     }
 }
 
-impl<D: Disk> Disk for PatientDisk<D> {
+impl<D: Disk> Disk for SpaceWaitDisk<D> {
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         let before_bytes = self.size_bytes(file)?;
         let undo = |disk: &mut D| {
-            // A cut that fails shows at the next append, which is tried on the same file.
+            // A failed truncation is ignored: its cause shows at the next append to the same file.
             let _ = disk.truncate(file, before_bytes);
         };
-        self.until_space(file, |disk| disk.append(file, bytes), undo)?;
+        self.retry_while_full(file, |disk| disk.append(file, bytes), undo)?;
         let size_bytes = before_bytes + bytes.len() as u64;
         self.sizes_bytes.insert(file.to_owned(), size_bytes);
         Ok(())
@@ -144,7 +146,7 @@
     fn replace(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         self.sizes_bytes.swap_remove(file);
         // A refused replacement leaves the file as it was.
-        self.until_space(file, |disk| disk.replace(file, bytes), |_| {})
+        self.retry_while_full(file, |disk| disk.replace(file, bytes), |_| {})
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
