--- a/crates/masticsill_routing/src/endpoint.rs
+++ b/crates/masticsill_routing/src/endpoint.rs
@@ -235,7 +235,7 @@
 
     fn evict_freed(&mut self, now: ClockMs) {
         self.freed_at
-            .retain(|left| now.since(*left) <= FREED_SLOT_HOLD_MS);
+            .retain(|freed_at| now.since(*freed_at) <= FREED_SLOT_HOLD_MS);
     }
 
     fn note(&mut self, at: ClockMs, class: Class, kind: EventKind) {
@@ -289,13 +289,15 @@
         };
         match class {
             Class::InstantLookup => {
-                let moved = reported.load.running + reported.started_since.lookups;
-                let left = moved.saturating_sub(reported.ended_since.lookups);
-                left.max(self.in_flight.lookups)
+                let with_started = reported.load.running + reported.started_since.lookups;
+                let remaining = with_started.saturating_sub(reported.ended_since.lookups);
+                remaining.max(self.in_flight.lookups)
             }
             Class::PatientDraft => {
-                let moved = reported.total_reported() + reported.started_since.total();
-                moved.saturating_sub(reported.ended_since.total()).max(own)
+                let with_started = reported.total_reported() + reported.started_since.total();
+                with_started
+                    .saturating_sub(reported.ended_since.total())
+                    .max(own)
             }
         }
     }
@@ -347,11 +349,11 @@
         let claims = entry_rank
             .share_of(free, self.hash)
             .saturating_sub(reported.claimed_since);
-        let left = self
+        let reusable = self
             .freed_at
             .iter()
-            .filter(|left| now.since(**left) <= FREED_SLOT_HOLD_MS);
-        claims + u32::try_from(left.count()).unwrap_or(u32::MAX)
+            .filter(|freed_at| now.since(**freed_at) <= FREED_SLOT_HOLD_MS);
+        claims + u32::try_from(reusable.count()).unwrap_or(u32::MAX)
     }
 
     /// Slots that are not reserved for lookups.
