--- a/crates/masticsill_routing/src/lane.rs
+++ b/crates/masticsill_routing/src/lane.rs
@@ -44,9 +44,7 @@
     ) -> Option<(WorkRequest, T)> {
         for index in 0..self.resumes.len() {
             match try_start(&self.resumes[index].request) {
-                StartAttempt::Started(started) => {
-                    return Some((self.remove_resume(index), started));
-                }
+                StartAttempt::Started(started) => return Some((self.take_resume(index), started)),
                 StartAttempt::Skipped => {}
                 StartAttempt::Stopped => return None,
             }
@@ -60,7 +58,7 @@
             .resumes
             .iter()
             .position(|waiting| waiting.expires_at <= now)?;
-        Some(self.remove_resume(index))
+        Some(self.take_resume(index))
     }
 
     /// Removes a resume that its caller cancelled. Returns whether it was queued.
@@ -69,11 +67,11 @@
         let Some(index) = waiting.position(|waiting| waiting.request.id == id) else {
             return false;
         };
-        self.remove_resume(index);
+        self.take_resume(index);
         true
     }
 
-    fn remove_resume(&mut self, index: usize) -> WorkRequest {
+    fn take_resume(&mut self, index: usize) -> WorkRequest {
         let waiting = self
             .resumes
             .remove(index)
