--- a/crates/masticsill/src/settings_map.rs
+++ b/crates/masticsill/src/settings_map.rs
@@ -55,7 +55,7 @@
         }
     };
     let mut limits = AgentLimits::default();
-    limits.book.orphan_ms = agent.orphan_ms;
+    limits.generations.orphan_ms = agent.orphan_ms;
     limits.calls.key_window_ms = CALL_WINDOW_MS;
     limits.drain_ms = agent.drain_ms;
     AgentConfig {
--- a/crates/masticsill_agent/examples/agent_load.rs
+++ b/crates/masticsill_agent/examples/agent_load.rs
@@ -144,7 +144,8 @@
             for progress in self.pull().await {
                 let id = progress.id;
                 let record = self.records.get_mut(&id).expect("a stream of ours");
-                let taken = record.take(progress.lineage, progress.first_index, progress.tokens);
+                let taken =
+                    record.append_tokens(progress.lineage, progress.first_index, progress.tokens);
                 tokens += taken.accepted as u64;
                 if progress.state != ProgressState::Attempt(AttemptState::Running) {
                     ends += 1;
--- a/crates/masticsill_agent/src/completion.rs
+++ b/crates/masticsill_agent/src/completion.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use futures::StreamExt;
-use masticsill_generation::{EngineEvent, RunNumber, RunOrder};
+use masticsill_generation::{EngineEvent, RunNumber, RunRequest};
 use masticsill_runtime::Ring;
 use masticsill_types::{
     AttemptFailure, FinishReason, GenerationSpec, Token, TokenIndex, log_event,
@@ -23,7 +23,7 @@
 pub(crate) async fn run_order(
     client: Client,
     address: SocketAddr,
-    order: RunOrder,
+    order: RunRequest,
     news: Ring<EndpointNews>,
 ) {
     let run = order.run;
@@ -42,7 +42,7 @@
 async fn stream_tokens(
     client: &Client,
     address: SocketAddr,
-    order: RunOrder,
+    order: RunRequest,
     news: &Ring<EndpointNews>,
 ) -> Result<(), AttemptFailure> {
     let mut response = request(client, address, &order).await?;
@@ -63,7 +63,7 @@
 async fn request(
     client: &Client,
     address: SocketAddr,
-    order: &RunOrder,
+    order: &RunRequest,
 ) -> Result<ClientResponse, AttemptFailure> {
     let url = format!("http://{address}/v1/completions");
     let body = completion_body(&order.spec, order.run, &order.resume_token_ids);
--- a/crates/masticsill_agent/src/config.rs
+++ b/crates/masticsill_agent/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use masticsill_generation::{BookLimits, CallLimits, FreezeLimits};
+use masticsill_generation::{CallLimits, FreezeLimits, GenerationLimits};
 use masticsill_types::{ModelId, NodeId};
 
 /// Room for 1,000 running answers of 16,384 tokens each.
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AgentLimits {
     /// Bounds of the generations.
-    pub book: BookLimits,
+    pub generations: GenerationLimits,
     /// How long the agent waits for a plain service's answer, to store it for repeats, in
     /// milliseconds.
     pub call_timeout_ms: u64,
@@ -51,9 +51,9 @@
 impl Default for AgentLimits {
     fn default() -> Self {
         Self {
-            book: BookLimits {
-                gather_ms: 2,
-                keep_ms: 60_000,
+            generations: GenerationLimits {
+                batch_delay_ms: 2,
+                retention_ms: 60_000,
                 max_bytes: MAX_RECORD_BYTES,
                 max_records: 4_096,
                 orphan_ms: 15_000,
--- a/crates/masticsill_agent/src/endpoint_duty.rs
+++ b/crates/masticsill_agent/src/endpoint_duty.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use indexmap::IndexMap;
-use masticsill_generation::{EngineCommand, RunNumber, RunOrder};
+use masticsill_generation::{EngineCommand, RunNumber, RunRequest};
 use masticsill_runtime::Ring;
 use masticsill_types::{ModelTarget, log_event};
 use ntex::SharedCfg;
@@ -112,7 +112,7 @@
         }
     }
 
-    fn start_run(&self, order: RunOrder) {
+    fn start_run(&self, order: RunRequest) {
         let run = order.run;
         let (guard, is_cancelled) = oneshot::channel();
         let target = order.spec.target.clone();
--- a/crates/masticsill_agent/src/engine_gate.rs
+++ b/crates/masticsill_agent/src/engine_gate.rs
@@ -1,7 +1,7 @@
 //! What waits at the agent until its engine has a slot for it.
 
 use indexmap::IndexMap;
-use masticsill_generation::{EngineCommand, RunNumber, RunOrder};
+use masticsill_generation::{EngineCommand, RunNumber, RunRequest};
 use masticsill_routing::SlotGate;
 use masticsill_types::{ClockMs, GenerationId};
 
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct EngineGate {
     gate: SlotGate,
-    held: IndexMap<RunNumber, Box<RunOrder>>,
+    held: IndexMap<RunNumber, Box<RunRequest>>,
 }
 
 impl EngineGate {
--- a/crates/masticsill_agent/src/health.rs
+++ b/crates/masticsill_agent/src/health.rs
@@ -33,35 +33,35 @@
         }
     }
 
-    pub(crate) fn note_sign(&mut self, now: ClockMs) {
+    pub(crate) fn record_activity(&mut self, now: ClockMs) {
         if self.detector.health() != EngineHealth::Alive {
             log_event!(info, events::ENGINE_ALIVE, at = now);
         }
-        self.detector.note_sign(now);
+        self.detector.record_activity(now);
     }
 
     pub(crate) fn note_load(&mut self, now: ClockMs, load: EngineLoad) {
         self.load = load;
         self.load_seen_at = now;
-        self.note_sign(now);
+        self.record_activity(now);
     }
 
     pub(crate) fn note_models(&mut self, now: ClockMs, models: LoadedModels) {
         self.models = models;
-        self.note_sign(now);
+        self.record_activity(now);
     }
 
     pub(crate) fn note_unreachable(&mut self, now: ClockMs) {
         if self.detector.health() != EngineHealth::Lost {
             log_event!(warn, events::ENGINE_LOST, at = now);
         }
-        self.detector.note_refusal(now);
+        self.detector.record_refused_connection(now);
     }
 
     /// Whether the engine is judged frozen just now.
-    pub(crate) fn judge(&mut self, now: ClockMs) -> bool {
+    pub(crate) fn check_frozen(&mut self, now: ClockMs) -> bool {
         let threshold_ms = self.detector.threshold_ms();
-        let is_frozen = self.detector.judge(now);
+        let is_frozen = self.detector.check_frozen(now);
         if is_frozen {
             log_event!(
                 warn,
--- a/crates/masticsill_agent/src/leaving.rs
+++ b/crates/masticsill_agent/src/leaving.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Remaining {
     /// Whether every ended attempt's end was fetched.
-    pub(crate) is_handed_over: bool,
+    pub(crate) all_ends_delivered: bool,
     /// Attempts and calls that run.
     pub(crate) running: usize,
 }
@@ -49,7 +49,7 @@
             return false;
         }
         let idle_since = *self.idle_since.get_or_insert(now);
-        let patience_ms = if remaining.is_handed_over {
+        let patience_ms = if remaining.all_ends_delivered {
             LAST_REPLIES_MS
         } else {
             HAND_OVER_MS
--- a/crates/masticsill_agent/src/state.rs
+++ b/crates/masticsill_agent/src/state.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use masticsill_generation::{
-    AgentBook, BookCounts, CallBook, CallStep, EngineEvent, PullAnswer, PullNumber,
+    CallDecision, CallTable, EngineEvent, GenerationCounts, GenerationTable, PullAnswer, PullNumber,
 };
 use masticsill_runtime::{Metrics, Ring, RingFull, ShutdownSignal};
 use masticsill_types::{
@@ -38,12 +38,12 @@
 #[derive(Debug)]
 pub(crate) struct AgentState {
     backlog: VecDeque<EndpointCommand>,
-    book: AgentBook,
+    generations: GenerationTable,
     call_waiters: IndexMap<GenerationId, Vec<oneshot::Sender<CallReply>>>,
-    calls: CallBook,
+    calls: CallTable,
     clock: MonotonicClock,
     commands: Ring<EndpointCommand>,
-    counted: BookCounts,
+    counted: GenerationCounts,
     drained: ShutdownSignal,
     gate: EngineGate,
     health: EndpointHealth,
@@ -66,12 +66,12 @@
         let incarnation = links.mesh.incarnation();
         Self {
             backlog: VecDeque::new(),
-            book: AgentBook::new(config.limits.book),
+            generations: GenerationTable::new(config.limits.generations),
             call_waiters: IndexMap::new(),
-            calls: CallBook::new(incarnation, config.limits.calls),
+            calls: CallTable::new(incarnation, config.limits.calls),
             clock: links.clock,
             commands: commands.clone(),
-            counted: BookCounts::default(),
+            counted: GenerationCounts::default(),
             drained,
             gate: EngineGate::new(),
             health: EndpointHealth::new(now, config, links.mesh),
@@ -102,16 +102,16 @@
 
     pub(crate) fn start(&mut self, request: StartRequest) -> StartReply {
         let now = self.now();
-        let reply = self.book.start(now, request);
+        let reply = self.generations.start(now, request);
         self.settle(now);
         reply
     }
 
     pub(crate) fn pull(&mut self, mut request: PullRequest) -> Answer<Vec<Progress>> {
         let now = self.now();
-        let longest_ms = self.limits.book.orphan_ms / PULLS_PER_ORPHAN_TIME;
+        let longest_ms = self.limits.generations.orphan_ms / PULLS_PER_ORPHAN_TIME;
         request.wait_ms = request.wait_ms.min(longest_ms);
-        match self.book.pull(now, &request) {
+        match self.generations.pull(now, &request) {
             PullAnswer::Ready(progress) => Answer::Now(progress),
             PullAnswer::Waiting(number) => {
                 let (reply, answered) = oneshot::channel();
@@ -132,14 +132,14 @@
 
     pub(crate) fn attach(&mut self, request: &AttachRequest) -> AttachReply {
         let now = self.now();
-        let reply = self.book.attach(now, request);
+        let reply = self.generations.attach(now, request);
         self.settle(now);
         reply
     }
 
     pub(crate) fn cancel(&mut self, request: &CancelRequest) {
         let now = self.now();
-        self.book.cancel(now, request);
+        self.generations.cancel(now, request);
         self.settle(now);
     }
 
@@ -150,9 +150,9 @@
             .calls
             .begin(now, id, request.incarnation, request.is_repeatable);
         match step {
-            CallStep::Reply(reply) => return Answer::Now(reply),
-            CallStep::Join => {}
-            CallStep::Send => {
+            CallDecision::Reply(reply) => return Answer::Now(reply),
+            CallDecision::Join => {}
+            CallDecision::Send => {
                 // The other duty sends it as soon as it takes the command, so it is started now.
                 self.calls.mark_started(now, id);
                 let command = EndpointCommand::Call(Box::new(request));
@@ -182,18 +182,19 @@
             };
             self.take_one(now, news);
         }
-        self.book.set_engine_available(self.health.is_available());
+        self.generations
+            .set_engine_available(self.health.is_available());
         self.health.announce(self.leaving.is_some());
     }
 
     /// Lets time pass.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
-        if self.health.judge(now) {
-            self.book.fail_all(now, AttemptFailure::EngineFrozen);
-            self.book.set_engine_available(false);
+        if self.health.check_frozen(now) {
+            self.generations.fail_all(now, AttemptFailure::EngineFrozen);
+            self.generations.set_engine_available(false);
         }
-        self.book.tick(now);
+        self.generations.tick(now);
         self.calls.tick(now);
         self.gate.set_shared(self.health.is_shared());
         self.health.announce(self.leaving.is_some());
@@ -205,9 +206,13 @@
     /// Begins the planned stop.
     pub(crate) fn begin_leaving(&mut self) {
         let now = self.now();
-        log_event!(info, events::AGENT_LEAVING, running = self.book.running());
+        log_event!(
+            info,
+            events::AGENT_LEAVING,
+            running = self.generations.running()
+        );
         self.leaving = Some(Leaving::begin(now, &self.limits));
-        self.book.begin_leaving();
+        self.generations.begin_leaving();
         self.calls.begin_leaving();
         self.health.announce(true);
         self.health.leave();
@@ -216,7 +221,7 @@
 
     /// Hands out commands and due pulls.
     pub(crate) fn settle(&mut self, now: ClockMs) {
-        for command in self.book.take_commands() {
+        for command in self.generations.take_commands() {
             let passed = self.gate.take(now, command);
             self.backlog.extend(passed.map(EndpointCommand::Engine));
         }
@@ -229,7 +234,7 @@
                 break;
             }
         }
-        for (number, progress) in self.book.take_due_pulls(now) {
+        for (number, progress) in self.generations.take_due_pulls(now) {
             if let Some(reply) = self.pulls.swap_remove(&number) {
                 let _ = reply.send(progress);
             }
@@ -238,7 +243,7 @@
 
     /// When the next pull is due, if any waits.
     pub(crate) fn next_due(&self) -> Option<ClockMs> {
-        self.book.next_due()
+        self.generations.next_due()
     }
 
     fn take_one(&mut self, now: ClockMs, news: EndpointNews) {
@@ -251,12 +256,12 @@
             }
             EndpointNews::Run(run, event) => {
                 if matches!(event, EngineEvent::Tokens { .. }) {
-                    self.health.note_sign(now);
+                    self.health.record_activity(now);
                 }
                 if is_end(&event) {
                     self.gate.note_ended(run);
                 }
-                self.book.take_event(now, run, event);
+                self.generations.apply_event(now, run, event);
             }
             EndpointNews::Unreachable => self.health.note_unreachable(now),
         }
@@ -277,13 +282,17 @@
         let Some(leaving) = &mut self.leaving else {
             return;
         };
-        if leaving.is_drain_over(now) && self.book.running() > 0 {
-            log_event!(warn, events::DRAIN_TIME_OVER, running = self.book.running());
-            self.book.fail_all(now, AttemptFailure::Leaving);
+        if leaving.is_drain_over(now) && self.generations.running() > 0 {
+            log_event!(
+                warn,
+                events::DRAIN_TIME_OVER,
+                running = self.generations.running()
+            );
+            self.generations.fail_all(now, AttemptFailure::Leaving);
         }
         let remaining = Remaining {
-            is_handed_over: self.book.is_handed_over(),
-            running: self.book.running() + self.calls.pending(),
+            all_ends_delivered: self.generations.all_ends_delivered(),
+            running: self.generations.running() + self.calls.pending(),
         };
         if leaving.is_done(now, remaining) && !self.drained.is_requested() {
             log_event!(info, events::AGENT_DRAINED, after_ms = leaving.age_ms(now));
@@ -292,7 +301,7 @@
     }
 
     fn count(&mut self) {
-        let counts = self.book.counts();
+        let counts = self.generations.counts();
         let counted = std::mem::replace(&mut self.counted, counts);
         let orphans = counts.orphans - counted.orphans;
         if orphans > 0 {
@@ -312,7 +321,7 @@
             }
         }
         self.metrics
-            .gauge("agent.running", self.book.running() as u64);
+            .gauge("agent.running", self.generations.running() as u64);
     }
 }
 
--- a/crates/masticsill_agent/tests/support/mod.rs
+++ b/crates/masticsill_agent/tests/support/mod.rs
@@ -252,12 +252,12 @@
 
 fn take(record: &mut Record, progress: Progress) -> ProgressState {
     let end_index = progress.first_index.0 + u32::try_from(progress.tokens.len()).unwrap();
-    let taken = record.take(progress.lineage, progress.first_index, progress.tokens);
+    let taken = record.append_tokens(progress.lineage, progress.first_index, progress.tokens);
     assert_eq!(taken.dropped, 0, "an idempotent pull repeats nothing");
     if let ProgressState::Attempt(state) = progress.state
         && state != AttemptState::Running
     {
-        record.conclude(progress.lineage, TokenIndex(end_index), state);
+        record.end_attempt(progress.lineage, TokenIndex(end_index), state);
     }
     progress.state
 }
--- a/crates/masticsill_generation/src/book.rs
+++ b/crates/masticsill_generation/src/book.rs
@@ -12,19 +12,19 @@
 use crate::held::{Held, RunStep};
 use crate::pulls::{PullNumber, Pulls};
 use crate::record::Record;
-use crate::run::{EngineCommand, EngineEvent, RunNumber, RunOrder};
+use crate::run::{EngineCommand, EngineEvent, RunNumber, RunRequest};
 use crate::shelf::Shelf;
 
 /// Bytes of tokens in one answer to a pull, about; the rest follows with the next pull.
 const REPLY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Limits of an [`AgentBook`].
+/// Limits of an [`GenerationTable`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BookLimits {
+pub struct GenerationLimits {
     /// How long a pull with many cursors gathers news before it is answered, in milliseconds.
-    pub gather_ms: u64,
+    pub batch_delay_ms: u64,
     /// How long an ended record is kept for owners and their successors, in milliseconds.
-    pub keep_ms: u64,
+    pub retention_ms: u64,
     /// Memory of all records at most, in bytes, counting each answer at its full length.
     pub max_bytes: usize,
     /// Records held at most; a start beyond it is refused as not run.
@@ -35,9 +35,9 @@
     pub retry_after_ms: u64,
 }
 
-/// Counters of what an [`AgentBook`] refused.
+/// Counters of what an [`GenerationTable`] refused.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct BookCounts {
+pub struct GenerationCounts {
     /// Events of runs that are no longer current.
     pub late_events: u64,
     /// Starts, pulls and cancels of fenced owners.
@@ -51,39 +51,39 @@
 pub enum PullAnswer {
     /// There is news.
     Ready(Vec<Progress>),
-    /// The pull waits; see [`AgentBook::take_due_pulls`].
+    /// The pull waits; see [`GenerationTable::take_due_pulls`].
     Waiting(PullNumber),
 }
 
 /// Every generation that an agent runs or keeps.
 ///
 /// Inputs are the owners' requests, the engine's events and the time; outputs are replies and the
-/// commands returned by [`AgentBook::take_commands`].
+/// commands returned by [`GenerationTable::take_commands`].
 #[derive(Debug)]
-pub struct AgentBook {
+pub struct GenerationTable {
     commands: Vec<EngineCommand>,
-    counts: BookCounts,
+    counts: GenerationCounts,
     is_engine_available: bool,
     last_run: RunNumber,
-    limits: BookLimits,
+    limits: GenerationLimits,
     is_leaving: bool,
     pulls: Pulls,
     runs: IndexMap<RunNumber, GenerationId>,
     shelf: Shelf,
 }
 
-impl AgentBook {
+impl GenerationTable {
     /// An empty book.
     #[must_use]
-    pub fn new(limits: BookLimits) -> Self {
+    pub fn new(limits: GenerationLimits) -> Self {
         Self {
             commands: Vec::new(),
-            counts: BookCounts::default(),
+            counts: GenerationCounts::default(),
             is_engine_available: true,
             last_run: RunNumber(0),
             limits,
             is_leaving: false,
-            pulls: Pulls::new(limits.gather_ms),
+            pulls: Pulls::new(limits.batch_delay_ms),
             runs: IndexMap::new(),
             shelf: Shelf::new(limits.max_records, limits.max_bytes),
         }
@@ -115,7 +115,7 @@
     }
 
     /// Takes an event of a run; events of runs that are no longer current are dropped.
-    pub fn take_event(&mut self, now: ClockMs, run: RunNumber, event: EngineEvent) {
+    pub fn apply_event(&mut self, now: ClockMs, run: RunNumber, event: EngineEvent) {
         let Some(id) = self.runs.get(&run).copied() else {
             self.counts.late_events += 1;
             return;
@@ -123,7 +123,7 @@
         let Some(held) = self.shelf.get_mut(id) else {
             return;
         };
-        match held.take_event(event) {
+        match held.apply_event(event) {
             RunStep::Goes => {}
             RunStep::Ended(end) => {
                 self.runs.swap_remove(&run);
@@ -159,11 +159,11 @@
     }
 
     /// Forgets a waiting pull whose caller is gone.
-    pub fn forget_pull(&mut self, number: PullNumber) {
+    pub fn remove_pull(&mut self, number: PullNumber) {
         self.pulls.forget(number);
     }
 
-    /// When [`AgentBook::take_due_pulls`] has the next answer, if any pull waits.
+    /// When [`GenerationTable::take_due_pulls`] has the next answer, if any pull waits.
     #[must_use]
     pub fn next_due(&self) -> Option<ClockMs> {
         self.pulls.next_due()
@@ -177,7 +177,7 @@
         let Some(held) = self.shelf.get_mut(request.id) else {
             return AttachReply::Unknown;
         };
-        if !held.record.continues(request.seen, request.next_index) {
+        if !held.record.can_resume(request.seen, request.next_index) {
             return AttachReply::Behind;
         }
         if !held.is_owned_by(request.nonce) {
@@ -240,7 +240,7 @@
             self.counts.orphans += 1;
             self.abandon(now, id);
         }
-        self.shelf.expire(now, limits.keep_ms);
+        self.shelf.expire(now, limits.retention_ms);
     }
 
     /// Commands for the engine since the last call, in order.
@@ -269,13 +269,13 @@
 
     /// Whether every ended record's end was handed to its owner.
     #[must_use]
-    pub fn is_handed_over(&self) -> bool {
+    pub fn all_ends_delivered(&self) -> bool {
         self.shelf.values().all(|held| held.is_delivered)
     }
 
     /// What was refused so far.
     #[must_use]
-    pub fn counts(&self) -> BookCounts {
+    pub fn counts(&self) -> GenerationCounts {
         self.counts
     }
 
@@ -322,7 +322,7 @@
     fn order(&mut self, record: &Record) -> RunNumber {
         self.last_run = RunNumber(self.last_run.0 + 1);
         let run = self.last_run;
-        let order = RunOrder {
+        let order = RunRequest {
             resume_token_ids: record.tokens().iter().map(|token| token.id).collect(),
             run,
             spec: record.spec().clone(),
--- a/crates/masticsill_generation/src/call_book.rs
+++ b/crates/masticsill_generation/src/call_book.rs
@@ -9,7 +9,7 @@
 /// A sweep looks at every id, so it is not done at each tick.
 const SWEEPS_PER_WINDOW: u64 = 100;
 
-/// Limits of a [`CallBook`].
+/// Limits of a [`CallTable`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallLimits {
     /// How long an id is remembered after its last change, in milliseconds.
@@ -26,8 +26,8 @@
 
 /// What to do with a call that arrived.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallStep {
-    /// Send it to the service: [`CallBook::mark_started`] just before its first byte.
+pub enum CallDecision {
+    /// Send it to the service: [`CallTable::mark_started`] just before its first byte.
     Send,
     /// The same call is being sent: wait for its end.
     Join,
@@ -64,7 +64,7 @@
 /// so "not run" stays true whatever arrives late. Only what this life saw is known; a call meant
 /// for another life is refused, and its burial is answered as unknown.
 #[derive(Debug)]
-pub struct CallBook {
+pub struct CallTable {
     answer_bytes: usize,
     /// Ids of stored answers, the oldest first.
     answered: VecDeque<GenerationId>,
@@ -75,7 +75,7 @@
     swept_at: ClockMs,
 }
 
-impl CallBook {
+impl CallTable {
     /// An empty book of the agent's life given.
     #[must_use]
     pub fn new(incarnation: Incarnation, limits: CallLimits) -> Self {
@@ -102,28 +102,28 @@
         id: GenerationId,
         incarnation: Incarnation,
         is_repeatable: bool,
-    ) -> CallStep {
+    ) -> CallDecision {
         if incarnation != self.incarnation {
             let detail = "the call is meant for another life of the agent";
-            return CallStep::Reply(self.not_run(RefusalKind::NoEndpoint, detail));
+            return CallDecision::Reply(self.not_run(RefusalKind::NoEndpoint, detail));
         }
         let known = self.calls.get(&id).map(|call| &call.state);
         match known {
-            Some(CallState::Taken | CallState::Started) => return CallStep::Join,
+            Some(CallState::Taken | CallState::Started) => return CallDecision::Join,
             Some(CallState::Lost) if is_repeatable => {}
-            Some(state) => return CallStep::Reply(self.reply(state)),
+            Some(state) => return CallDecision::Reply(self.reply(state)),
             None if self.is_leaving => {
                 let detail = "the endpoint is leaving";
-                return CallStep::Reply(self.not_run(RefusalKind::ShuttingDown, detail));
+                return CallDecision::Reply(self.not_run(RefusalKind::ShuttingDown, detail));
             }
             None if self.calls.len() >= self.limits.max_calls => {
                 let detail = "the agent remembers as many calls as it may";
-                return CallStep::Reply(self.not_run(RefusalKind::Overloaded, detail));
+                return CallDecision::Reply(self.not_run(RefusalKind::Overloaded, detail));
             }
             None => {}
         }
         self.set(now, id, is_repeatable, CallState::Taken);
-        CallStep::Send
+        CallDecision::Send
     }
 
     /// Marks a call as started, just before its first byte; false when it must not be sent.
--- a/crates/masticsill_generation/src/freeze.rs
+++ b/crates/masticsill_generation/src/freeze.rs
@@ -14,7 +14,7 @@
     /// How many times the engine's own longest recent gap is a freeze.
     pub gap_factor: u64,
     /// How long a gap counts as recent, in milliseconds.
-    pub recent_ms: u64,
+    pub gap_window_ms: u64,
     /// Longest step of the detector's own time, in milliseconds.
     ///
     /// A longer one means that the agent itself was paused; the rest of it says nothing about the
@@ -28,7 +28,7 @@
             min_silence_ms: 600,
             max_silence_ms: 3_000,
             gap_factor: 4,
-            recent_ms: 10_000,
+            gap_window_ms: 10_000,
             max_step_ms: 100,
         }
     }
@@ -76,7 +76,7 @@
     }
 
     /// Notes a token of any stream or an answer over HTTP.
-    pub fn note_sign(&mut self, now: ClockMs) {
+    pub fn record_activity(&mut self, now: ClockMs) {
         self.step(now);
         if self.health == EngineHealth::Alive {
             self.remember_gap(now);
@@ -89,14 +89,14 @@
     }
 
     /// Notes a refused connection.
-    pub fn note_refusal(&mut self, now: ClockMs) {
+    pub fn record_refused_connection(&mut self, now: ClockMs) {
         self.step(now);
         self.silence_ms = 0;
         self.health = EngineHealth::Lost;
     }
 
     /// Lets time pass and returns whether the engine is judged frozen just now.
-    pub fn judge(&mut self, now: ClockMs) -> bool {
+    pub fn check_frozen(&mut self, now: ClockMs) -> bool {
         self.step(now);
         let is_frozen =
             self.health == EngineHealth::Alive && self.silence_ms >= self.threshold_ms();
@@ -124,7 +124,7 @@
         let step_ms = now.since(self.stepped_at);
         self.silence_ms += step_ms.min(self.limits.max_step_ms);
         self.stepped_at = now;
-        let oldest = now.before(self.limits.recent_ms);
+        let oldest = now.before(self.limits.gap_window_ms);
         while self.gaps.front().is_some_and(|(at, _)| *at < oldest) {
             self.gaps.pop_front();
         }
--- a/crates/masticsill_generation/src/held.rs
+++ b/crates/masticsill_generation/src/held.rs
@@ -69,7 +69,7 @@
     }
 
     /// Takes an event of the current run.
-    pub(crate) fn take_event(&mut self, event: EngineEvent) -> RunStep {
+    pub(crate) fn apply_event(&mut self, event: EngineEvent) -> RunStep {
         let (finish, first_index, tokens) = match event {
             EngineEvent::Failed(failure) => return RunStep::Ended(AttemptState::Failed(failure)),
             EngineEvent::Tokens {
@@ -85,7 +85,8 @@
         let room = usize::try_from(self.record.max_tokens().saturating_sub(first_index.0))
             .unwrap_or_default();
         let tokens = tokens.into_iter().take(room).collect();
-        self.record.take(self.record.lineage(), first_index, tokens);
+        self.record
+            .append_tokens(self.record.lineage(), first_index, tokens);
         if let Some(reason) = finish {
             return RunStep::Ended(AttemptState::Finished(reason));
         }
@@ -98,7 +99,7 @@
     pub(crate) fn end(&mut self, now: ClockMs, end: AttemptState) {
         let lineage = self.record.lineage();
         let end_index = self.record.next_index();
-        if self.record.conclude(lineage, end_index, end) {
+        if self.record.end_attempt(lineage, end_index, end) {
             self.ended_at = Some(now);
         }
     }
--- a/crates/masticsill_generation/src/lib.rs
+++ b/crates/masticsill_generation/src/lib.rs
@@ -14,10 +14,10 @@
 mod shelf;
 mod utf8;
 
-pub use book::{AgentBook, BookCounts, BookLimits, PullAnswer};
-pub use call_book::{CallBook, CallLimits, CallStep};
+pub use book::{GenerationCounts, GenerationLimits, GenerationTable, PullAnswer};
+pub use call_book::{CallDecision, CallLimits, CallTable};
 pub use freeze::{EngineHealth, FreezeDetector, FreezeLimits};
 pub use pulls::PullNumber;
-pub use record::{Record, RecordError, Taken};
-pub use run::{EngineCommand, EngineEvent, RunNumber, RunOrder};
+pub use record::{AppendOutcome, Record, RecordError};
+pub use run::{EngineCommand, EngineEvent, RunNumber, RunRequest};
 pub use utf8::Utf8Assembler;
--- a/crates/masticsill_generation/src/pulls.rs
+++ b/crates/masticsill_generation/src/pulls.rs
@@ -25,15 +25,15 @@
 /// of a batch at nearly the same time, and one reply for all costs less than one for each.
 #[derive(Debug)]
 pub(crate) struct Pulls {
-    gather_ms: u64,
+    batch_delay_ms: u64,
     last: PullNumber,
     waiting: IndexMap<PullNumber, WaitingPull>,
 }
 
 impl Pulls {
-    pub(crate) fn new(gather_ms: u64) -> Self {
+    pub(crate) fn new(batch_delay_ms: u64) -> Self {
         Self {
-            gather_ms,
+            batch_delay_ms,
             last: PullNumber(0),
             waiting: IndexMap::new(),
         }
@@ -63,8 +63,8 @@
         };
         pull.news.insert(position);
         let gathers = !is_urgent && pull.cursors.len() >= GATHER_FROM_CURSORS;
-        let gather_ms = if gathers { self.gather_ms } else { 0 };
-        pull.due_at = pull.due_at.min(now + gather_ms);
+        let batch_delay_ms = if gathers { self.batch_delay_ms } else { 0 };
+        pull.due_at = pull.due_at.min(now + batch_delay_ms);
     }
 
     /// Makes every waiting pull due at once.
--- a/crates/masticsill_generation/src/record.rs
+++ b/crates/masticsill_generation/src/record.rs
@@ -9,7 +9,7 @@
 
 /// What became of tokens that were offered to a record.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Taken {
+pub struct AppendOutcome {
     /// Tokens appended.
     pub accepted: usize,
     /// Tokens refused: already had, beyond a gap, or of another lineage.
@@ -210,11 +210,16 @@
     ///
     /// Tokens of another lineage, tokens beyond a gap and tokens after the attempt's end are
     /// refused; tokens that the record has already are dropped.
-    pub fn take(&mut self, lineage: Lineage, first_index: TokenIndex, tokens: Vec<Token>) -> Taken {
+    pub fn append_tokens(
+        &mut self,
+        lineage: Lineage,
+        first_index: TokenIndex,
+        tokens: Vec<Token>,
+    ) -> AppendOutcome {
         let offered = tokens.len();
         let is_gap = first_index > self.next_index();
         if lineage != self.lineage() || is_gap || !self.is_running() {
-            return Taken {
+            return AppendOutcome {
                 accepted: 0,
                 dropped: offered,
             };
@@ -222,7 +227,7 @@
         let known = position(self.next_index()) - position(first_index);
         let dropped = known.min(offered);
         self.tokens.extend(tokens.into_iter().skip(dropped));
-        Taken {
+        AppendOutcome {
             accepted: offered - dropped,
             dropped,
         }
@@ -232,7 +237,12 @@
     ///
     /// The end is taken only for the current lineage, only once, and only when `end_index` is the
     /// next index: an end that overtook its tokens is not the answer's end.
-    pub fn conclude(&mut self, lineage: Lineage, end_index: TokenIndex, end: AttemptState) -> bool {
+    pub fn end_attempt(
+        &mut self,
+        lineage: Lineage,
+        end_index: TokenIndex,
+        end: AttemptState,
+    ) -> bool {
         let is_current = lineage == self.lineage() && end_index == self.next_index();
         if !is_current || !self.is_running() {
             return false;
@@ -254,7 +264,7 @@
 
     /// Whether a caller that saw `seen` and wants `next_index` can be continued from this record.
     #[must_use]
-    pub fn continues(&self, seen: Lineage, next_index: TokenIndex) -> bool {
+    pub fn can_resume(&self, seen: Lineage, next_index: TokenIndex) -> bool {
         let is_seen = |segment: &Segment| segment.lineage == seen;
         let Some(found) = self.history.iter().position(is_seen) else {
             return false;
--- a/crates/masticsill_generation/src/run.rs
+++ b/crates/masticsill_generation/src/run.rs
@@ -10,14 +10,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineCommand {
     /// Generate; events come back under the run's number.
-    Run(Box<RunOrder>),
+    Run(Box<RunRequest>),
     /// End a run; its later events are dropped.
     Cancel(RunNumber),
 }
 
 /// What an engine is to generate.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunOrder {
+pub struct RunRequest {
     /// Tokens of the answer so far; generation continues after them.
     pub resume_token_ids: Vec<u32>,
     /// The run.
--- a/crates/masticsill_generation/src/shelf.rs
+++ b/crates/masticsill_generation/src/shelf.rs
@@ -75,11 +75,11 @@
         former
     }
 
-    /// Forgets the records that ended `keep_ms` ago.
-    pub(crate) fn expire(&mut self, now: ClockMs, keep_ms: u64) {
+    /// Forgets the records that ended `retention_ms` ago.
+    pub(crate) fn expire(&mut self, now: ClockMs, retention_ms: u64) {
         let is_expired = |held: &&Held| {
             let ended_at = held.ended_at;
-            ended_at.is_some_and(|ended_at| now.since(ended_at) >= keep_ms)
+            ended_at.is_some_and(|ended_at| now.since(ended_at) >= retention_ms)
         };
         let expired = self.held.values().filter(is_expired);
         let expired: Vec<GenerationId> = expired.map(|held| held.record.id()).collect();
--- a/crates/masticsill_generation/tests/agent_book.rs
+++ b/crates/masticsill_generation/tests/agent_book.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use masticsill_generation::{
-    AgentBook, BookLimits, EngineCommand, EngineEvent, PullAnswer, Record, RunNumber,
+    EngineCommand, EngineEvent, GenerationLimits, GenerationTable, PullAnswer, Record, RunNumber,
 };
 use masticsill_types::{
     AttemptFailure, AttemptState, ClockMs, FinishReason, Lineage, RefusalKind, TokenIndex,
@@ -19,27 +19,27 @@
 const NOW: ClockMs = ClockMs(100);
 const FIRST_RUN: RunNumber = RunNumber(1);
 
-fn start(book: &mut AgentBook, record: &Record) -> StartReply {
+fn start(book: &mut GenerationTable, record: &Record) -> StartReply {
     book.start(NOW, record.start_request(node("entry-1")))
 }
 
-fn started() -> (AgentBook, Record) {
-    let mut book = AgentBook::new(LIMITS);
+fn started() -> (GenerationTable, Record) {
+    let mut book = GenerationTable::new(LIMITS);
     let record = record();
     assert_eq!(start(&mut book, &record), StartReply::Accepted);
     (book, record)
 }
 
-fn emit(book: &mut AgentBook, run: RunNumber, ids: std::ops::Range<u32>) {
+fn emit(book: &mut GenerationTable, run: RunNumber, ids: std::ops::Range<u32>) {
     let event = EngineEvent::Tokens {
         finish: None,
         first_index: TokenIndex(ids.start),
         tokens: tokens(ids),
     };
-    book.take_event(NOW, run, event);
+    book.apply_event(NOW, run, event);
 }
 
-fn pull(book: &mut AgentBook, lineage: Lineage, next_index: u32) -> PullAnswer {
+fn pull(book: &mut GenerationTable, lineage: Lineage, next_index: u32) -> PullAnswer {
     let cursor = PullCursor {
         id: record().id(),
         lineage,
@@ -95,8 +95,8 @@
     record.begin_attempt();
     start(&mut book, &record);
     let end = EngineEvent::Failed(AttemptFailure::EngineLost);
-    book.take_event(NOW, RunNumber(2), end);
-    book.tick(NOW + LIMITS.keep_ms);
+    book.apply_event(NOW, RunNumber(2), end);
+    book.tick(NOW + LIMITS.retention_ms);
     assert!(book.is_empty());
     let _ = book.take_commands();
     assert_eq!(start(&mut book, &record), StartReply::Accepted);
@@ -124,7 +124,7 @@
 
 #[test]
 fn large_pull_gathers_news_but_not_ends() {
-    let mut book = AgentBook::new(LIMITS);
+    let mut book = GenerationTable::new(LIMITS);
     let records = (0..20).map(|id| Record::new(spec(id, 100), 1));
     let records: Vec<Record> = records.collect();
     let cursor = |record: &Record| PullCursor {
@@ -144,7 +144,7 @@
     emit(&mut book, RunNumber(3), 0..1);
     emit(&mut book, RunNumber(4), 0..1);
     assert_eq!(book.take_due_pulls(NOW), []);
-    let due = book.take_due_pulls(NOW + LIMITS.gather_ms);
+    let due = book.take_due_pulls(NOW + LIMITS.batch_delay_ms);
     assert_eq!(due[0].1.len(), 2);
 
     book.pull(
@@ -154,7 +154,7 @@
             ..request
         },
     );
-    book.take_event(
+    book.apply_event(
         NOW,
         RunNumber(8),
         EngineEvent::Failed(AttemptFailure::EngineLost),
@@ -212,9 +212,9 @@
 
 #[test]
 fn attempt_with_all_its_tokens_is_whole_without_a_run() {
-    let mut book = AgentBook::new(LIMITS);
+    let mut book = GenerationTable::new(LIMITS);
     let mut record = record();
-    record.take(record.lineage(), TokenIndex(0), tokens(0..100));
+    record.append_tokens(record.lineage(), TokenIndex(0), tokens(0..100));
     let lineage = record.begin_attempt();
     assert_eq!(start(&mut book, &record), StartReply::Accepted);
     assert_eq!(book.take_commands(), []);
@@ -264,11 +264,11 @@
 
 #[test]
 fn full_or_leaving_book_refuses_as_not_run() {
-    let limits = BookLimits {
+    let limits = GenerationLimits {
         max_records: 1,
         ..LIMITS
     };
-    let mut book = AgentBook::new(limits);
+    let mut book = GenerationTable::new(limits);
     let first = record();
     let second = Record::new(spec(2, 100), 1);
     start(&mut book, &first);
@@ -279,7 +279,7 @@
     assert_eq!(refused(start(&mut book, &second)), RefusalKind::Overloaded);
 
     let end = EngineEvent::Failed(AttemptFailure::EngineLost);
-    book.take_event(NOW, FIRST_RUN, end);
+    book.apply_event(NOW, FIRST_RUN, end);
     assert_eq!(refused(start(&mut book, &second)), RefusalKind::Overloaded);
     news(pull(&mut book, first.lineage(), 0));
     assert_eq!(start(&mut book, &second), StartReply::Accepted);
--- a/crates/masticsill_generation/tests/call_once.rs
+++ b/crates/masticsill_generation/tests/call_once.rs
@@ -1,7 +1,7 @@
 //! Plain calls run at most once, and "not run" is true.
 
 use assert_matches::assert_matches;
-use masticsill_generation::{CallBook, CallLimits, CallStep};
+use masticsill_generation::{CallDecision, CallLimits, CallTable};
 use masticsill_types::{ClockMs, GenerationId, Incarnation};
 use masticsill_wire::agent::{BuryRequest, CallAnswer, CallReply};
 
@@ -15,8 +15,8 @@
 };
 const NOW: ClockMs = ClockMs(1);
 
-fn book() -> CallBook {
-    CallBook::new(LIFE, LIMITS)
+fn book() -> CallTable {
+    CallTable::new(LIFE, LIMITS)
 }
 
 fn answer(body: &str) -> CallAnswer {
@@ -27,11 +27,11 @@
     }
 }
 
-fn bury(book: &mut CallBook, id: GenerationId, incarnation: Incarnation) -> CallReply {
+fn bury(book: &mut CallTable, id: GenerationId, incarnation: Incarnation) -> CallReply {
     book.bury(NOW, &BuryRequest { id, incarnation })
 }
 
-fn begin(book: &mut CallBook, id: GenerationId) -> CallStep {
+fn begin(book: &mut CallTable, id: GenerationId) -> CallDecision {
     book.begin(NOW, id, LIFE, false)
 }
 
@@ -39,10 +39,13 @@
 fn buried_call_is_never_sent() {
     let mut book = book();
     assert_matches!(bury(&mut book, ID, LIFE), CallReply::NotRun(_));
-    assert_matches!(begin(&mut book, ID), CallStep::Reply(CallReply::NotRun(_)));
+    assert_matches!(
+        begin(&mut book, ID),
+        CallDecision::Reply(CallReply::NotRun(_))
+    );
 
     let other = GenerationId(6);
-    assert_eq!(begin(&mut book, other), CallStep::Send);
+    assert_eq!(begin(&mut book, other), CallDecision::Send);
     assert_matches!(bury(&mut book, other, LIFE), CallReply::NotRun(_));
     assert!(!book.mark_started(NOW, other));
 }
@@ -50,13 +53,13 @@
 #[test]
 fn started_call_is_never_called_not_run() {
     let mut book = book();
-    assert_eq!(begin(&mut book, ID), CallStep::Send);
+    assert_eq!(begin(&mut book, ID), CallDecision::Send);
     assert!(book.mark_started(NOW, ID));
     assert!(!book.mark_started(NOW, ID));
     assert_eq!(bury(&mut book, ID, LIFE), CallReply::OutcomeUnknown);
-    assert_eq!(begin(&mut book, ID), CallStep::Join);
+    assert_eq!(begin(&mut book, ID), CallDecision::Join);
     book.note_lost(NOW, ID);
-    let lost = CallStep::Reply(CallReply::OutcomeUnknown);
+    let lost = CallDecision::Reply(CallReply::OutcomeUnknown);
     assert_eq!(begin(&mut book, ID), lost);
 }
 
@@ -66,7 +69,7 @@
     begin(&mut book, ID);
     book.mark_started(NOW, ID);
     let reply = book.note_answer(NOW, ID, answer("ordered"));
-    assert_eq!(begin(&mut book, ID), CallStep::Reply(reply.clone()));
+    assert_eq!(begin(&mut book, ID), CallDecision::Reply(reply.clone()));
     assert_eq!(bury(&mut book, ID, LIFE), reply);
 }
 
@@ -76,8 +79,8 @@
     begin(&mut book, ID);
     book.begin_leaving();
     let other = begin(&mut book, GenerationId(6));
-    assert_matches!(other, CallStep::Reply(CallReply::NotRun(_)));
-    assert_eq!(begin(&mut book, ID), CallStep::Join);
+    assert_matches!(other, CallDecision::Reply(CallReply::NotRun(_)));
+    assert_eq!(begin(&mut book, ID), CallDecision::Join);
 }
 
 #[test]
@@ -85,7 +88,7 @@
     let mut book = book();
     let earlier = Incarnation(2);
     let step = book.begin(NOW, ID, earlier, false);
-    assert_matches!(step, CallStep::Reply(CallReply::NotRun(_)));
+    assert_matches!(step, CallDecision::Reply(CallReply::NotRun(_)));
     assert_eq!(bury(&mut book, ID, earlier), CallReply::OutcomeUnknown);
 }
 
@@ -93,9 +96,12 @@
 fn full_book_promises_nothing_it_can_not_keep() {
     let mut book = book();
     for id in 0..2 {
-        assert_eq!(begin(&mut book, GenerationId(id)), CallStep::Send);
+        assert_eq!(begin(&mut book, GenerationId(id)), CallDecision::Send);
     }
-    assert_matches!(begin(&mut book, ID), CallStep::Reply(CallReply::NotRun(_)));
+    assert_matches!(
+        begin(&mut book, ID),
+        CallDecision::Reply(CallReply::NotRun(_))
+    );
     for id in 10..12 {
         assert_matches!(
             bury(&mut book, GenerationId(id), LIFE),
@@ -113,11 +119,11 @@
         book.mark_started(NOW, id);
         book.note_answer(NOW, id, answer("seven b"));
     }
-    let unknown = CallStep::Reply(CallReply::OutcomeUnknown);
+    let unknown = CallDecision::Reply(CallReply::OutcomeUnknown);
     assert_eq!(begin(&mut book, GenerationId(1)), unknown);
     assert_matches!(
         begin(&mut book, GenerationId(2)),
-        CallStep::Reply(CallReply::Answered(_))
+        CallDecision::Reply(CallReply::Answered(_))
     );
 }
 
@@ -128,15 +134,15 @@
     bury(&mut book, GenerationId(6), LIFE);
     book.tick(NOW + LIMITS.key_window_ms);
     assert_eq!(book.len(), 1);
-    assert_eq!(begin(&mut book, ID), CallStep::Join);
+    assert_eq!(begin(&mut book, ID), CallDecision::Join);
 }
 
 #[test]
 fn repeatable_call_may_run_again_after_a_loss() {
     let mut book = book();
-    assert_eq!(book.begin(NOW, ID, LIFE, true), CallStep::Send);
+    assert_eq!(book.begin(NOW, ID, LIFE, true), CallDecision::Send);
     book.mark_started(NOW, ID);
     book.note_lost(NOW, ID);
-    assert_eq!(book.begin(NOW, ID, LIFE, true), CallStep::Send);
+    assert_eq!(book.begin(NOW, ID, LIFE, true), CallDecision::Send);
     assert!(book.mark_started(NOW, ID));
 }
--- a/crates/masticsill_generation/tests/common/mod.rs
+++ b/crates/masticsill_generation/tests/common/mod.rs
@@ -2,15 +2,15 @@
 
 #![allow(dead_code)]
 
-use masticsill_generation::{BookLimits, Record};
+use masticsill_generation::{GenerationLimits, Record};
 use masticsill_types::{
     Class, EntryId, GenerationId, GenerationSpec, ModelId, ModelTarget, NodeId, Sampling, Token,
     VersionId, WorkspaceId,
 };
 
-pub(crate) const LIMITS: BookLimits = BookLimits {
-    gather_ms: 2,
-    keep_ms: 10_000,
+pub(crate) const LIMITS: GenerationLimits = GenerationLimits {
+    batch_delay_ms: 2,
+    retention_ms: 10_000,
     max_bytes: 1_000_000,
     max_records: 64,
     orphan_ms: 2_000,
--- a/crates/masticsill_generation/tests/freeze_verdict.rs
+++ b/crates/masticsill_generation/tests/freeze_verdict.rs
@@ -11,9 +11,9 @@
     (0..until_ms).find(|now_ms| {
         let now = ClockMs(*now_ms);
         if signs_ms.contains(now_ms) {
-            detector.note_sign(now);
+            detector.record_activity(now);
         }
-        now_ms % JUDGE_EVERY_MS == 0 && detector.judge(now)
+        now_ms % JUDGE_EVERY_MS == 0 && detector.check_frozen(now)
     })
 }
 
@@ -50,10 +50,10 @@
 #[test]
 fn pause_of_the_agent_itself_is_no_freeze() {
     let mut detector = FreezeDetector::new(ClockMs(0), FreezeLimits::default());
-    detector.note_sign(ClockMs(0));
-    assert!(!detector.judge(ClockMs(30_000)));
-    assert!(!detector.judge(ClockMs(30_050)));
-    detector.note_sign(ClockMs(30_060));
+    detector.record_activity(ClockMs(0));
+    assert!(!detector.check_frozen(ClockMs(30_000)));
+    assert!(!detector.check_frozen(ClockMs(30_050)));
+    detector.record_activity(ClockMs(30_060));
     assert_eq!(detector.health(), EngineHealth::Alive);
 }
 
@@ -64,8 +64,8 @@
     let limits = FreezeLimits::default();
     let mut detector = FreezeDetector::new(ClockMs(0), limits);
     for at_ms in [before, after].concat() {
-        detector.judge(ClockMs(at_ms));
-        detector.note_sign(ClockMs(at_ms));
+        detector.check_frozen(ClockMs(at_ms));
+        detector.record_activity(ClockMs(at_ms));
     }
     assert_eq!(detector.health(), EngineHealth::Alive);
     assert_eq!(detector.threshold_ms(), limits.min_silence_ms);
@@ -75,8 +75,8 @@
 fn refused_connections_are_a_loss_until_the_next_sign() {
     let mut detector = FreezeDetector::new(ClockMs(0), FreezeLimits::default());
     assert_eq!(detector.health(), EngineHealth::Unknown);
-    detector.note_refusal(ClockMs(10));
+    detector.record_refused_connection(ClockMs(10));
     assert_eq!(detector.health(), EngineHealth::Lost);
-    detector.note_sign(ClockMs(20));
+    detector.record_activity(ClockMs(20));
     assert_eq!(detector.health(), EngineHealth::Alive);
 }
--- a/crates/masticsill_generation/tests/record_rules.rs
+++ b/crates/masticsill_generation/tests/record_rules.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use assert_matches::assert_matches;
-use masticsill_generation::{Record, RecordError, Taken};
+use masticsill_generation::{AppendOutcome, Record, RecordError};
 use masticsill_types::{AttemptFailure, AttemptState, FinishReason, Lineage, TokenIndex};
 
 use common::{node, record, tokens};
 
-fn taken(accepted: usize, dropped: usize) -> Taken {
-    Taken { accepted, dropped }
+fn taken(accepted: usize, dropped: usize) -> AppendOutcome {
+    AppendOutcome { accepted, dropped }
 }
 
 #[test]
@@ -25,7 +25,7 @@
         (Lineage::first(12), 5, 5..6, taken(0, 1)),
     ];
     for (lineage, first, ids, expected) in cases {
-        let outcome = record.take(lineage, TokenIndex(first), tokens(ids));
+        let outcome = record.append_tokens(lineage, TokenIndex(first), tokens(ids));
         assert_eq!(outcome, expected, "tokens from {first}");
     }
     assert_eq!(record.tokens(), tokens(0..5));
@@ -36,14 +36,14 @@
     let mut record = record();
     let lineage = record.lineage();
     let end = AttemptState::Finished(FinishReason::Stop);
-    assert!(!record.conclude(lineage, TokenIndex(2), end));
-    record.take(lineage, TokenIndex(0), tokens(0..2));
-    assert!(!record.conclude(lineage.next_attempt(), TokenIndex(2), end));
-    assert!(record.conclude(lineage, TokenIndex(2), end));
+    assert!(!record.end_attempt(lineage, TokenIndex(2), end));
+    record.append_tokens(lineage, TokenIndex(0), tokens(0..2));
+    assert!(!record.end_attempt(lineage.next_attempt(), TokenIndex(2), end));
+    assert!(record.end_attempt(lineage, TokenIndex(2), end));
     let late = AttemptState::Failed(AttemptFailure::EngineLost);
-    assert!(!record.conclude(lineage, TokenIndex(2), late));
+    assert!(!record.end_attempt(lineage, TokenIndex(2), late));
     assert_eq!(
-        record.take(lineage, TokenIndex(2), tokens(2..3)),
+        record.append_tokens(lineage, TokenIndex(2), tokens(2..3)),
         taken(0, 1)
     );
 }
@@ -52,9 +52,9 @@
 fn continues_only_callers_of_its_own_branch() {
     let mut record = record();
     let first = record.lineage();
-    record.take(first, TokenIndex(0), tokens(0..4));
+    record.append_tokens(first, TokenIndex(0), tokens(0..4));
     let second = record.begin_attempt();
-    record.take(second, TokenIndex(4), tokens(4..6));
+    record.append_tokens(second, TokenIndex(4), tokens(4..6));
     let third = record.change_owner(99);
     let cases = [
         (first, 0, true),
@@ -69,8 +69,8 @@
         (second.next_owner(98), 6, false),
     ];
     for (seen, next, expected) in cases {
-        let continues = record.continues(seen, TokenIndex(next));
-        assert_eq!(continues, expected, "{seen} at {next}");
+        let can_resume = record.can_resume(seen, TokenIndex(next));
+        assert_eq!(can_resume, expected, "{seen} at {next}");
     }
     assert_eq!(record.lineage_before(TokenIndex(4)), first);
     assert_eq!(record.lineage_before(TokenIndex(5)), second);
@@ -79,7 +79,7 @@
 #[test]
 fn peers_messages_are_checked() {
     let mut record = record();
-    record.take(record.lineage(), TokenIndex(0), tokens(0..4));
+    record.append_tokens(record.lineage(), TokenIndex(0), tokens(0..4));
     assert_eq!(Record::from_snapshot(record.snapshot()), Ok(record.clone()));
     let again = record.start_request(node("entry-1"));
     assert_matches!(Record::from_start(again), Err(RecordError::StartedBefore));
--- a/crates/masticsill_generation/tests/world/agent.rs
+++ b/crates/masticsill_generation/tests/world/agent.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use masticsill_generation::{
-    AgentBook, EngineCommand, EngineEvent, PullAnswer, PullNumber, RunNumber,
+    EngineCommand, EngineEvent, GenerationTable, PullAnswer, PullNumber, RunNumber,
 };
 use masticsill_types::{AttemptFailure, ClockMs, FinishReason, TokenIndex};
 use masticsill_wire::agent::{Progress, PullRequest};
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Agent {
-    pub(crate) book: AgentBook,
+    pub(crate) book: GenerationTable,
     pub(crate) life: u32,
     pub(crate) pulls: IndexMap<PullNumber, (usize, u32)>,
     runs: IndexMap<RunNumber, EngineRun>,
@@ -33,7 +33,7 @@
 impl Agent {
     pub(crate) fn new(life: u32) -> Self {
         Self {
-            book: AgentBook::new(LIMITS),
+            book: GenerationTable::new(LIMITS),
             life,
             pulls: IndexMap::new(),
             runs: IndexMap::new(),
@@ -107,9 +107,9 @@
             return;
         };
         if has_faults && random.random_bool(0.05) {
-            self.book.take_event(now, number, event.clone());
+            self.book.apply_event(now, number, event.clone());
         }
-        self.book.take_event(now, number, event);
+        self.book.apply_event(now, number, event);
     }
 
     /// Fails a run at the book; a frozen one goes on unseen, and its tokens come late.
@@ -126,7 +126,7 @@
             AttemptFailure::EngineLost
         };
         self.book
-            .take_event(now, number, EngineEvent::Failed(failure));
+            .apply_event(now, number, EngineEvent::Failed(failure));
     }
 
     /// Takes a pull and returns the news that is there at once.
--- a/crates/masticsill_generation/tests/world/mod.rs
+++ b/crates/masticsill_generation/tests/world/mod.rs
@@ -279,7 +279,7 @@
         connection.attaches.clear();
         let next_index = index(connection.received.len());
         if let Some(serving) = &self.entries[entry].serving {
-            connection.is_open = serving.record.continues(connection.seen, next_index);
+            connection.is_open = serving.record.can_resume(connection.seen, next_index);
             self.connections.push(connection);
             return;
         }
@@ -349,7 +349,7 @@
     /// Lets running generations become orphans and their records expire.
     fn pass_long(&mut self) {
         self.pass(LIMITS.orphan_ms);
-        self.pass(LIMITS.keep_ms);
+        self.pass(LIMITS.retention_ms);
     }
 
     /// Brings out what the books have to say.
@@ -435,13 +435,13 @@
         let end_index = TokenIndex(progress.first_index.0 + index(progress.tokens.len()).0);
         serving
             .record
-            .take(lineage, progress.first_index, progress.tokens);
+            .append_tokens(lineage, progress.first_index, progress.tokens);
         let is_current = lineage == serving.record.lineage();
         match progress.state {
             ProgressState::Attempt(AttemptState::Running) => {}
             ProgressState::Attempt(end) => {
                 let is_failed = matches!(end, AttemptState::Failed(_));
-                if serving.record.conclude(lineage, end_index, end) && is_failed {
+                if serving.record.end_attempt(lineage, end_index, end) && is_failed {
                     self.try_next(entry);
                 }
             }
@@ -487,7 +487,7 @@
         for connection in &mut self.connections {
             if connection.entry == entry {
                 let next_index = index(connection.received.len());
-                connection.is_open &= record.continues(connection.seen, next_index);
+                connection.is_open &= record.can_resume(connection.seen, next_index);
                 connection.attaches.clear();
             }
         }
--- a/crates/masticsill_session/src/reconnect.rs
+++ b/crates/masticsill_session/src/reconnect.rs
@@ -22,7 +22,7 @@
         let mut caller = Caller::new(sink, position.next_index);
         if !session
             .record
-            .continues(position.lineage, position.next_index)
+            .can_resume(position.lineage, position.next_index)
         {
             caller.refuse(record_lost());
             return;
@@ -57,7 +57,7 @@
             return;
         };
         // While the search ran, a later connection may have replaced the one that started it.
-        if !record.continues(position.lineage, position.next_index) {
+        if !record.can_resume(position.lineage, position.next_index) {
             caller.refuse(record_lost());
             return;
         }
@@ -72,7 +72,7 @@
         let Some(session) = self.sessions.get_mut(&request.id) else {
             return AttachReply::Unknown;
         };
-        if !session.record.continues(request.seen, request.next_index) {
+        if !session.record.can_resume(request.seen, request.next_index) {
             return AttachReply::Behind;
         }
         session.record.change_owner(request.nonce);
--- a/crates/masticsill_session/src/session_table.rs
+++ b/crates/masticsill_session/src/session_table.rs
@@ -205,7 +205,7 @@
             update.first_index.0 + u32::try_from(update.tokens.len()).unwrap_or(u32::MAX);
         let taken = session
             .record
-            .take(update.lineage, update.first_index, update.tokens);
+            .append_tokens(update.lineage, update.first_index, update.tokens);
         if taken.accepted > 0 {
             session.failures = 0;
             session.tried_agents.clear();
@@ -216,7 +216,7 @@
             ProgressState::Attempt(AttemptState::Finished(reason)) => {
                 let end = AttemptState::Finished(reason);
                 let end_index = TokenIndex(end_index);
-                if session.record.conclude(update.lineage, end_index, end) {
+                if session.record.end_attempt(update.lineage, end_index, end) {
                     self.finish(now, id);
                 }
             }
