--- a/crates/masticsill_generation/src/call_book.rs
+++ b/crates/masticsill_generation/src/call_table.rs
@@ -1,4 +1,4 @@
-//! Plain calls that run at most once.
+//! Calls of plain services, each run at most once.
 
 use std::collections::VecDeque;
 
@@ -6,49 +6,49 @@
 use masticsill_types::{ClockMs, GenerationId, Incarnation, Refusal, RefusalKind};
 use masticsill_wire::agent::{BuryRequest, CallAnswer, CallReply};
 
-/// A sweep looks at every id, so it is not done at each tick.
+/// A sweep visits every id, so it runs this many times per key window instead of at each tick.
 const SWEEPS_PER_WINDOW: u64 = 100;
 
 /// Limits of a [`CallTable`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallLimits {
-    /// How long an id is remembered after its last change, in milliseconds.
+    /// How long an id is remembered after its last state change, in milliseconds.
     pub key_window_ms: u64,
-    /// Bytes of stored answers at most; the oldest lose their bodies first.
+    /// Maximum size of all stored answer bodies, in bytes. The oldest answers are evicted first.
     pub max_answer_bytes: usize,
-    /// Ids remembered at most, about 100 bytes each; tombstones may take as many again.
+    /// Maximum number of remembered ids, about 100 bytes each. Tombstones may take as many again.
     ///
-    /// It has to hold the calls of a whole key window: a full book refuses new ones.
+    /// The limit has to cover the calls of a whole key window: a full table refuses new calls.
     pub max_calls: usize,
-    /// When a refused caller may come back, in milliseconds.
+    /// Delay after which a refused caller may retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// What to do with a call that arrived.
+/// What the agent has to do with an arriving call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallDecision {
-    /// Send it to the service: [`CallTable::mark_started`] just before its first byte.
+    /// Send the call to the service; [`CallTable::mark_started`] comes just before its first byte.
     Send,
-    /// The same call is being sent: wait for its end.
+    /// A call with the same id is in flight: wait for its outcome.
     Join,
-    /// Its end is known.
+    /// The reply is known: return it without sending the call.
     Reply(CallReply),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum CallState {
-    /// Taken, nothing sent yet.
-    Taken,
-    /// Sent, at least in part.
+    /// Accepted; no byte has been sent yet.
+    Accepted,
+    /// Sent at least in part; the outcome is pending.
     Started,
-    /// The service answered.
+    /// The service answered, and the answer is stored.
     Answered(Box<CallAnswer>),
-    /// The service answered, and the answer is no longer stored.
-    Forgotten,
-    /// Sent, and its end is not known.
+    /// The service answered, but the answer has been evicted.
+    AnswerEvicted,
+    /// Sent at least in part; the outcome is unknown.
     Lost,
-    /// Not sent, and never will be.
-    Buried,
+    /// Not sent; the tombstone prevents any later send.
+    Tombstoned,
 }
 
 #[derive(Clone, Debug)]
@@ -58,16 +58,17 @@
     state: CallState,
 }
 
-/// The plain calls of one agent's life.
+/// The plain calls of one incarnation of an agent.
 ///
-/// The start mark and the tombstone exclude each other: a call is either started or buried here,
-/// so "not run" stays true whatever arrives late. Only what this life saw is known; a call meant
-/// for another life is refused, and its burial is answered as unknown.
+/// A call is either marked as started or buried (a tombstone prevents it from being sent), never
+/// both, so a "not run" reply stays true whatever request arrives late. The table knows only the
+/// calls of its own incarnation: a call for another incarnation is refused, and a request to bury
+/// such a call is answered with an unknown outcome.
 #[derive(Debug)]
 pub struct CallTable {
     answer_bytes: usize,
-    /// Ids of stored answers, the oldest first.
-    answered: VecDeque<GenerationId>,
+    /// Ids of the stored answers, oldest first.
+    stored_answer_ids: VecDeque<GenerationId>,
     calls: IndexMap<GenerationId, CallRecord>,
     incarnation: Incarnation,
     is_leaving: bool,
@@ -76,12 +77,12 @@
 }
 
 impl CallTable {
-    /// An empty book of the agent's life given.
+    /// Creates an empty table for the given incarnation of the agent.
     #[must_use]
     pub fn new(incarnation: Incarnation, limits: CallLimits) -> Self {
         Self {
             answer_bytes: 0,
-            answered: VecDeque::new(),
+            stored_answer_ids: VecDeque::new(),
             calls: IndexMap::new(),
             incarnation,
             is_leaving: false,
@@ -95,7 +96,7 @@
         self.is_leaving = true;
     }
 
-    /// Takes a call in.
+    /// Registers an arriving call and returns what to do with it.
     pub fn begin(
         &mut self,
         now: ClockMs,
@@ -109,7 +110,7 @@
         }
         let known = self.calls.get(&id).map(|call| &call.state);
         match known {
-            Some(CallState::Taken | CallState::Started) => return CallDecision::Join,
+            Some(CallState::Accepted | CallState::Started) => return CallDecision::Join,
             Some(CallState::Lost) if is_repeatable => {}
             Some(state) => return CallDecision::Reply(self.reply(state)),
             None if self.is_leaving => {
@@ -122,16 +123,17 @@
             }
             None => {}
         }
-        self.set(now, id, is_repeatable, CallState::Taken);
+        self.insert_call(now, id, is_repeatable, CallState::Accepted);
         CallDecision::Send
     }
 
-    /// Marks a call as started, just before its first byte; false when it must not be sent.
+    /// Marks a call as started, just before its first byte is sent. Returns false when the call
+    /// must not be sent.
     pub fn mark_started(&mut self, now: ClockMs, id: GenerationId) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
         };
-        if call.state != CallState::Taken {
+        if call.state != CallState::Accepted {
             return false;
         }
         call.state = CallState::Started;
@@ -139,7 +141,8 @@
         true
     }
 
-    /// Stores the service's answer and returns the reply.
+    /// Records the service's answer and returns the reply. The answer is stored for repeats unless
+    /// the call is repeatable.
     pub fn note_answer(&mut self, now: ClockMs, id: GenerationId, answer: CallAnswer) -> CallReply {
         let reply = CallReply::Answered(answer.clone());
         let is_repeatable = self.calls.get(&id).is_some_and(|call| call.is_repeatable);
@@ -148,30 +151,32 @@
             return reply;
         }
         self.answer_bytes += answer.body.len();
-        self.set(now, id, false, CallState::Answered(Box::new(answer)));
-        self.answered.push_back(id);
-        self.forget_answers();
+        self.insert_call(now, id, false, CallState::Answered(Box::new(answer)));
+        self.stored_answer_ids.push_back(id);
+        self.evict_answers();
         reply
     }
 
-    /// Notes that a started call's end is not known and returns the reply.
+    /// Records that the outcome of a started call is unknown and returns the reply.
     pub fn note_lost(&mut self, now: ClockMs, id: GenerationId) -> CallReply {
-        self.change(now, id, CallState::Lost);
+        self.set_state(now, id, CallState::Lost);
         CallReply::OutcomeUnknown
     }
 
-    /// Notes that no byte of a call reached the service, and that none ever will.
+    /// Records that no byte of a call has reached or will reach the service, and returns the "not
+    /// run" reply with `detail`.
     pub fn note_unsent(&mut self, now: ClockMs, id: GenerationId, detail: &str) -> CallReply {
         let is_repeatable = self.calls.get(&id).is_some_and(|call| call.is_repeatable);
         if is_repeatable {
             self.calls.swap_remove(&id);
         } else {
-            self.change(now, id, CallState::Buried);
+            self.set_state(now, id, CallState::Tombstoned);
         }
         self.not_run(RefusalKind::NoEndpoint, detail)
     }
 
-    /// Makes sure that a call is not sent later, or tells its end.
+    /// Prevents a call from being sent later by leaving a tombstone, or returns the outcome of a
+    /// call that was started.
     pub fn bury(&mut self, now: ClockMs, request: &BuryRequest) -> CallReply {
         if request.incarnation != self.incarnation {
             return CallReply::OutcomeUnknown;
@@ -179,17 +184,17 @@
         let state = self.calls.get(&request.id).map(|call| &call.state);
         let is_full = self.calls.len() >= self.limits.max_calls.saturating_mul(2);
         match state {
-            Some(CallState::Taken) => {}
+            Some(CallState::Accepted) => {}
             Some(state) => return self.reply(state),
-            // Without room for a tombstone nothing can be promised.
+            // Without room for a tombstone, a later send of the call can't be ruled out.
             None if is_full => return CallReply::OutcomeUnknown,
             None => {}
         }
-        self.set(now, request.id, false, CallState::Buried);
-        self.reply(&CallState::Buried)
+        self.insert_call(now, request.id, false, CallState::Tombstoned);
+        self.reply(&CallState::Tombstoned)
     }
 
-    /// Forgets ids whose key window is over.
+    /// Removes the ids whose key window is over, except those of pending calls.
     pub fn tick(&mut self, now: ClockMs) {
         let key_window_ms = self.limits.key_window_ms;
         if now.since(self.swept_at) < key_window_ms / SWEEPS_PER_WINDOW {
@@ -198,7 +203,7 @@
         self.swept_at = now;
         let mut freed_bytes = 0;
         self.calls.retain(|_, call| {
-            let is_pending = matches!(call.state, CallState::Taken | CallState::Started);
+            let is_pending = matches!(call.state, CallState::Accepted | CallState::Started);
             let is_kept = is_pending || now.since(call.changed_at) < key_window_ms;
             if !is_kept {
                 freed_bytes += stored_bytes(&call.state);
@@ -207,10 +212,10 @@
         });
         self.answer_bytes -= freed_bytes;
         let calls = &self.calls;
-        self.answered.retain(|id| calls.contains_key(id));
+        self.stored_answer_ids.retain(|id| calls.contains_key(id));
     }
 
-    /// Ids remembered.
+    /// Number of remembered ids.
     #[must_use]
     pub fn len(&self) -> usize {
         self.calls.len()
@@ -222,24 +227,25 @@
         self.calls.is_empty()
     }
 
-    /// Calls that were taken in and have not ended.
+    /// Number of calls that were accepted and have no outcome yet.
     #[must_use]
     pub fn pending(&self) -> usize {
         let is_pending =
-            |call: &&CallRecord| matches!(call.state, CallState::Taken | CallState::Started);
+            |call: &&CallRecord| matches!(call.state, CallState::Accepted | CallState::Started);
         self.calls.values().filter(is_pending).count()
     }
 
     fn reply(&self, state: &CallState) -> CallReply {
         match state {
             CallState::Answered(answer) => CallReply::Answered(answer.as_ref().clone()),
-            CallState::Buried => self.not_run(
+            CallState::Tombstoned => self.not_run(
                 RefusalKind::Superseded,
                 "the call was buried before it was sent",
             ),
-            CallState::Taken | CallState::Started | CallState::Forgotten | CallState::Lost => {
-                CallReply::OutcomeUnknown
-            }
+            CallState::Accepted
+            | CallState::Started
+            | CallState::AnswerEvicted
+            | CallState::Lost => CallReply::OutcomeUnknown,
         }
     }
 
@@ -248,7 +254,13 @@
         CallReply::NotRun(refusal.retry_after(self.limits.retry_after_ms))
     }
 
-    fn set(&mut self, now: ClockMs, id: GenerationId, is_repeatable: bool, state: CallState) {
+    fn insert_call(
+        &mut self,
+        now: ClockMs,
+        id: GenerationId,
+        is_repeatable: bool,
+        state: CallState,
+    ) {
         let call = CallRecord {
             changed_at: now,
             is_repeatable,
@@ -257,17 +269,17 @@
         self.calls.insert(id, call);
     }
 
-    fn change(&mut self, now: ClockMs, id: GenerationId, state: CallState) {
+    fn set_state(&mut self, now: ClockMs, id: GenerationId, state: CallState) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.changed_at = now;
             call.state = state;
         }
     }
 
-    /// Drops the bodies of the oldest answers until the rest fits.
-    fn forget_answers(&mut self) {
+    /// Evicts the oldest stored answers until the rest fits into `max_answer_bytes`.
+    fn evict_answers(&mut self) {
         while self.answer_bytes > self.limits.max_answer_bytes {
-            let Some(id) = self.answered.pop_front() else {
+            let Some(id) = self.stored_answer_ids.pop_front() else {
                 return;
             };
             let Some(call) = self.calls.get_mut(&id) else {
@@ -275,7 +287,7 @@
             };
             if matches!(call.state, CallState::Answered(_)) {
                 self.answer_bytes -= stored_bytes(&call.state);
-                call.state = CallState::Forgotten;
+                call.state = CallState::AnswerEvicted;
             }
         }
     }
--- a/crates/masticsill_generation/src/fences.rs
+++ b/crates/masticsill_generation/src/fences.rs
@@ -1,12 +1,12 @@
-//! Lineages of generations whose records are gone.
+//! Last known lineages of generations whose records have been removed.
 
 use indexmap::IndexMap;
 use masticsill_types::{GenerationId, Lineage};
 
-/// The last lineages of forgotten records, the oldest dropped first.
+/// The last lineages of removed records, up to a capacity; the oldest are dropped first.
 ///
-/// A start that was delayed or repeated past its record's time would run the attempt a second
-/// time: two branches under one lineage.
+/// Without them, a start that is delayed or repeated until after its record's removal would run
+/// the attempt a second time and produce two branches under one lineage.
 #[derive(Debug)]
 pub(crate) struct Fences {
     capacity: usize,
@@ -21,7 +21,7 @@
         }
     }
 
-    pub(crate) fn remember(&mut self, id: GenerationId, lineage: Lineage) {
+    pub(crate) fn insert(&mut self, id: GenerationId, lineage: Lineage) {
         self.lineages.shift_remove(&id);
         if self.lineages.len() >= self.capacity {
             self.lineages.shift_remove_index(0);
--- a/crates/masticsill_generation/src/freeze.rs
+++ b/crates/masticsill_generation/src/freeze.rs
@@ -1,4 +1,4 @@
-//! Tells a frozen engine from a slow one.
+//! Detection of frozen engines, as distinct from slow ones.
 
 use std::collections::VecDeque;
 
@@ -7,18 +7,18 @@
 /// Settings of a [`FreezeDetector`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FreezeLimits {
-    /// Silence that is never a freeze, in milliseconds.
+    /// Shortest silence that can count as a freeze, in milliseconds.
     pub min_silence_ms: u64,
-    /// Silence that is always a freeze, in milliseconds.
+    /// Silence that always counts as a freeze, in milliseconds.
     pub max_silence_ms: u64,
-    /// How many times the engine's own longest recent gap is a freeze.
+    /// Multiple of the engine's longest recent gap that counts as a freeze.
     pub gap_factor: u64,
     /// How long a gap counts as recent, in milliseconds.
     pub gap_window_ms: u64,
-    /// Longest step of the detector's own time, in milliseconds.
+    /// Longest time between two calls of the detector that is counted as silence, in milliseconds.
     ///
-    /// A longer one means that the agent itself was paused; the rest of it says nothing about the
-    /// engine.
+    /// A longer step means that the agent itself was paused; the excess says nothing about the
+    /// engine and is ignored.
     pub max_step_ms: u64,
 }
 
@@ -34,36 +34,37 @@
     }
 }
 
-/// What is known about an engine.
+/// The state of an engine as the detector sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EngineHealth {
-    /// No sign of life yet.
+    /// No sign of life has been seen yet.
     Unknown,
-    /// It gives signs of life.
+    /// The engine gives signs of life.
     Alive,
-    /// It is silent far longer than its own recent gaps.
+    /// The engine has been silent for far longer than its recent gaps.
     Frozen,
-    /// It refuses connections.
+    /// The engine refuses connections.
     Lost,
 }
 
-/// Judges an engine by every sign of life together.
+/// Detects a frozen engine from the signs of life of all its streams and HTTP answers together.
 ///
-/// A token of any stream and any answer over HTTP are signs. During a long prefill no token comes,
-/// and a request behind a full batch gets none for long, but the engine goes on answering its load
-/// endpoint and the other streams go on; a frozen engine gives no sign at all. The verdict waits
-/// for a multiple of the longest gap between signs that the engine itself showed recently.
+/// A token of any stream and any answer over HTTP are signs of life. During a long prefill no token
+/// arrives, and a request queued behind a full batch gets none for a long time, but the engine
+/// still answers its load endpoint and the other streams continue. A frozen engine gives no sign of
+/// life at all. The engine counts as frozen after a multiple of the longest recent gap between its
+/// signs of life.
 #[derive(Clone, Debug)]
 pub struct FreezeDetector {
     gaps: VecDeque<(ClockMs, u64)>,
     health: EngineHealth,
     limits: FreezeLimits,
     silence_ms: u64,
-    stepped_at: ClockMs,
+    advanced_at: ClockMs,
 }
 
 impl FreezeDetector {
-    /// A detector of an engine that has given no sign yet.
+    /// Creates a detector for an engine that has given no sign of life yet.
     #[must_use]
     pub fn new(now: ClockMs, limits: FreezeLimits) -> Self {
         Self {
@@ -71,33 +72,33 @@
             health: EngineHealth::Unknown,
             limits,
             silence_ms: 0,
-            stepped_at: now,
+            advanced_at: now,
         }
     }
 
-    /// Notes a token of any stream or an answer over HTTP.
+    /// Records a sign of life: a token of any stream or an answer over HTTP.
     pub fn record_activity(&mut self, now: ClockMs) {
-        self.step(now);
+        self.advance(now);
         if self.health == EngineHealth::Alive {
-            self.remember_gap(now);
+            self.add_gap(now);
         } else {
-            // The gap of a freeze or an outage would make the detector slow for the next one.
+            // The gap of a freeze or an outage would delay the detection of the next one.
             self.gaps.clear();
         }
         self.health = EngineHealth::Alive;
         self.silence_ms = 0;
     }
 
-    /// Notes a refused connection.
+    /// Records a refused connection, which means that the engine is lost.
     pub fn record_refused_connection(&mut self, now: ClockMs) {
-        self.step(now);
+        self.advance(now);
         self.silence_ms = 0;
         self.health = EngineHealth::Lost;
     }
 
-    /// Lets time pass and returns whether the engine is judged frozen just now.
+    /// Advances the time to `now` and returns whether the engine has just become frozen.
     pub fn check_frozen(&mut self, now: ClockMs) -> bool {
-        self.step(now);
+        self.advance(now);
         let is_frozen =
             self.health == EngineHealth::Alive && self.silence_ms >= self.threshold_ms();
         if is_frozen {
@@ -106,13 +107,13 @@
         is_frozen
     }
 
-    /// What is known about the engine.
+    /// The current state of the engine.
     #[must_use]
     pub fn health(&self) -> EngineHealth {
         self.health
     }
 
-    /// Silence that is judged a freeze now, in milliseconds.
+    /// Silence that currently counts as a freeze, in milliseconds.
     #[must_use]
     pub fn threshold_ms(&self) -> u64 {
         let longest_ms = self.gaps.front().map_or(0, |(_, gap_ms)| *gap_ms);
@@ -120,18 +121,19 @@
         scaled_ms.clamp(self.limits.min_silence_ms, self.limits.max_silence_ms)
     }
 
-    fn step(&mut self, now: ClockMs) {
-        let step_ms = now.since(self.stepped_at);
+    fn advance(&mut self, now: ClockMs) {
+        let step_ms = now.since(self.advanced_at);
         self.silence_ms += step_ms.min(self.limits.max_step_ms);
-        self.stepped_at = now;
+        self.advanced_at = now;
         let oldest = now.before(self.limits.gap_window_ms);
         while self.gaps.front().is_some_and(|(at, _)| *at < oldest) {
             self.gaps.pop_front();
         }
     }
 
-    /// Keeps gaps in descending order, so that the front is the longest recent one.
-    fn remember_gap(&mut self, now: ClockMs) {
+    /// Adds the gap that ends now. The gaps stay in descending order, so that the front is the
+    /// longest recent one.
+    fn add_gap(&mut self, now: ClockMs) {
         let gap_ms = self.silence_ms;
         while self
             .gaps
--- a/crates/masticsill_generation/src/lib.rs
+++ b/crates/masticsill_generation/src/lib.rs
@@ -1,22 +1,23 @@
-//! Generation records: attempts, contiguity, resume and claims.
+//! Generation records: attempts, contiguous tokens, resumption and change of ownership.
 //!
-//! Pure logic: no sockets, threads or wall clock. A [`Record`] is held by the entry that owns a
-//! generation and by the agent that runs it; both apply the same rules, so either may die.
+//! The crate contains pure logic without sockets, threads or a wall clock. Both the entry that owns
+//! a generation and the agent that runs it hold a [`Record`] and apply the same rules, so the
+//! generation survives the failure of either.
 
-mod book;
-mod call_book;
+mod call_table;
 mod fences;
 mod freeze;
-mod held;
+mod generation_table;
 mod pulls;
 mod record;
+mod record_store;
 mod run;
-mod shelf;
+mod stored_record;
 mod utf8;
 
-pub use book::{GenerationCounts, GenerationLimits, GenerationTable, PullAnswer};
-pub use call_book::{CallDecision, CallLimits, CallTable};
+pub use call_table::{CallDecision, CallLimits, CallTable};
 pub use freeze::{EngineHealth, FreezeDetector, FreezeLimits};
+pub use generation_table::{GenerationCounts, GenerationLimits, GenerationTable, PullAnswer};
 pub use pulls::PullNumber;
 pub use record::{AppendOutcome, Record, RecordError};
 pub use run::{EngineCommand, EngineEvent, RunNumber, RunRequest};
--- a/crates/masticsill_generation/src/record.rs
+++ b/crates/masticsill_generation/src/record.rs
@@ -7,12 +7,13 @@
 };
 use masticsill_wire::agent::{RecordSnapshot, StartRequest};
 
-/// What became of tokens that were offered to a record.
+/// How many of the tokens offered to a record were accepted and dropped.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct AppendOutcome {
-    /// Tokens appended.
+    /// Number of tokens appended.
     pub accepted: usize,
-    /// Tokens refused: already had, beyond a gap, or of another lineage.
+    /// Number of tokens dropped: already in the record, beyond a gap, of another lineage, or after
+    /// the end of the attempt.
     pub dropped: usize,
 }
 
@@ -23,9 +24,9 @@
     HistoryStart,
     /// The history's lineages or indices do not ascend.
     HistoryOrder,
-    /// The history names an index beyond the tokens given.
+    /// The last lineage starts at an index beyond the given tokens.
     MissingTokens,
-    /// The attempt to start has tokens already: another run of it would be another branch.
+    /// The attempt to start already has tokens; a second run would produce another branch.
     StartedBefore,
 }
 
@@ -42,10 +43,10 @@
 
 impl std::error::Error for RecordError {}
 
-/// One generation: what is generated, the history of lineages and every token from index zero.
+/// One generation: its specification, the history of its lineages and every token from index zero.
 ///
-/// A lineage names one branch of the answer: the tokens of its own stretch and everything before
-/// it. Records of two branches are never joined.
+/// A lineage identifies one branch of the answer: the tokens of its own segment and all tokens
+/// before them. Records of two branches are never merged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     history: Vec<Segment>,
@@ -55,7 +56,7 @@
 }
 
 impl Record {
-    /// A record of the first owner's first attempt, without tokens; `nonce` is random.
+    /// Creates the record of the first owner's first attempt, without tokens; `nonce` is random.
     #[must_use]
     pub fn new(spec: GenerationSpec, nonce: u32) -> Self {
         let first = Segment {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The record that a peer handed over.
+    /// Creates a record from the snapshot that a peer sent.
     ///
     /// # Errors
     ///
@@ -85,7 +86,7 @@
         })
     }
 
-    /// The record of an attempt that an owner starts.
+    /// Creates the record of an attempt from its owner's start request.
     ///
     /// # Errors
     ///
@@ -132,7 +133,7 @@
         self.spec.id
     }
 
-    /// What is generated.
+    /// The specification of what is generated.
     #[must_use]
     pub fn spec(&self) -> &GenerationSpec {
         &self.spec
@@ -174,31 +175,32 @@
         index_at(self.tokens.len())
     }
 
-    /// Tokens of the whole answer at most.
+    /// Maximum number of tokens of the whole answer.
     #[must_use]
     pub fn max_tokens(&self) -> u32 {
         self.spec.sampling.max_tokens
     }
 
-    /// Whether the answer has as many tokens as it may have.
+    /// Whether the answer has reached its maximum number of tokens.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.next_index().0 >= self.max_tokens()
     }
 
-    /// Where the current attempt stands.
+    /// State of the current attempt.
     #[must_use]
     pub fn state(&self) -> AttemptState {
         self.state
     }
 
-    /// Whether the current attempt runs.
+    /// Whether the current attempt is running.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.state == AttemptState::Running
     }
 
-    /// The lineage under which the token before `index` was taken; the first one for index zero.
+    /// The lineage under which the token before `index` was accepted; the first lineage for index
+    /// zero.
     #[must_use]
     pub fn lineage_before(&self, index: TokenIndex) -> Lineage {
         let is_before = |segment: &&Segment| segment.first_index < index;
@@ -206,37 +208,37 @@
         segment.unwrap_or(self.first_segment()).lineage
     }
 
-    /// Appends the tokens that follow the record's own.
+    /// Appends the offered tokens that directly follow those in the record.
     ///
-    /// Tokens of another lineage, tokens beyond a gap and tokens after the attempt's end are
-    /// refused; tokens that the record has already are dropped.
+    /// Tokens of another lineage, tokens beyond a gap, tokens after the attempt's end and tokens
+    /// already in the record are dropped.
     pub fn append_tokens(
         &mut self,
         lineage: Lineage,
         first_index: TokenIndex,
         tokens: Vec<Token>,
     ) -> AppendOutcome {
-        let offered = tokens.len();
+        let offered_count = tokens.len();
         let is_gap = first_index > self.next_index();
         if lineage != self.lineage() || is_gap || !self.is_running() {
             return AppendOutcome {
                 accepted: 0,
-                dropped: offered,
+                dropped: offered_count,
             };
         }
         let known = position(self.next_index()) - position(first_index);
-        let dropped = known.min(offered);
+        let dropped = known.min(offered_count);
         self.tokens.extend(tokens.into_iter().skip(dropped));
         AppendOutcome {
-            accepted: offered - dropped,
+            accepted: offered_count - dropped,
             dropped,
         }
     }
 
-    /// Ends the current attempt and returns whether it did.
+    /// Ends the current attempt and returns whether the end was accepted.
     ///
-    /// The end is taken only for the current lineage, only once, and only when `end_index` is the
-    /// next index: an end that overtook its tokens is not the answer's end.
+    /// The end is accepted only once, only for the current lineage, and only when `end_index` is
+    /// the next index: an end that arrives before its last tokens would truncate the answer.
     pub fn end_attempt(
         &mut self,
         lineage: Lineage,
@@ -251,18 +253,21 @@
         true
     }
 
-    /// Begins the same owner's next attempt after the tokens so far.
+    /// Begins the same owner's next attempt, which continues after the tokens so far, and returns
+    /// its lineage.
     pub fn begin_attempt(&mut self) -> Lineage {
         self.state = AttemptState::Running;
         self.append(self.lineage().next_attempt())
     }
 
-    /// Hands the attempt to a new owner from here on; `nonce` is random and never used twice.
+    /// Transfers the attempt to a new owner and returns the new lineage; `nonce` is random and
+    /// never used twice.
     pub fn change_owner(&mut self, nonce: u32) -> Lineage {
         self.append(self.lineage().next_owner(nonce))
     }
 
-    /// Whether a caller that saw `seen` and wants `next_index` can be continued from this record.
+    /// Whether a caller whose last lineage is `seen` and whose next token is `next_index` can be
+    /// resumed from this record.
     #[must_use]
     pub fn can_resume(&self, seen: Lineage, next_index: TokenIndex) -> bool {
         let is_seen = |segment: &Segment| segment.lineage == seen;
--- a/crates/masticsill_generation/src/run.rs
+++ b/crates/masticsill_generation/src/run.rs
@@ -1,35 +1,35 @@
-//! What an agent tells its engine, and what the engine tells back.
+//! Commands from an agent to its engine, and events from the engine.
 
 use masticsill_types::{AttemptFailure, FinishReason, GenerationSpec, Token, TokenIndex};
 
-/// One run of a generation on the engine; numbers are never used twice by one agent.
+/// The number of one run of a generation on the engine; an agent never uses a number twice.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RunNumber(pub u64);
 
 /// A command for the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineCommand {
-    /// Generate; events come back under the run's number.
+    /// Start a run; its events carry the run's number.
     Run(Box<RunRequest>),
-    /// End a run; its later events are dropped.
+    /// Cancel a run; its later events are dropped.
     Cancel(RunNumber),
 }
 
-/// What an engine is to generate.
+/// What an engine has to generate in one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRequest {
-    /// Tokens of the answer so far; generation continues after them.
+    /// Ids of the answer's tokens so far; the engine continues after them.
     pub resume_token_ids: Vec<u32>,
-    /// The run.
+    /// The number of the run.
     pub run: RunNumber,
-    /// The whole generation.
+    /// The specification of the whole generation.
     pub spec: GenerationSpec,
 }
 
-/// What an engine did in one run.
+/// An event of one run of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// Tokens in order, the first with the index given.
+    /// Tokens in order, starting at `first_index`.
     Tokens {
         /// Why the answer ends after these tokens, if it does.
         finish: Option<FinishReason>,
@@ -38,6 +38,6 @@
         /// The tokens.
         tokens: Vec<Token>,
     },
-    /// The run ended early.
+    /// The run failed before the end of the answer.
     Failed(AttemptFailure),
 }
--- a/crates/masticsill_generation/src/held.rs
+++ b/crates/masticsill_generation/src/stored_record.rs
@@ -1,4 +1,4 @@
-//! A record as an agent holds it.
+//! A record with the state that an agent stores beside it.
 
 use masticsill_types::{AttemptFailure, AttemptState, ClockMs, FinishReason, Token};
 use masticsill_wire::agent::{Progress, ProgressState, PullCursor};
@@ -7,45 +7,47 @@
 use crate::record::Record;
 use crate::run::{EngineEvent, RunNumber};
 
-/// Encoded size of a token beside its bytes, at most.
-const TOKEN_OVERHEAD_BYTES: usize = 8;
+/// Upper bound of the encoded size of a token without its text bytes.
+const MAX_TOKEN_OVERHEAD_BYTES: usize = 8;
 
-/// What an event did to its run.
+/// The effect of an event on its run.
 #[derive(Debug)]
-pub(crate) enum RunStep {
-    /// The run goes on.
-    Goes,
-    /// The engine ended it.
+pub(crate) enum RunEffect {
+    /// The run continues.
+    Continues,
+    /// The engine has ended the run.
     Ended(AttemptState),
-    /// It has to be ended at the engine.
-    Broken(AttemptState),
+    /// The attempt has ended, and the run has to be cancelled at the engine.
+    CancelRun(AttemptState),
 }
 
+/// A stored record with its run, its owner's pull and its delivery state.
 #[derive(Debug)]
-pub(crate) struct Held {
-    /// When the attempt ended.
+pub(crate) struct StoredRecord {
+    /// When the attempt ended; `None` while it runs.
     pub(crate) ended_at: Option<ClockMs>,
-    /// Whether the attempt's end was handed to the owner.
+    /// Whether the attempt's end was delivered to the owner, or nobody waits for it.
     pub(crate) is_delivered: bool,
     /// When the owner last pulled.
     pub(crate) pulled_at: ClockMs,
     pub(crate) record: Record,
-    /// The engine run whose events are taken.
+    /// The engine run whose events are applied to the record.
     pub(crate) run: Option<RunNumber>,
-    /// The waiting pull to tell at the next news, and the cursor's position in it.
-    pub(crate) watcher: Option<(PullNumber, usize)>,
+    /// The waiting pull to notify at the next update, and the position of this record's cursor in
+    /// it.
+    pub(crate) waiting_pull: Option<(PullNumber, usize)>,
 }
 
-impl Held {
+impl StoredRecord {
     pub(crate) fn started(now: ClockMs, run: RunNumber, record: Record) -> Self {
         Self::new(now, Some(run), record)
     }
 
-    /// A record that has all tokens it may have: there is nothing left to run.
-    pub(crate) fn whole(now: ClockMs, record: Record) -> Self {
-        let mut held = Self::new(now, None, record);
-        held.end(now, AttemptState::Finished(FinishReason::Length));
-        held
+    /// A record that already has its maximum number of tokens and therefore needs no run.
+    pub(crate) fn complete(now: ClockMs, record: Record) -> Self {
+        let mut stored = Self::new(now, None, record);
+        stored.end(now, AttemptState::Finished(FinishReason::Length));
+        stored
     }
 
     fn new(now: ClockMs, run: Option<RunNumber>, record: Record) -> Self {
@@ -55,7 +57,7 @@
             pulled_at: now,
             record,
             run,
-            watcher: None,
+            waiting_pull: None,
         }
     }
 
@@ -68,10 +70,10 @@
         history.any(|segment| has_nonce(segment.lineage.epoch.0, nonce))
     }
 
-    /// Takes an event of the current run.
-    pub(crate) fn apply_event(&mut self, event: EngineEvent) -> RunStep {
+    /// Applies an event of the current run to the record.
+    pub(crate) fn apply_event(&mut self, event: EngineEvent) -> RunEffect {
         let (finish, first_index, tokens) = match event {
-            EngineEvent::Failed(failure) => return RunStep::Ended(AttemptState::Failed(failure)),
+            EngineEvent::Failed(failure) => return RunEffect::Ended(AttemptState::Failed(failure)),
             EngineEvent::Tokens {
                 finish,
                 first_index,
@@ -79,8 +81,8 @@
             } => (finish, first_index, tokens),
         };
         if first_index > self.record.next_index() {
-            // A gap can't be closed: the engine does not send a token twice.
-            return RunStep::Broken(AttemptState::Failed(AttemptFailure::EngineLost));
+            // A gap can't be filled: the engine does not send a token twice.
+            return RunEffect::CancelRun(AttemptState::Failed(AttemptFailure::EngineLost));
         }
         let room = usize::try_from(self.record.max_tokens().saturating_sub(first_index.0))
             .unwrap_or_default();
@@ -88,12 +90,12 @@
         self.record
             .append_tokens(self.record.lineage(), first_index, tokens);
         if let Some(reason) = finish {
-            return RunStep::Ended(AttemptState::Finished(reason));
+            return RunEffect::Ended(AttemptState::Finished(reason));
         }
         if self.record.is_full() {
-            return RunStep::Broken(AttemptState::Finished(FinishReason::Length));
+            return RunEffect::CancelRun(AttemptState::Finished(FinishReason::Length));
         }
-        RunStep::Goes
+        RunEffect::Continues
     }
 
     pub(crate) fn end(&mut self, now: ClockMs, end: AttemptState) {
@@ -104,19 +106,20 @@
         }
     }
 
-    /// What the cursor's owner does not have yet, as far as there is room; `None` when it has
-    /// everything.
-    pub(crate) fn news(
+    /// The tokens and the state that the cursor's owner does not have yet, limited to
+    /// `remaining_bytes`; `None` when there is nothing to send. The state is `Running` until the
+    /// last token is sent.
+    pub(crate) fn progress_after(
         &mut self,
         now: ClockMs,
         cursor: &PullCursor,
-        room_bytes: &mut usize,
+        remaining_bytes: &mut usize,
     ) -> Option<Progress> {
         self.pulled_at = now;
         let missing = self.record.tokens_from(cursor.next_index);
-        let tokens = fitting(missing, room_bytes).to_vec();
-        let is_whole = tokens.len() == missing.len();
-        let state = if is_whole {
+        let tokens = fit_into(missing, remaining_bytes).to_vec();
+        let is_complete = tokens.len() == missing.len();
+        let state = if is_complete {
             self.record.state()
         } else {
             AttemptState::Running
@@ -135,20 +138,21 @@
     }
 }
 
-/// The first tokens that fit into the room left, which shrinks by them.
-fn fitting<'tokens>(tokens: &'tokens [Token], room_bytes: &mut usize) -> &'tokens [Token] {
+/// The longest prefix of the tokens that fits into `remaining_bytes`, which is reduced by its size.
+fn fit_into<'tokens>(tokens: &'tokens [Token], remaining_bytes: &mut usize) -> &'tokens [Token] {
     let mut count = 0;
     for token in tokens {
-        let bytes = token.bytes.len() + TOKEN_OVERHEAD_BYTES;
-        if bytes > *room_bytes {
+        let bytes = token.bytes.len() + MAX_TOKEN_OVERHEAD_BYTES;
+        if bytes > *remaining_bytes {
             break;
         }
-        *room_bytes -= bytes;
+        *remaining_bytes -= bytes;
         count += 1;
     }
     &tokens[..count]
 }
 
+/// Whether the lower half of the epoch is the owner's nonce.
 fn has_nonce(epoch: u64, nonce: u32) -> bool {
     epoch & u64::from(u32::MAX) == u64::from(nonce)
 }
--- a/crates/masticsill_generation/src/utf8.rs
+++ b/crates/masticsill_generation/src/utf8.rs
@@ -1,61 +1,62 @@
-//! Whole characters from tokens that may end inside one.
+//! Assembly of complete characters from tokens that may end inside a character.
 
 use std::str;
 
 use masticsill_types::TokenIndex;
 
-/// Joins tokens' bytes into text that is cut only where a token and a character end together.
+/// Joins the bytes of tokens into text that is split only where a token and a character end
+/// together.
 ///
-/// So the text handed out always equals a whole number of tokens, and a caller that comes back
-/// with [`Utf8Assembler::next_index`] misses and repeats nothing. Bytes that can't be UTF-8 become
-/// U+FFFD.
+/// The returned text therefore always corresponds to a whole number of tokens, and a caller that
+/// resumes at [`Utf8Assembler::next_index`] neither misses nor repeats any text. Invalid UTF-8 is
+/// replaced by U+FFFD.
 #[derive(Clone, Debug)]
 pub struct Utf8Assembler {
-    held: Vec<u8>,
-    held_tokens: u32,
+    buffered: Vec<u8>,
+    buffered_tokens: u32,
     next_index: TokenIndex,
 }
 
 impl Utf8Assembler {
-    /// An assembler whose first token has the index given.
+    /// Creates an assembler whose first token has the given index.
     #[must_use]
     pub fn starting_at(next_index: TokenIndex) -> Self {
         Self {
-            held: Vec::new(),
-            held_tokens: 0,
+            buffered: Vec::new(),
+            buffered_tokens: 0,
             next_index,
         }
     }
 
-    /// Adds a token and returns the text that is whole now, if any.
+    /// Adds a token and returns the text that is now complete, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<String> {
-        self.held.extend_from_slice(bytes);
-        self.held_tokens += 1;
-        if ends_inside_character(&self.held) {
+        self.buffered.extend_from_slice(bytes);
+        self.buffered_tokens += 1;
+        if ends_inside_character(&self.buffered) {
             return None;
         }
-        Some(self.release())
+        Some(self.take_buffered())
     }
 
-    /// Returns what is held at the answer's end, an incomplete character as U+FFFD.
+    /// Returns the buffered text at the answer's end; an incomplete character becomes U+FFFD.
     pub fn finish(&mut self) -> Option<String> {
-        if self.held_tokens == 0 {
+        if self.buffered_tokens == 0 {
             return None;
         }
-        Some(self.release())
+        Some(self.take_buffered())
     }
 
-    /// Index of the token after the last one handed out as text.
+    /// Index of the token after the last one returned as text.
     #[must_use]
     pub fn next_index(&self) -> TokenIndex {
         self.next_index
     }
 
-    fn release(&mut self) -> String {
-        let text = String::from_utf8_lossy(&self.held).into_owned();
-        self.held.clear();
-        self.next_index.0 += self.held_tokens;
-        self.held_tokens = 0;
+    fn take_buffered(&mut self) -> String {
+        let text = String::from_utf8_lossy(&self.buffered).into_owned();
+        self.buffered.clear();
+        self.next_index.0 += self.buffered_tokens;
+        self.buffered_tokens = 0;
         text
     }
 }
--- a/crates/masticsill_generation/tests/call_once.rs
+++ b/crates/masticsill_generation/tests/call_once.rs
@@ -1,4 +1,4 @@
-//! Plain calls run at most once, and "not run" is true.
+//! A plain call runs at most once, and a call reported as not run never runs later.
 
 use assert_matches::assert_matches;
 use masticsill_generation::{CallDecision, CallLimits, CallTable};
@@ -6,7 +6,7 @@
 use masticsill_wire::agent::{BuryRequest, CallAnswer, CallReply};
 
 const ID: GenerationId = GenerationId(5);
-const LIFE: Incarnation = Incarnation(3);
+const INCARNATION: Incarnation = Incarnation(3);
 const LIMITS: CallLimits = CallLimits {
     key_window_ms: 1_000,
     max_answer_bytes: 10,
@@ -15,8 +15,8 @@
 };
 const NOW: ClockMs = ClockMs(1);
 
-fn book() -> CallTable {
-    CallTable::new(LIFE, LIMITS)
+fn table() -> CallTable {
+    CallTable::new(INCARNATION, LIMITS)
 }
 
 fn answer(body: &str) -> CallAnswer {
@@ -27,122 +27,122 @@
     }
 }
 
-fn bury(book: &mut CallTable, id: GenerationId, incarnation: Incarnation) -> CallReply {
-    book.bury(NOW, &BuryRequest { id, incarnation })
+fn bury(table: &mut CallTable, id: GenerationId, incarnation: Incarnation) -> CallReply {
+    table.bury(NOW, &BuryRequest { id, incarnation })
 }
 
-fn begin(book: &mut CallTable, id: GenerationId) -> CallDecision {
-    book.begin(NOW, id, LIFE, false)
+fn begin(table: &mut CallTable, id: GenerationId) -> CallDecision {
+    table.begin(NOW, id, INCARNATION, false)
 }
 
 #[test]
 fn buried_call_is_never_sent() {
-    let mut book = book();
-    assert_matches!(bury(&mut book, ID, LIFE), CallReply::NotRun(_));
+    let mut table = table();
+    assert_matches!(bury(&mut table, ID, INCARNATION), CallReply::NotRun(_));
     assert_matches!(
-        begin(&mut book, ID),
+        begin(&mut table, ID),
         CallDecision::Reply(CallReply::NotRun(_))
     );
 
     let other = GenerationId(6);
-    assert_eq!(begin(&mut book, other), CallDecision::Send);
-    assert_matches!(bury(&mut book, other, LIFE), CallReply::NotRun(_));
-    assert!(!book.mark_started(NOW, other));
+    assert_eq!(begin(&mut table, other), CallDecision::Send);
+    assert_matches!(bury(&mut table, other, INCARNATION), CallReply::NotRun(_));
+    assert!(!table.mark_started(NOW, other));
 }
 
 #[test]
-fn started_call_is_never_called_not_run() {
-    let mut book = book();
-    assert_eq!(begin(&mut book, ID), CallDecision::Send);
-    assert!(book.mark_started(NOW, ID));
-    assert!(!book.mark_started(NOW, ID));
-    assert_eq!(bury(&mut book, ID, LIFE), CallReply::OutcomeUnknown);
-    assert_eq!(begin(&mut book, ID), CallDecision::Join);
-    book.note_lost(NOW, ID);
+fn started_call_is_never_reported_as_not_run() {
+    let mut table = table();
+    assert_eq!(begin(&mut table, ID), CallDecision::Send);
+    assert!(table.mark_started(NOW, ID));
+    assert!(!table.mark_started(NOW, ID));
+    assert_eq!(bury(&mut table, ID, INCARNATION), CallReply::OutcomeUnknown);
+    assert_eq!(begin(&mut table, ID), CallDecision::Join);
+    table.note_lost(NOW, ID);
     let lost = CallDecision::Reply(CallReply::OutcomeUnknown);
-    assert_eq!(begin(&mut book, ID), lost);
+    assert_eq!(begin(&mut table, ID), lost);
 }
 
 #[test]
 fn repeat_gets_the_stored_answer() {
-    let mut book = book();
-    begin(&mut book, ID);
-    book.mark_started(NOW, ID);
-    let reply = book.note_answer(NOW, ID, answer("ordered"));
-    assert_eq!(begin(&mut book, ID), CallDecision::Reply(reply.clone()));
-    assert_eq!(bury(&mut book, ID, LIFE), reply);
+    let mut table = table();
+    begin(&mut table, ID);
+    table.mark_started(NOW, ID);
+    let reply = table.note_answer(NOW, ID, answer("ordered"));
+    assert_eq!(begin(&mut table, ID), CallDecision::Reply(reply.clone()));
+    assert_eq!(bury(&mut table, ID, INCARNATION), reply);
 }
 
 #[test]
-fn leaving_book_takes_nothing_new_and_still_answers_repeats() {
-    let mut book = book();
-    begin(&mut book, ID);
-    book.begin_leaving();
-    let other = begin(&mut book, GenerationId(6));
+fn leaving_table_refuses_new_calls_and_still_answers_repeats() {
+    let mut table = table();
+    begin(&mut table, ID);
+    table.begin_leaving();
+    let other = begin(&mut table, GenerationId(6));
     assert_matches!(other, CallDecision::Reply(CallReply::NotRun(_)));
-    assert_eq!(begin(&mut book, ID), CallDecision::Join);
+    assert_eq!(begin(&mut table, ID), CallDecision::Join);
 }
 
 #[test]
-fn another_life_is_refused_and_its_burial_is_unknown() {
-    let mut book = book();
+fn call_for_another_incarnation_is_refused_and_burying_it_is_unknown() {
+    let mut table = table();
     let earlier = Incarnation(2);
-    let step = book.begin(NOW, ID, earlier, false);
+    let step = table.begin(NOW, ID, earlier, false);
     assert_matches!(step, CallDecision::Reply(CallReply::NotRun(_)));
-    assert_eq!(bury(&mut book, ID, earlier), CallReply::OutcomeUnknown);
+    assert_eq!(bury(&mut table, ID, earlier), CallReply::OutcomeUnknown);
 }
 
 #[test]
-fn full_book_promises_nothing_it_can_not_keep() {
-    let mut book = book();
+fn full_table_refuses_calls_and_confirms_no_burial_it_cannot_store() {
+    let mut table = table();
     for id in 0..2 {
-        assert_eq!(begin(&mut book, GenerationId(id)), CallDecision::Send);
+        assert_eq!(begin(&mut table, GenerationId(id)), CallDecision::Send);
     }
     assert_matches!(
-        begin(&mut book, ID),
+        begin(&mut table, ID),
         CallDecision::Reply(CallReply::NotRun(_))
     );
     for id in 10..12 {
         assert_matches!(
-            bury(&mut book, GenerationId(id), LIFE),
+            bury(&mut table, GenerationId(id), INCARNATION),
             CallReply::NotRun(_)
         );
     }
-    assert_eq!(bury(&mut book, ID, LIFE), CallReply::OutcomeUnknown);
+    assert_eq!(bury(&mut table, ID, INCARNATION), CallReply::OutcomeUnknown);
 }
 
 #[test]
-fn answer_without_room_is_unknown_and_not_run_again() {
-    let mut book = book();
+fn call_with_an_evicted_answer_is_unknown_and_not_run_again() {
+    let mut table = table();
     for id in [1, 2].map(GenerationId) {
-        begin(&mut book, id);
-        book.mark_started(NOW, id);
-        book.note_answer(NOW, id, answer("seven b"));
+        begin(&mut table, id);
+        table.mark_started(NOW, id);
+        table.note_answer(NOW, id, answer("seven b"));
     }
     let unknown = CallDecision::Reply(CallReply::OutcomeUnknown);
-    assert_eq!(begin(&mut book, GenerationId(1)), unknown);
+    assert_eq!(begin(&mut table, GenerationId(1)), unknown);
     assert_matches!(
-        begin(&mut book, GenerationId(2)),
+        begin(&mut table, GenerationId(2)),
         CallDecision::Reply(CallReply::Answered(_))
     );
 }
 
 #[test]
 fn ids_are_forgotten_after_the_key_window_but_not_while_pending() {
-    let mut book = book();
-    begin(&mut book, ID);
-    bury(&mut book, GenerationId(6), LIFE);
-    book.tick(NOW + LIMITS.key_window_ms);
-    assert_eq!(book.len(), 1);
-    assert_eq!(begin(&mut book, ID), CallDecision::Join);
+    let mut table = table();
+    begin(&mut table, ID);
+    bury(&mut table, GenerationId(6), INCARNATION);
+    table.tick(NOW + LIMITS.key_window_ms);
+    assert_eq!(table.len(), 1);
+    assert_eq!(begin(&mut table, ID), CallDecision::Join);
 }
 
 #[test]
-fn repeatable_call_may_run_again_after_a_loss() {
-    let mut book = book();
-    assert_eq!(book.begin(NOW, ID, LIFE, true), CallDecision::Send);
-    book.mark_started(NOW, ID);
-    book.note_lost(NOW, ID);
-    assert_eq!(book.begin(NOW, ID, LIFE, true), CallDecision::Send);
-    assert!(book.mark_started(NOW, ID));
+fn repeatable_call_may_run_again_after_an_unknown_outcome() {
+    let mut table = table();
+    assert_eq!(table.begin(NOW, ID, INCARNATION, true), CallDecision::Send);
+    table.mark_started(NOW, ID);
+    table.note_lost(NOW, ID);
+    assert_eq!(table.begin(NOW, ID, INCARNATION, true), CallDecision::Send);
+    assert!(table.mark_started(NOW, ID));
 }
--- a/crates/masticsill_generation/tests/common/mod.rs
+++ b/crates/masticsill_generation/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values that several tests need.
+//! Test data shared by several tests.
 
 #![allow(dead_code)]
 
@@ -46,7 +46,7 @@
     NodeId::new(name).unwrap()
 }
 
-/// Tokens whose ids are the numbers given.
+/// Tokens with the given ids; the bytes of each are its id in decimal.
 pub(crate) fn tokens(ids: impl IntoIterator<Item = u32>) -> Vec<Token> {
     let token = |id: u32| Token {
         bytes: id.to_string().into_bytes(),
--- a/crates/masticsill_generation/tests/differential.rs
+++ b/crates/masticsill_generation/tests/differential.rs
@@ -1,34 +1,37 @@
-//! Generated histories of the generation logic against a naive version.
+//! Compares the generation logic with a naive model over randomly generated histories.
+//!
+//! The test guards against a caller receiving tokens of two different runs joined into one answer,
+//! which can happen when attempts fail, owners change and messages are delayed, repeated or lost.
 
 mod common;
-mod world;
+mod simulation;
 
 use std::env;
 
-use world::{Tally, World};
+use simulation::{EventCounts, Simulation};
 
 const DEFAULT_SEED: u64 = 20_261_202;
 const HISTORIES: u64 = 10_000;
 
 #[test]
-fn every_connection_receives_the_beginning_of_one_answer() {
+fn every_connection_receives_a_prefix_of_one_answer() {
     let seed = env::var("MASTICSILL_SEED").ok();
     let seed = seed.map_or(DEFAULT_SEED, |text| text.parse().unwrap());
     println!("seed {seed}; set MASTICSILL_SEED for another");
-    let mut sum = Tally::default();
+    let mut sum = EventCounts::default();
     for history in 0..HISTORIES {
         println!("history {history}");
-        let mut world = World::new(seed.wrapping_add(history));
-        world.run();
-        sum.attached += world.tally.attached;
-        sum.fenced += world.tally.fenced;
-        sum.late_events += world.tally.late_events;
-        sum.resumed += world.tally.resumed;
-        sum.whole += world.tally.whole;
+        let mut simulation = Simulation::new(seed.wrapping_add(history));
+        simulation.run();
+        sum.attached += simulation.counts.attached;
+        sum.fenced += simulation.counts.fenced;
+        sum.late_events += simulation.counts.late_events;
+        sum.resumed += simulation.counts.resumed;
+        sum.completed += simulation.counts.completed;
     }
     println!("{HISTORIES} histories: {sum:?}");
-    // Without these the histories would not reach the checks they are meant for.
-    assert!(sum.whole > HISTORIES / 2, "{sum:?}");
+    // Without these minimum counts, the histories might not exercise the checks at all.
+    assert!(sum.completed > HISTORIES / 2, "{sum:?}");
     let reached = [sum.attached, sum.fenced, sum.late_events, sum.resumed];
     assert!(
         reached.iter().all(|count| *count > HISTORIES / 10),
--- a/crates/masticsill_generation/tests/freeze_verdict.rs
+++ b/crates/masticsill_generation/tests/freeze_verdict.rs
@@ -1,50 +1,51 @@
-//! When an engine is judged frozen.
+//! Conditions under which an engine counts as frozen.
 
 use masticsill_generation::{EngineHealth, FreezeDetector, FreezeLimits};
 use masticsill_types::ClockMs;
 
-const JUDGE_EVERY_MS: u64 = 50;
+const CHECK_PERIOD_MS: u64 = 50;
 
-/// Runs a detector over signs at the given times and returns when it judged, if it did.
-fn verdict_at(signs_ms: &[u64], until_ms: u64) -> Option<u64> {
+/// Runs a detector over signs of life at the given times and returns the time at which it reported
+/// a freeze, if it did.
+fn first_freeze_at(signs_ms: &[u64], until_ms: u64) -> Option<u64> {
     let mut detector = FreezeDetector::new(ClockMs(0), FreezeLimits::default());
     (0..until_ms).find(|now_ms| {
         let now = ClockMs(*now_ms);
         if signs_ms.contains(now_ms) {
             detector.record_activity(now);
         }
-        now_ms % JUDGE_EVERY_MS == 0 && detector.check_frozen(now)
+        now_ms % CHECK_PERIOD_MS == 0 && detector.check_frozen(now)
     })
 }
 
-fn every(step_ms: u64, from_ms: u64, to_ms: u64) -> Vec<u64> {
+fn signs_every(step_ms: u64, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let steps = from_ms..to_ms;
     steps.filter(|at_ms| at_ms % step_ms == 0).collect()
 }
 
 #[test]
-fn silent_engine_is_judged_within_a_second() {
+fn silent_engine_is_reported_frozen_within_a_second() {
     let died_ms = 5_000;
-    let judged = verdict_at(&every(20, 0, died_ms), 10_000);
-    let waited = judged.map(|at_ms| at_ms - died_ms);
+    let reported = first_freeze_at(&signs_every(20, 0, died_ms), 10_000);
+    let waited = reported.map(|at_ms| at_ms - died_ms);
     assert!(waited.is_some_and(|waited| waited <= 1_000), "{waited:?}");
 }
 
 #[test]
 fn long_prefill_with_a_live_load_endpoint_is_no_freeze() {
-    let tokens = every(20, 0, 2_000);
-    let polls_only = every(100, 2_000, 12_000);
+    let tokens = signs_every(20, 0, 2_000);
+    let polls_only = signs_every(100, 2_000, 12_000);
     let signs = [tokens, polls_only].concat();
-    assert_eq!(verdict_at(&signs, 12_000), None);
+    assert_eq!(first_freeze_at(&signs, 12_000), None);
 }
 
 #[test]
 fn slow_but_steady_answers_are_no_freeze() {
-    let quick = every(100, 0, 1_000);
-    let slower = every(400, 1_000, 3_000);
-    let slow = every(1_200, 3_000, 20_000);
+    let quick = signs_every(100, 0, 1_000);
+    let slower = signs_every(400, 1_000, 3_000);
+    let slow = signs_every(1_200, 3_000, 20_000);
     let signs = [quick, slower, slow].concat();
-    assert_eq!(verdict_at(&signs, 20_000), None);
+    assert_eq!(first_freeze_at(&signs, 20_000), None);
 }
 
 #[test]
@@ -58,9 +59,9 @@
 }
 
 #[test]
-fn thawed_engine_is_alive_again_and_judged_as_quickly() {
-    let before = every(20, 0, 2_000);
-    let after = every(20, 9_000, 12_000);
+fn thawed_engine_is_alive_and_its_outage_does_not_raise_the_threshold() {
+    let before = signs_every(20, 0, 2_000);
+    let after = signs_every(20, 9_000, 12_000);
     let limits = FreezeLimits::default();
     let mut detector = FreezeDetector::new(ClockMs(0), limits);
     for at_ms in [before, after].concat() {
--- a/crates/masticsill_generation/tests/record_rules.rs
+++ b/crates/masticsill_generation/tests/record_rules.rs
@@ -1,4 +1,4 @@
-//! Which tokens a record takes and which callers it continues.
+//! Which tokens a record accepts and which callers it resumes.
 
 mod common;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn takes_only_what_follows_under_the_current_lineage() {
+fn appends_only_contiguous_tokens_of_the_current_lineage() {
     let mut record = record();
     let lineage = record.lineage();
     let cases = [
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn end_counts_once_and_only_after_its_tokens() {
+fn attempt_ends_once_and_only_after_its_tokens() {
     let mut record = record();
     let lineage = record.lineage();
     let end = AttemptState::Finished(FinishReason::Stop);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn continues_only_callers_of_its_own_branch() {
+fn resumes_only_callers_of_its_own_branch() {
     let mut record = record();
     let first = record.lineage();
     record.append_tokens(first, TokenIndex(0), tokens(0..4));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn peers_messages_are_checked() {
+fn inconsistent_records_from_peers_are_rejected() {
     let mut record = record();
     record.append_tokens(record.lineage(), TokenIndex(0), tokens(0..4));
     assert_eq!(Record::from_snapshot(record.snapshot()), Ok(record.clone()));
--- a/crates/masticsill_generation/tests/world/agent.rs
+++ b/crates/masticsill_generation/tests/simulation/agent.rs
@@ -1,4 +1,4 @@
-//! An agent's book with an engine that delays, dies, freezes and thaws.
+//! An agent's generation table with an engine that delays, fails, freezes and thaws.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use super::ledger::Ledger;
+use super::reference::ReferenceAnswers;
 use crate::common::{LIMITS, tokens};
 
 #[derive(Debug)]
@@ -24,34 +24,38 @@
 
 #[derive(Debug)]
 pub(crate) struct Agent {
-    pub(crate) book: GenerationTable,
-    pub(crate) life: u32,
+    pub(crate) table: GenerationTable,
+    pub(crate) incarnation: u32,
     pub(crate) pulls: IndexMap<PullNumber, (usize, u32)>,
     runs: IndexMap<RunNumber, EngineRun>,
 }
 
 impl Agent {
-    pub(crate) fn new(life: u32) -> Self {
+    pub(crate) fn new(incarnation: u32) -> Self {
         Self {
-            book: GenerationTable::new(LIMITS),
-            life,
+            table: GenerationTable::new(LIMITS),
+            incarnation,
             pulls: IndexMap::new(),
             runs: IndexMap::new(),
         }
     }
 
-    /// Carries out the book's commands; a cancel is sometimes ignored by the engine.
-    pub(crate) fn obey(&mut self, random: &mut ChaCha8Rng, ledger: &mut Ledger) {
-        for command in self.book.take_commands() {
+    /// Executes the table's commands. The engine ignores some of the cancels.
+    pub(crate) fn execute_commands(
+        &mut self,
+        random: &mut ChaCha8Rng,
+        reference: &mut ReferenceAnswers,
+    ) {
+        for command in self.table.take_commands() {
             match command {
                 EngineCommand::Run(order) => {
                     let resumed = &order.resume_token_ids;
                     assert!(
-                        ledger.is_one_answer(resumed),
+                        reference.is_prefix_of_one_answer(resumed),
                         "an engine resumes a mixed answer"
                     );
                     let run = EngineRun {
-                        answer: ledger.begin(resumed),
+                        answer: reference.begin(resumed),
                         is_over: false,
                         max_tokens: order.spec.sampling.max_tokens,
                         queue: VecDeque::new(),
@@ -67,8 +71,12 @@
         }
     }
 
-    /// Lets one run produce up to three tokens, which the book sees later.
-    pub(crate) fn produce(&mut self, random: &mut ChaCha8Rng, ledger: &mut Ledger) {
+    /// Lets one run produce up to three tokens, which the table receives later.
+    pub(crate) fn produce_tokens(
+        &mut self,
+        random: &mut ChaCha8Rng,
+        reference: &mut ReferenceAnswers,
+    ) {
         let Some(run) = pick(&mut self.runs, random) else {
             return;
         };
@@ -78,7 +86,7 @@
             if run.is_over {
                 break;
             }
-            let (index, id) = ledger.produce(run.answer);
+            let (index, id) = reference.produce(run.answer);
             first_index.get_or_insert(TokenIndex(index));
             ids.push(id);
             run.is_over = index + 1 == run.max_tokens;
@@ -93,8 +101,13 @@
         });
     }
 
-    /// Brings one event to the book, with faults sometimes twice or out of order.
-    pub(crate) fn report(&mut self, now: ClockMs, random: &mut ChaCha8Rng, has_faults: bool) {
+    /// Delivers one event to the table. With faults, some events arrive twice or out of order.
+    pub(crate) fn deliver_event(
+        &mut self,
+        now: ClockMs,
+        random: &mut ChaCha8Rng,
+        has_faults: bool,
+    ) {
         let numbers: Vec<RunNumber> = self.runs.keys().copied().collect();
         let Some(number) = choose(&numbers, random) else {
             return;
@@ -107,13 +120,13 @@
             return;
         };
         if has_faults && random.random_bool(0.05) {
-            self.book.apply_event(now, number, event.clone());
+            self.table.apply_event(now, number, event.clone());
         }
-        self.book.apply_event(now, number, event);
+        self.table.apply_event(now, number, event);
     }
 
-    /// Fails a run at the book; a frozen one goes on unseen, and its tokens come late.
-    pub(crate) fn lose_run(&mut self, now: ClockMs, random: &mut ChaCha8Rng) {
+    /// Fails a run in the table. A frozen run continues at the engine, and its tokens arrive late.
+    pub(crate) fn fail_run(&mut self, now: ClockMs, random: &mut ChaCha8Rng) {
         let numbers: Vec<RunNumber> = self.runs.keys().copied().collect();
         let Some(number) = choose(&numbers, random) else {
             return;
@@ -125,19 +138,19 @@
             self.runs.swap_remove(&number);
             AttemptFailure::EngineLost
         };
-        self.book
+        self.table
             .apply_event(now, number, EngineEvent::Failed(failure));
     }
 
-    /// Takes a pull and returns the news that is there at once.
+    /// Passes a pull to the table and returns the updates that are available at once.
     pub(crate) fn pull(
         &mut self,
         now: ClockMs,
         from: (usize, u32),
         request: &PullRequest,
     ) -> Option<Vec<Progress>> {
-        match self.book.pull(now, request) {
-            PullAnswer::Ready(news) => Some(news),
+        match self.table.pull(now, request) {
+            PullAnswer::Ready(updates) => Some(updates),
             PullAnswer::Waiting(number) => {
                 self.pulls.insert(number, from);
                 None
--- a/crates/masticsill_generation/tests/world/mod.rs
+++ b/crates/masticsill_generation/tests/simulation/mod.rs
@@ -1,10 +1,11 @@
-//! Callers, entries and agents joined by a network that delays, repeats, reorders and loses.
+//! Callers, entries and agents on a network that delays, repeats, reorders and loses messages.
 //!
-//! A message to a life that is over is lost, as with TCP. An entry whose start was not answered
-//! begins the next attempt: it never sends one attempt's start to two lives or agents.
+//! A message to an earlier incarnation of a process is lost, as with TCP. An entry whose start was
+//! not answered begins the next attempt: it never sends the start of one attempt to two agents or
+//! to two incarnations of an agent.
 
 mod agent;
-mod ledger;
+mod reference;
 
 use masticsill_generation::Record;
 use masticsill_types::{AttemptState, ClockMs, GenerationId, Lineage, TokenIndex};
@@ -17,20 +18,20 @@
 
 use crate::common::{LIMITS, node, spec};
 use agent::{Agent, choose};
-use ledger::Ledger;
+use reference::ReferenceAnswers;
 
 const AGENTS: usize = 3;
 const ENTRIES: usize = 3;
 const ID: GenerationId = GenerationId(1);
 
-/// A process and its life: messages to an earlier life are lost.
+/// A process and its incarnation; messages to an earlier incarnation are lost.
 type Address = (usize, u32);
 
 #[derive(Clone, Debug)]
 enum Message {
     Attach(Address, Address, AttachRequest),
     AttachReply(Address, usize, u32, AttachReply),
-    News(Address, Vec<Progress>),
+    Progress(Address, Vec<Progress>),
     Pull(Address, Address, PullRequest),
     Start(Address, Address, Box<StartRequest>),
     StartReply(Address, Lineage, StartReply),
@@ -38,7 +39,7 @@
 
 #[derive(Debug, Default)]
 struct Entry {
-    life: u32,
+    incarnation: u32,
     serving: Option<Serving>,
 }
 
@@ -49,7 +50,7 @@
     record: Record,
 }
 
-/// One connection of the caller, with all that the caller has received up to now.
+/// One connection of the caller, with all tokens that the caller has received so far.
 #[derive(Clone, Debug)]
 struct Connection {
     attaches: Vec<u32>,
@@ -59,74 +60,74 @@
     seen: Lineage,
 }
 
-/// What happened in a history.
+/// How often each event happened in a history.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct EventCounts {
     pub(crate) attached: u64,
     pub(crate) fenced: u64,
     pub(crate) late_events: u64,
     pub(crate) resumed: u64,
-    pub(crate) whole: u64,
+    pub(crate) completed: u64,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     agents: Vec<Agent>,
     connections: Vec<Connection>,
     entries: Vec<Entry>,
-    ledger: Ledger,
+    reference: ReferenceAnswers,
     max_tokens: u32,
     messages: Vec<Message>,
     nonce: u32,
     now: ClockMs,
     random: ChaCha8Rng,
-    pub(crate) tally: Tally,
+    pub(crate) counts: EventCounts,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let max_tokens = random.random_range(4..24);
-        let mut world = Self {
+        let mut simulation = Self {
             agents: (0..AGENTS).map(|_| Agent::new(0)).collect(),
             connections: Vec::new(),
             entries: (0..ENTRIES).map(|_| Entry::default()).collect(),
-            ledger: Ledger::default(),
+            reference: ReferenceAnswers::default(),
             max_tokens,
             messages: Vec::new(),
             nonce: 1,
             now: ClockMs(1),
             random,
-            tally: Tally::default(),
+            counts: EventCounts::default(),
         };
         let record = Record::new(spec(ID.0, max_tokens), 1);
-        world.connections.push(Connection {
+        simulation.connections.push(Connection {
             attaches: Vec::new(),
             entry: 0,
             is_open: true,
             received: Vec::new(),
             seen: record.lineage(),
         });
-        world.serve(0, record);
-        world
+        simulation.serve(0, record);
+        simulation
     }
 
-    /// Runs a history of faults, then lets everything settle.
+    /// Runs a history with faults, then continues without faults until the answer is complete.
     pub(crate) fn run(&mut self) {
         for _ in 0..self.random.random_range(40..160) {
             self.step();
             self.check();
         }
         for _ in 0..400 {
-            self.settle();
+            self.step_without_faults();
             self.check();
-            if self.is_whole() {
-                self.tally.whole = 1;
+            if self.is_complete() {
+                self.counts.completed = 1;
                 break;
             }
         }
         for agent in &self.agents {
-            self.tally.fenced += agent.book.counts().fenced;
-            self.tally.late_events += agent.book.counts().late_events;
+            self.counts.fenced += agent.table.counts().fenced;
+            self.counts.late_events += agent.table.counts().late_events;
         }
     }
 
@@ -135,36 +136,36 @@
         let entry = self.random.random_range(0..ENTRIES);
         match self.random.random_range(0..100) {
             0..30 => self.deliver_any(),
-            30..45 => self.agents[agent].produce(&mut self.random, &mut self.ledger),
-            45..65 => self.agents[agent].report(self.now, &mut self.random, true),
+            30..45 => self.agents[agent].produce_tokens(&mut self.random, &mut self.reference),
+            45..65 => self.agents[agent].deliver_event(self.now, &mut self.random, true),
             65..80 => self.pull(entry),
-            80..84 => self.agents[agent].lose_run(self.now, &mut self.random),
-            84..86 => self.try_next(entry),
+            80..84 => self.agents[agent].fail_run(self.now, &mut self.random),
+            84..86 => self.begin_next_attempt(entry),
             86..92 => self.reconnect(entry),
-            92..94 => self.release(entry),
-            94 => self.agents[agent] = Agent::new(self.agents[agent].life + 1),
-            95 => self.lose_entry(entry),
-            96..98 => self.pass(20),
-            98 => self.pass(2_500),
-            _ => self.pass_long(),
+            92..94 => self.transfer_to_other_entry(entry),
+            94 => self.agents[agent] = Agent::new(self.agents[agent].incarnation + 1),
+            95 => self.restart_entry(entry),
+            96..98 => self.advance_time(20),
+            98 => self.advance_time(2_500),
+            _ => self.advance_past_retention(),
         }
-        self.flush();
+        self.execute_and_reply();
     }
 
-    fn settle(&mut self) {
+    fn step_without_faults(&mut self) {
         for agent in &mut self.agents {
-            agent.produce(&mut self.random, &mut self.ledger);
-            agent.report(self.now, &mut self.random, false);
+            agent.produce_tokens(&mut self.random, &mut self.reference);
+            agent.deliver_event(self.now, &mut self.random, false);
         }
-        self.pass(5);
+        self.advance_time(5);
         for entry in 0..ENTRIES {
             self.pull(entry);
         }
-        self.flush();
+        self.execute_and_reply();
         while let Some(message) = self.messages.pop() {
             self.deliver(message);
         }
-        self.flush();
+        self.execute_and_reply();
         if !self.last().is_open {
             let entry = self.random.random_range(0..ENTRIES);
             self.reconnect(entry);
@@ -174,7 +175,10 @@
     fn check(&self) {
         for connection in &self.connections {
             let received = &connection.received;
-            assert!(self.ledger.is_one_answer(received), "{connection:?}");
+            assert!(
+                self.reference.is_prefix_of_one_answer(received),
+                "{connection:?}"
+            );
         }
         for serving in self
             .entries
@@ -185,7 +189,7 @@
             let is_short = serving.record.next_index().0 < self.max_tokens;
             assert!(
                 !is_finished || !is_short,
-                "an end overtook its tokens: {serving:?}"
+                "an attempt ended before its last tokens arrived: {serving:?}"
             );
         }
     }
@@ -194,7 +198,7 @@
         self.connections.last().unwrap()
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.last().received.len() == usize::try_from(self.max_tokens).unwrap()
     }
 
@@ -204,14 +208,14 @@
     }
 
     fn entry_address(&self, entry: usize) -> Address {
-        (entry, self.entries[entry].life)
+        (entry, self.entries[entry].incarnation)
     }
 
     fn agent_address(&self, agent: usize) -> Address {
-        (agent, self.agents[agent].life)
+        (agent, self.agents[agent].incarnation)
     }
 
-    /// Serves a record from a fresh attempt on some agent.
+    /// Starts the record's current attempt at a random agent.
     fn serve(&mut self, entry: usize, record: Record) {
         let agent = self.random.random_range(0..AGENTS);
         let request = record.start_request(node("entry"));
@@ -228,11 +232,11 @@
         });
     }
 
-    fn try_next(&mut self, entry: usize) {
+    fn begin_next_attempt(&mut self, entry: usize) {
         if let Some(serving) = self.entries[entry].serving.take() {
             let mut record = serving.record;
             record.begin_attempt();
-            self.tally.resumed += 1;
+            self.counts.resumed += 1;
             self.serve(entry, record);
         }
     }
@@ -245,9 +249,9 @@
             return;
         }
         if !serving.is_started {
-            // The start or its answer may be lost.
+            // The start or its reply may be lost.
             if self.random.random_bool(0.1) {
-                self.try_next(entry);
+                self.begin_next_attempt(entry);
             }
             return;
         }
@@ -266,7 +270,7 @@
             .push(Message::Pull(to, self.entry_address(entry), request));
     }
 
-    /// The caller comes back; its older connections may stay open.
+    /// Reconnects the caller; its older connections may stay open.
     fn reconnect(&mut self, entry: usize) {
         let from = self.random.random_range(0..self.connections.len());
         let from = from.max(self.connections.len() / 2);
@@ -300,8 +304,8 @@
         self.connections.push(connection);
     }
 
-    /// Another entry takes over from one that is alive, and begins the next attempt.
-    fn release(&mut self, from: usize) {
+    /// Another entry takes over from a live entry and begins the next attempt.
+    fn transfer_to_other_entry(&mut self, from: usize) {
         let to = self.random.random_range(0..ENTRIES);
         if to == from || self.entries[to].serving.is_some() {
             return;
@@ -317,17 +321,17 @@
                 connection.entry = to;
             }
         }
-        self.join(to, &record);
+        self.adopt_record(to, &record);
         if record.is_running() {
             record.begin_attempt();
             self.serve(to, record);
         }
     }
 
-    fn lose_entry(&mut self, entry: usize) {
-        let life = self.entries[entry].life + 1;
+    fn restart_entry(&mut self, entry: usize) {
+        let incarnation = self.entries[entry].incarnation + 1;
         self.entries[entry] = Entry {
-            life,
+            incarnation,
             serving: None,
         };
         self.close_connections(entry);
@@ -339,26 +343,26 @@
         }
     }
 
-    fn pass(&mut self, duration_ms: u64) {
+    fn advance_time(&mut self, duration_ms: u64) {
         self.now = self.now + duration_ms;
         for agent in &mut self.agents {
-            agent.book.tick(self.now);
+            agent.table.tick(self.now);
         }
     }
 
-    /// Lets running generations become orphans and their records expire.
-    fn pass_long(&mut self) {
-        self.pass(LIMITS.orphan_ms);
-        self.pass(LIMITS.retention_ms);
+    /// Advances the time until running generations are orphaned and their records expire.
+    fn advance_past_retention(&mut self) {
+        self.advance_time(LIMITS.orphan_ms);
+        self.advance_time(LIMITS.retention_ms);
     }
 
-    /// Brings out what the books have to say.
-    fn flush(&mut self) {
+    /// Executes the tables' engine commands and sends the replies of the due pulls.
+    fn execute_and_reply(&mut self) {
         for agent in &mut self.agents {
-            agent.obey(&mut self.random, &mut self.ledger);
-            for (number, news) in agent.book.take_due_pulls(self.now) {
+            agent.execute_commands(&mut self.random, &mut self.reference);
+            for (number, updates) in agent.table.take_due_pulls(self.now) {
                 let to = agent.pulls.swap_remove(&number).unwrap();
-                self.messages.push(Message::News(to, news));
+                self.messages.push(Message::Progress(to, updates));
             }
         }
     }
@@ -383,26 +387,26 @@
         match message {
             Message::Start(to, from, request) if to == self.agent_address(to.0) => {
                 let lineage = request.history.last().unwrap().lineage;
-                let reply = self.agents[to.0].book.start(self.now, *request);
+                let reply = self.agents[to.0].table.start(self.now, *request);
                 self.messages
                     .push(Message::StartReply(from, lineage, reply));
             }
             Message::Pull(to, from, request) if to == self.agent_address(to.0) => {
-                let news = self.agents[to.0].pull(self.now, from, &request);
+                let updates = self.agents[to.0].pull(self.now, from, &request);
                 self.messages
-                    .extend(news.map(|news| Message::News(from, news)));
+                    .extend(updates.map(|updates| Message::Progress(from, updates)));
             }
             Message::Attach(to, from, request) if to == self.agent_address(to.0) => {
                 let nonce = request.nonce;
-                let reply = self.agents[to.0].book.attach(self.now, &request);
+                let reply = self.agents[to.0].table.attach(self.now, &request);
                 self.messages
                     .push(Message::AttachReply(from, to.0, nonce, reply));
             }
             Message::StartReply(to, lineage, reply) if to == self.entry_address(to.0) => {
                 self.take_start_reply(to.0, lineage, &reply);
             }
-            Message::News(to, news) if to == self.entry_address(to.0) => {
-                for progress in news {
+            Message::Progress(to, updates) if to == self.entry_address(to.0) => {
+                for progress in updates {
                     self.take_progress(to.0, progress);
                 }
             }
@@ -422,7 +426,7 @@
         }
         match reply {
             StartReply::Accepted => serving.is_started = true,
-            StartReply::Refused(_) => self.try_next(entry),
+            StartReply::Refused(_) => self.begin_next_attempt(entry),
             StartReply::Fenced(_) => self.drop_record(entry),
         }
     }
@@ -442,23 +446,23 @@
             ProgressState::Attempt(end) => {
                 let is_failed = matches!(end, AttemptState::Failed(_));
                 if serving.record.end_attempt(lineage, end_index, end) && is_failed {
-                    self.try_next(entry);
+                    self.begin_next_attempt(entry);
                 }
             }
             ProgressState::Fenced(_) if is_current => self.drop_record(entry),
-            ProgressState::Unknown if is_current => self.try_next(entry),
+            ProgressState::Unknown if is_current => self.begin_next_attempt(entry),
             ProgressState::Fenced(_) | ProgressState::Unknown => {}
         }
-        self.hand_out(entry);
+        self.deliver_tokens(entry);
     }
 
     fn take_attach_reply(&mut self, entry: usize, agent: usize, nonce: u32, reply: AttachReply) {
         let mut connections = self.connections.iter_mut();
-        let asked = |connection: &&mut Connection| connection.attaches.contains(&nonce);
-        let Some(connection) = connections.find(asked) else {
+        let is_requester = |connection: &&mut Connection| connection.attaches.contains(&nonce);
+        let Some(connection) = connections.find(is_requester) else {
             return;
         };
-        connection.attaches.retain(|asked| *asked != nonce);
+        connection.attaches.retain(|pending| *pending != nonce);
         let is_served = self.entries[entry].serving.is_some();
         let AttachReply::Attached(snapshot) = reply else {
             connection.is_open &= is_served || !connection.attaches.is_empty();
@@ -468,8 +472,8 @@
             return;
         }
         let record = Record::from_snapshot(*snapshot).unwrap();
-        self.tally.attached += 1;
-        self.join(entry, &record);
+        self.counts.attached += 1;
+        self.adopt_record(entry, &record);
         let is_failed = matches!(record.state(), AttemptState::Failed(_));
         self.entries[entry].serving = Some(Serving {
             agent,
@@ -477,13 +481,13 @@
             record,
         });
         if is_failed {
-            self.try_next(entry);
+            self.begin_next_attempt(entry);
         }
-        self.hand_out(entry);
+        self.deliver_tokens(entry);
     }
 
-    /// Closes the connections that a record new to an entry does not continue.
-    fn join(&mut self, entry: usize, record: &Record) {
+    /// Closes the connections that a record new to the entry can't resume.
+    fn adopt_record(&mut self, entry: usize, record: &Record) {
         for connection in &mut self.connections {
             if connection.entry == entry {
                 let next_index = index(connection.received.len());
@@ -498,7 +502,7 @@
         self.close_connections(entry);
     }
 
-    fn hand_out(&mut self, entry: usize) {
+    fn deliver_tokens(&mut self, entry: usize) {
         let Some(serving) = &self.entries[entry].serving else {
             return;
         };
@@ -507,13 +511,13 @@
             if connection.entry != entry || !connection.is_open {
                 continue;
             }
-            let news = record.tokens_from(index(connection.received.len()));
-            if news.is_empty() {
+            let updates = record.tokens_from(index(connection.received.len()));
+            if updates.is_empty() {
                 continue;
             }
             connection
                 .received
-                .extend(news.iter().map(|token| token.id));
+                .extend(updates.iter().map(|token| token.id));
             connection.seen = record.lineage_before(record.next_index());
         }
     }
--- a/crates/masticsill_generation/tests/world/ledger.rs
+++ b/crates/masticsill_generation/tests/simulation/reference.rs
@@ -1,20 +1,20 @@
-//! The naive version: every run's whole answer, as a plain list.
+//! The naive model: the whole answer of every run, as a plain list.
 
-/// Answers by run. Every token is unique, so an answer that joins two runs always shows.
+/// Answers by run. Every token is unique, so an answer that mixes two runs is always detected.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
+pub(crate) struct ReferenceAnswers {
     answers: Vec<Vec<u32>>,
     producers: Vec<usize>,
 }
 
-impl Ledger {
-    /// Notes a run that continues after the tokens given.
+impl ReferenceAnswers {
+    /// Adds a run that continues after the given tokens and returns its number.
     pub(crate) fn begin(&mut self, resumed: &[u32]) -> usize {
         self.answers.push(resumed.to_vec());
         self.answers.len() - 1
     }
 
-    /// Makes a run's next token and returns its index and number.
+    /// Produces a run's next token and returns its index and id.
     pub(crate) fn produce(&mut self, run: usize) -> (u32, u32) {
         let id = u32::try_from(self.producers.len()).unwrap();
         let index = u32::try_from(self.answers[run].len()).unwrap();
@@ -23,8 +23,8 @@
         (index, id)
     }
 
-    /// Whether the tokens are the beginning of the answer that produced the last of them.
-    pub(crate) fn is_one_answer(&self, received: &[u32]) -> bool {
+    /// Whether the tokens are a prefix of the answer whose run produced the last of them.
+    pub(crate) fn is_prefix_of_one_answer(&self, received: &[u32]) -> bool {
         let Some(last) = received.last() else {
             return true;
         };
