--- a/crates/masticsill_agent/examples/agent_load.rs
+++ b/crates/masticsill_agent/examples/agent_load.rs
@@ -1,4 +1,5 @@
-//! Measures one agent under many streams: tokens, pulls and processor time of each duty.
+//! Measures one agent under load from many streams: tokens and pulls per second, and the processor
+//! time of each thread.
 //!
 //! `cargo run --release -p masticsill_agent --example agent_load -- STREAMS SECONDS`
 
@@ -84,7 +85,7 @@
         mesh,
         metrics: Metrics::disabled(),
     };
-    // The duties end with the process.
+    // The duties run until the process ends.
     std::mem::forget(AgentRole::start(config, links).expect("a thread can be started"));
     address
 }
@@ -135,7 +136,8 @@
         self.records.insert(record.id(), record);
     }
 
-    /// Pulls for a while, replaces what ends and returns what was counted.
+    /// Pulls for the given duration, replaces ended generations, and returns the numbers of pulls,
+    /// tokens and ends.
     async fn pull_for(&mut self, duration: Duration) -> [(&'static str, u64); 3] {
         let start = Instant::now();
         let (mut pulls, mut tokens, mut ends) = (0, 0, 0);
@@ -143,7 +145,10 @@
             pulls += 1;
             for progress in self.pull().await {
                 let id = progress.id;
-                let record = self.records.get_mut(&id).expect("a stream of ours");
+                let record = self
+                    .records
+                    .get_mut(&id)
+                    .expect("a stream that this example started");
                 let taken =
                     record.append_tokens(progress.lineage, progress.first_index, progress.tokens);
                 tokens += taken.accepted as u64;
--- a/crates/masticsill_agent/src/call.rs
+++ b/crates/masticsill_agent/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service.
+//! One HTTP call of a plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,23 +11,25 @@
 use tokio::time::timeout;
 
 use crate::config::AgentLimits;
-use crate::messages::{CallEnd, EndpointNews, send_news};
+use crate::messages::{CallEnd, EndpointEvent, send_event};
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Sends a call once and tells its end.
+/// Sends a call once and reports its outcome.
 pub(crate) async fn run_call(
     client: Client,
     address: SocketAddr,
     limits: AgentLimits,
     request: CallRequest,
-    news: Ring<EndpointNews>,
+    endpoint_events: Ring<EndpointEvent>,
 ) {
     let id = request.id;
-    let patience = Duration::from_millis(limits.call_timeout_ms);
-    let calling = exchange(&client, address, limits.max_answer_bytes, request);
-    let end = timeout(patience, calling).await.unwrap_or(CallEnd::Lost);
-    send_news(&news, EndpointNews::Call(id, end)).await;
+    let call_timeout = Duration::from_millis(limits.call_timeout_ms);
+    let exchange_call = exchange(&client, address, limits.max_answer_bytes, request);
+    let end = timeout(call_timeout, exchange_call)
+        .await
+        .unwrap_or(CallEnd::Lost);
+    send_event(&endpoint_events, EndpointEvent::Call(id, end)).await;
 }
 
 async fn exchange(
@@ -40,7 +42,8 @@
         return CallEnd::Unsent("the call's method is not one of HTTP".to_owned());
     };
     let url = format!("http://{address}{}", request.path);
-    // A connection of its own: whether a pooled one took the request before it broke is unknown.
+    // A new connection for each call: when a pooled connection breaks, it is unknown whether it
+    // had already delivered the request.
     let prepared = client.request(method, url).force_close().no_decompress();
     let sent = prepared
         .header(REQUEST_ID_HEADER, request.id.to_string())
@@ -61,8 +64,8 @@
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let content_type = content_type.unwrap_or_default().to_owned();
     let status = response.status().as_u16();
-    let reading = response.body().limit(max_answer_bytes);
-    let Ok(body) = reading.await else {
+    let body_read = response.body().limit(max_answer_bytes);
+    let Ok(body) = body_read.await else {
         return CallEnd::Lost;
     };
     CallEnd::Answered(CallAnswer {
--- a/crates/masticsill_agent/src/completion.rs
+++ b/crates/masticsill_agent/src/completion.rs
@@ -13,21 +13,21 @@
 use ntex::http::StatusCode;
 
 use crate::events;
-use crate::messages::{EndpointNews, send_news};
+use crate::messages::{EndpointEvent, send_event};
 use crate::server_events::EventDecoder;
 
 const END_OF_STREAM: &[u8] = b"[DONE]";
-const THOUSANDTHS: f64 = 1_000.0;
+const MILLI_PER_UNIT: f64 = 1_000.0;
 
-/// Runs an order until the engine ends it; every end is told.
-pub(crate) async fn run_order(
+/// Runs a generation until the engine ends it. Every end is reported, including failures.
+pub(crate) async fn run_generation(
     client: Client,
     address: SocketAddr,
-    order: RunRequest,
-    news: Ring<EndpointNews>,
+    run_request: RunRequest,
+    endpoint_events: Ring<EndpointEvent>,
 ) {
-    let run = order.run;
-    let Err(failure) = stream_tokens(&client, address, order, &news).await else {
+    let run = run_request.run;
+    let Err(failure) = stream_tokens(&client, address, run_request, &endpoint_events).await else {
         return;
     };
     log_event!(
@@ -36,22 +36,27 @@
         run = run.0,
         failure = format!("{failure:?}")
     );
-    send_news(&news, EndpointNews::Run(run, EngineEvent::Failed(failure))).await;
+    send_event(
+        &endpoint_events,
+        EndpointEvent::Run(run, EngineEvent::Failed(failure)),
+    )
+    .await;
 }
 
 async fn stream_tokens(
     client: &Client,
     address: SocketAddr,
-    order: RunRequest,
-    news: &Ring<EndpointNews>,
+    run_request: RunRequest,
+    endpoint_events: &Ring<EndpointEvent>,
 ) -> Result<(), AttemptFailure> {
-    let mut response = request(client, address, &order).await?;
+    let mut response = request(client, address, &run_request).await?;
     let mut decoder = EventDecoder::default();
     while let Some(bytes) = response.next().await {
         let bytes = bytes.map_err(|_| AttemptFailure::EngineLost)?;
         for event in read_events(&mut decoder, &bytes)? {
             let is_last = is_finish(&event);
-            let is_taken = send_news(news, EndpointNews::Run(order.run, event)).await;
+            let is_taken =
+                send_event(endpoint_events, EndpointEvent::Run(run_request.run, event)).await;
             if is_last || !is_taken {
                 return Ok(());
             }
@@ -63,11 +68,15 @@
 async fn request(
     client: &Client,
     address: SocketAddr,
-    order: &RunRequest,
+    run_request: &RunRequest,
 ) -> Result<ClientResponse, AttemptFailure> {
     let url = format!("http://{address}/v1/completions");
-    let body = completion_body(&order.spec, order.run, &order.resume_token_ids);
-    // A connection of its own: a pooled one may be from an engine's earlier life.
+    let body = completion_body(
+        &run_request.spec,
+        run_request.run,
+        &run_request.resume_token_ids,
+    );
+    // A new connection for each run: a pooled one may belong to an earlier engine process.
     let request = client.post(url).force_close().no_decompress();
     let sent = request.send_json(&body).await;
     let response = sent.map_err(|_| AttemptFailure::EngineLost)?;
@@ -90,13 +99,13 @@
         resume_token_ids: resumed.to_vec(),
         seed: sampling.seed,
         stream: true,
-        temperature: f64::from(sampling.temperature_milli) / THOUSANDTHS,
-        top_p: f64::from(sampling.top_p_milli) / THOUSANDTHS,
+        temperature: f64::from(sampling.temperature_milli) / MILLI_PER_UNIT,
+        top_p: f64::from(sampling.top_p_milli) / MILLI_PER_UNIT,
         version: spec.target.version.clone(),
     }
 }
 
-/// Reads the events that are whole now; neighbouring chunks become one event.
+/// Decodes the events that are complete; adjacent chunks are merged into one event.
 fn read_events(
     decoder: &mut EventDecoder,
     bytes: &[u8],
--- a/crates/masticsill_agent/src/config.rs
+++ b/crates/masticsill_agent/src/config.rs
@@ -1,50 +1,50 @@
-//! What an agent needs to know to start.
+//! Configuration of an agent.
 
 use std::net::SocketAddr;
 
 use masticsill_generation::{CallLimits, FreezeLimits, GenerationLimits};
 use masticsill_types::{ModelId, NodeId};
 
-/// Room for 1,000 running answers of 16,384 tokens each.
+/// Maximum memory of the generation records: 1,000 running answers of 16,384 tokens each fit.
 const MAX_RECORD_BYTES: usize = 1024 * 1024 * 1024;
 
-/// What stands beside the agent.
+/// The endpoint that the agent serves.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Endpoint {
     /// A model engine.
     Engine {
-        /// Whether it refuses orders with an old fencing number by itself.
+        /// Whether the engine itself refuses orders with an outdated fencing number.
         is_checking_fencing: bool,
     },
     /// A plain service.
     PlainService {
-        /// Its name, as catalogue entries refer to it.
+        /// The name of the service, as catalogue entries refer to it.
         service: ModelId,
     },
 }
 
-/// Periods and bounds of an agent.
+/// Time and size limits of an agent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AgentLimits {
-    /// Bounds of the generations.
+    /// Limits of the generations.
     pub generations: GenerationLimits,
-    /// How long the agent waits for a plain service's answer, to store it for repeats, in
-    /// milliseconds.
+    /// How long the agent waits for a plain service's answer, which it stores for repeated calls,
+    /// in milliseconds.
     pub call_timeout_ms: u64,
-    /// Bounds of the plain calls.
+    /// Limits of the plain calls.
     pub calls: CallLimits,
-    /// How long running attempts may go on after the agent began to leave, in milliseconds.
+    /// How long running attempts may continue after the agent begins to leave, in milliseconds.
     pub drain_ms: u64,
-    /// When an engine is judged frozen.
+    /// When an engine counts as frozen.
     pub freeze: FreezeLimits,
-    /// Bytes of a plain service's answer at most.
+    /// Maximum size of the body of a plain service's answer, in bytes.
     pub max_answer_bytes: usize,
-    /// How long a leaving agent stays at least, so that no view sends it work after its end, in
-    /// milliseconds.
+    /// Minimum time that a leaving agent keeps running, so that no entry with an older membership
+    /// view sends it work after it has stopped, in milliseconds.
     pub min_leave_ms: u64,
-    /// Between two polls of the engine's load, in milliseconds.
+    /// Pause between two polls of the engine, in milliseconds.
     pub poll_ms: u64,
-    /// After which an unanswered poll is sent again, in milliseconds.
+    /// Timeout of a poll, after which an unanswered poll is sent again, in milliseconds.
     pub poll_timeout_ms: u64,
 }
 
@@ -76,15 +76,15 @@
     }
 }
 
-/// What an agent needs to know to start.
+/// Configuration of an agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AgentConfig {
-    /// What stands beside the agent.
+    /// The endpoint that the agent serves.
     pub endpoint: Endpoint,
-    /// Where the endpoint listens.
+    /// The address at which the endpoint listens.
     pub endpoint_address: SocketAddr,
-    /// Periods and bounds.
+    /// Time and size limits.
     pub limits: AgentLimits,
-    /// This node.
+    /// The id of the node that the agent runs on.
     pub node: NodeId,
 }
--- a/crates/masticsill_agent/src/endpoint_duty.rs
+++ b/crates/masticsill_agent/src/endpoint_duty.rs
@@ -1,4 +1,4 @@
-//! The duty that speaks HTTP with the endpoint.
+//! The duty that exchanges HTTP messages with the endpoint.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,24 +13,25 @@
 use tokio::sync::oneshot;
 
 use crate::call::run_call;
-use crate::completion::run_order;
+use crate::completion::run_generation;
 use crate::config::{AgentConfig, Endpoint};
 use crate::engine_poll::poll_engine;
 use crate::events;
-use crate::messages::{EndpointCommand, EndpointNews};
+use crate::messages::{EndpointCommand, EndpointEvent};
 use crate::orders::run_engine_order;
 
-/// More than the books let run at once.
+/// Limit on connections to the endpoint, higher than the number of runs and calls that the agent
+/// allows at once.
 ///
-/// Zero would be no limit, but then `ntex` 3.12 never wakes a request that waits while another
+/// Zero would mean no limit, but then `ntex` 3.12 never wakes a request that waits while another
 /// connection to the same address is being opened.
-const MAX_CONNECTIONS: usize = 131_072;
+const MAX_ENDPOINT_CONNECTIONS: usize = 131_072;
 
-/// Runs until the ring of commands is closed.
+/// Runs the endpoint duty until the command ring is closed.
 pub(crate) fn run_endpoint(
     config: AgentConfig,
     commands: Ring<EndpointCommand>,
-    news: Ring<EndpointNews>,
+    endpoint_events: Ring<EndpointEvent>,
 ) {
     let system = System::new("endpoint", DefaultRuntime);
     system.block_on(async move {
@@ -40,7 +41,7 @@
         let duty = EndpointDuty {
             client,
             config,
-            news,
+            endpoint_events,
             runs: Rc::default(),
         };
         duty.run(commands).await;
@@ -49,7 +50,7 @@
 
 async fn build_client() -> Option<Client> {
     let built = Client::builder()
-        .connector::<()>(Connector::new().limit(MAX_CONNECTIONS))
+        .connector::<()>(Connector::new().limit(MAX_ENDPOINT_CONNECTIONS))
         .disable_redirects()
         .disable_timeout()
         .build(SharedCfg::new("endpoint"))
@@ -62,18 +63,18 @@
 struct EndpointDuty {
     client: Client,
     config: AgentConfig,
-    news: Ring<EndpointNews>,
-    runs: Runs,
+    endpoint_events: Ring<EndpointEvent>,
+    runs: ActiveRuns,
 }
 
-/// A run at the engine; it ends when its guard is dropped.
+/// A run at the engine, which is cancelled when its guard is dropped.
 pub(crate) struct ActiveRun {
     _guard: oneshot::Sender<()>,
     pub(crate) target: ModelTarget,
 }
 
-/// The runs at the engine.
-pub(crate) type Runs = Rc<RefCell<IndexMap<RunNumber, ActiveRun>>>;
+/// The active runs at the engine.
+pub(crate) type ActiveRuns = Rc<RefCell<IndexMap<RunNumber, ActiveRun>>>;
 
 impl EndpointDuty {
     async fn run(self, commands: Ring<EndpointCommand>) {
@@ -82,7 +83,7 @@
                 self.client.clone(),
                 self.config.endpoint_address,
                 self.config.limits,
-                self.news.clone(),
+                self.endpoint_events.clone(),
             ));
         }
         while let Some(command) = commands.pop().await {
@@ -93,7 +94,7 @@
                         self.config.endpoint_address,
                         self.config.limits,
                         *request,
-                        self.news.clone(),
+                        self.endpoint_events.clone(),
                     ));
                 }
                 EndpointCommand::Order(order) => {
@@ -104,7 +105,9 @@
                         order,
                     ));
                 }
-                EndpointCommand::Engine(EngineCommand::Run(order)) => self.start_run(*order),
+                EndpointCommand::Engine(EngineCommand::Run(run_request)) => {
+                    self.start_run(*run_request)
+                }
                 EndpointCommand::Engine(EngineCommand::Cancel(run)) => {
                     self.runs.borrow_mut().swap_remove(&run);
                 }
@@ -112,24 +115,24 @@
         }
     }
 
-    fn start_run(&self, order: RunRequest) {
-        let run = order.run;
+    fn start_run(&self, run_request: RunRequest) {
+        let run = run_request.run;
         let (guard, is_cancelled) = oneshot::channel();
-        let target = order.spec.target.clone();
+        let target = run_request.spec.target.clone();
         let active = ActiveRun {
             _guard: guard,
             target,
         };
         self.runs.borrow_mut().insert(run, active);
         let runs = Rc::clone(&self.runs);
-        let running = run_order(
+        let running = run_generation(
             self.client.clone(),
             self.config.endpoint_address,
-            order,
-            self.news.clone(),
+            run_request,
+            self.endpoint_events.clone(),
         );
         spawn(async move {
-            // Dropping the exchange closes its connection, which cancels it at the engine.
+            // Dropping the request closes its connection, which cancels the run at the engine.
             tokio::select! {
                 () = running => {}
                 _ = is_cancelled => {}
--- a/crates/masticsill_agent/src/engine_gate.rs
+++ b/crates/masticsill_agent/src/engine_gate.rs
@@ -1,52 +1,59 @@
-//! What waits at the agent until its engine has a slot for it.
+//! Admission of runs to the engine: runs wait at the agent until the engine has a free slot.
 
 use indexmap::IndexMap;
 use masticsill_generation::{EngineCommand, RunNumber, RunRequest};
 use masticsill_routing::SlotGate;
 use masticsill_types::{ClockMs, GenerationId};
 
-/// Holds runs back so that lookups find a slot beside drafts.
+/// Limits the runs at the engine, so that lookups find a free slot while drafts are running.
 ///
-/// Runs, not generations, are counted: a run that replaces another of its generation is new work.
+/// The gate counts runs and not generations: a run that replaces another run of its generation is
+/// new work for the engine.
 #[derive(Debug)]
 pub(crate) struct EngineGate {
     gate: SlotGate,
-    held: IndexMap<RunNumber, Box<RunRequest>>,
+    waiting: IndexMap<RunNumber, Box<RunRequest>>,
 }
 
 impl EngineGate {
-    /// A gate that holds nothing back until the engine has told its slots.
+    /// Creates a gate that limits nothing until the engine has reported its number of slots.
     pub(crate) fn new() -> Self {
         Self {
             gate: SlotGate::new(u32::MAX),
-            held: IndexMap::new(),
+            waiting: IndexMap::new(),
         }
     }
 
-    /// Takes the slots as the engine tells them; zero is not a number of slots and holds nothing
-    /// back.
+    /// Sets the number of slots that the engine reports. Zero means that the number is unknown, and
+    /// nothing is limited.
     pub(crate) fn set_slots(&mut self, slots: u32) {
         self.gate
             .set_slots(if slots == 0 { u32::MAX } else { slots });
     }
 
-    /// Tells whether lookups use the engine.
+    /// Sets whether lookups share the engine.
     pub(crate) fn set_shared(&mut self, is_shared: bool) {
         self.gate.set_shared(is_shared);
     }
 
-    /// Takes a command; returns one that goes to the engine at once.
-    pub(crate) fn take(&mut self, now: ClockMs, command: EngineCommand) -> Option<EngineCommand> {
+    /// Handles a command and returns the one to send to the engine at once, if any. A run waits for
+    /// [`EngineGate::forward_next`].
+    pub(crate) fn handle_command(
+        &mut self,
+        now: ClockMs,
+        command: EngineCommand,
+    ) -> Option<EngineCommand> {
         match command {
-            EngineCommand::Run(order) => {
-                self.gate.offer(now, name(order.run), order.spec.class);
-                self.held.insert(order.run, order);
+            EngineCommand::Run(run_request) => {
+                self.gate
+                    .offer(now, gate_id(run_request.run), run_request.spec.class);
+                self.waiting.insert(run_request.run, run_request);
                 None
             }
             EngineCommand::Cancel(run) => {
-                self.gate.remove(name(run));
-                match self.held.shift_remove(&run) {
-                    // The engine never heard of it.
+                self.gate.remove(gate_id(run));
+                match self.waiting.shift_remove(&run) {
+                    // The run was never sent to the engine.
                     Some(_) => None,
                     None => Some(EngineCommand::Cancel(run)),
                 }
@@ -54,25 +61,26 @@
         }
     }
 
-    /// Notes that the engine ended a run.
+    /// Records that the engine ended a run, which frees its slot.
     pub(crate) fn note_ended(&mut self, run: RunNumber) {
-        self.gate.remove(name(run));
+        self.gate.remove(gate_id(run));
     }
 
-    /// The next run to pass on; call it after each change until it gives `None`.
+    /// Removes and returns the next run to send to the engine. Call this after each change until it
+    /// returns `None`.
     pub(crate) fn forward_next(&mut self) -> Option<EngineCommand> {
-        let passed = self.gate.forward_next()?;
-        let number = u64::try_from(passed.0).expect("the gate names runs by their number");
-        let order = self.held.shift_remove(&RunNumber(number));
-        order.map(EngineCommand::Run)
+        let admitted = self.gate.forward_next()?;
+        let number = u64::try_from(admitted.0).expect("the gate identifies runs by their number");
+        let run_request = self.waiting.shift_remove(&RunNumber(number));
+        run_request.map(EngineCommand::Run)
     }
 
-    /// Runs that wait here.
+    /// Number of runs that wait at the agent.
     pub(crate) fn waiting(&self) -> u32 {
-        u32::try_from(self.held.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.waiting.len()).unwrap_or(u32::MAX)
     }
 }
 
-fn name(run: RunNumber) -> GenerationId {
+fn gate_id(run: RunNumber) -> GenerationId {
     GenerationId(u128::from(run.0))
 }
--- a/crates/masticsill_agent/src/engine_poll.rs
+++ b/crates/masticsill_agent/src/engine_poll.rs
@@ -1,4 +1,4 @@
-//! Polls of an engine's load and loaded models.
+//! Periodic requests for an engine's load and loaded models.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,51 +10,60 @@
 use tokio::time::{sleep, timeout};
 
 use crate::config::AgentLimits;
-use crate::messages::EndpointNews;
+use crate::messages::EndpointEvent;
 
-/// The models are asked for at every so-many-th poll.
-const MODELS_EVERY: u32 = 10;
+/// One out of this many polls requests the loaded models; the others request the load.
+const POLLS_PER_MODELS_REQUEST: u32 = 10;
 
-/// Polls until the ring of news is closed.
+/// Polls the engine until the event ring is closed.
 pub(crate) async fn poll_engine(
     client: Client,
     address: SocketAddr,
     limits: AgentLimits,
-    news: Ring<EndpointNews>,
+    endpoint_events: Ring<EndpointEvent>,
 ) {
     let period = Duration::from_millis(limits.poll_ms);
-    let patience = Duration::from_millis(limits.poll_timeout_ms);
+    let poll_timeout = Duration::from_millis(limits.poll_timeout_ms);
     let mut polls: u32 = 0;
-    while !news.is_closed() {
-        let polling = poll_once(&client, address, polls.is_multiple_of(MODELS_EVERY));
-        if let Ok(Some(seen)) = timeout(patience, polling).await {
+    while !endpoint_events.is_closed() {
+        let poll = poll_once(
+            &client,
+            address,
+            polls.is_multiple_of(POLLS_PER_MODELS_REQUEST),
+        );
+        if let Ok(Some(event)) = timeout(poll_timeout, poll).await {
             polls = polls.wrapping_add(1);
-            // A full ring is full of signs of life already.
-            let _ = news.push(seen);
+            // When the ring is full, the result is dropped: the events in the ring show activity
+            // as well.
+            let _ = endpoint_events.push(event);
         }
         sleep(period).await;
     }
 }
 
-async fn poll_once(client: &Client, address: SocketAddr, is_models: bool) -> Option<EndpointNews> {
-    let polled = if is_models {
+async fn poll_once(
+    client: &Client,
+    address: SocketAddr,
+    requests_models: bool,
+) -> Option<EndpointEvent> {
+    let polled = if requests_models {
         let models = get(client, address, "/v1/models").await;
-        models.map(EndpointNews::Models)
+        models.map(EndpointEvent::Models)
     } else {
         let load = get(client, address, "/v1/load").await;
-        load.map(EndpointNews::Load)
+        load.map(EndpointEvent::Load)
     };
     match polled {
-        Ok(news) => Some(news),
-        Err(PollError::Refused) => Some(EndpointNews::Unreachable),
+        Ok(event) => Some(event),
+        Err(PollError::Refused) => Some(EndpointEvent::Unreachable),
         Err(PollError::Other) => None,
     }
 }
 
 enum PollError {
-    /// Nobody listens.
+    /// The connection was refused.
     Refused,
-    /// No usable answer.
+    /// There was no usable answer.
     Other,
 }
 
--- a/crates/masticsill_agent/src/health.rs
+++ b/crates/masticsill_agent/src/health.rs
@@ -1,4 +1,4 @@
-//! The engine's health and what is announced of the endpoint.
+//! The engine's health and the announcement of the endpoint.
 
 use masticsill_generation::{EngineHealth, FreezeDetector};
 use masticsill_mesh::MeshHandle;
@@ -8,7 +8,7 @@
 use crate::config::{AgentConfig, Endpoint};
 use crate::events;
 
-/// What the agent knows of its endpoint.
+/// The state of the endpoint as the agent knows it.
 #[derive(Debug)]
 pub(crate) struct EndpointHealth {
     announced: Option<EndpointProfile>,
@@ -58,7 +58,7 @@
         self.detector.record_refused_connection(now);
     }
 
-    /// Whether the engine is judged frozen just now.
+    /// Whether the engine has just become frozen.
     pub(crate) fn check_frozen(&mut self, now: ClockMs) -> bool {
         let threshold_ms = self.detector.threshold_ms();
         let is_frozen = self.detector.check_frozen(now);
@@ -73,7 +73,7 @@
         is_frozen
     }
 
-    /// Whether new attempts make sense; an engine that was never seen gets the benefit of the doubt.
+    /// Whether new attempts are allowed. An engine that has not been seen yet counts as available.
     pub(crate) fn is_available(&self) -> bool {
         match self.detector.health() {
             EngineHealth::Alive | EngineHealth::Unknown => true,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether catalogue entries of the lookup class use what the engine has loaded.
+    /// Whether a catalogue entry of the lookup class uses a model that the engine has loaded.
     pub(crate) fn is_shared(&self) -> bool {
         let view = self.mesh.catalogue();
         view.catalogue().entries().any(|versioned| {
@@ -92,17 +92,19 @@
         })
     }
 
-    /// The engine's last load report, as old as it is now; `held` runs wait at the agent.
-    pub(crate) fn load(&self, now: ClockMs, held: u32) -> LoadReport {
+    /// The engine's last load report with its present age. Its waiting runs include the
+    /// `waiting_at_agent` runs that wait at the agent.
+    pub(crate) fn load(&self, now: ClockMs, waiting_at_agent: u32) -> LoadReport {
         LoadReport {
             running: self.load.running,
-            waiting: self.load.waiting.saturating_add(held),
+            waiting: self.load.waiting.saturating_add(waiting_at_agent),
             age_ms: self.load.age_ms + now.since(self.load_seen_at),
             token_gap_ms: self.load.token_gap_ms,
         }
     }
 
-    /// Announces the endpoint if anything changed; repeated until the mesh takes it.
+    /// Announces the endpoint if its profile changed. A later call repeats an announcement that the
+    /// mesh did not accept.
     pub(crate) fn announce(&mut self, is_leaving: bool) {
         let profile = EndpointProfile {
             kind: self.kind(),
@@ -122,7 +124,7 @@
             Endpoint::Engine {
                 is_checking_fencing,
             } => EndpointKind::Engine {
-                // What can't be used now is not offered.
+                // The models of an unavailable engine are not announced.
                 loaded: if self.is_available() {
                     self.models.loaded.clone()
                 } else {
--- a/crates/masticsill_agent/src/leaving.rs
+++ b/crates/masticsill_agent/src/leaving.rs
@@ -4,61 +4,62 @@
 
 use crate::config::AgentLimits;
 
-/// How long an owner may take to fetch an attempt's end.
-const HAND_OVER_MS: u64 = 2_000;
-/// Time for the last replies to leave.
-const LAST_REPLIES_MS: u64 = 200;
+/// How long a leaving agent waits for owners to fetch the ends of their attempts, in milliseconds.
+const END_DELIVERY_TIMEOUT_MS: u64 = 2_000;
+/// How long a leaving agent waits for its last replies to be sent, in milliseconds.
+const REPLY_FLUSH_MS: u64 = 200;
 
-/// What a leaving agent still has.
+/// The work that a leaving agent still has.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Remaining {
-    /// Whether every ended attempt's end was fetched.
+pub(crate) struct RemainingWork {
+    /// Whether the end of every attempt was delivered to its owner.
     pub(crate) all_ends_delivered: bool,
-    /// Attempts and calls that run.
+    /// Number of running attempts and pending calls.
     pub(crate) running: usize,
 }
 
-/// Times of a planned stop.
+/// Progress and time limits of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Leaving {
     began_at: ClockMs,
-    drain_until: ClockMs,
+    drain_ends_at: ClockMs,
     idle_since: Option<ClockMs>,
-    stay_until: ClockMs,
+    earliest_stop_at: ClockMs,
 }
 
 impl Leaving {
     pub(crate) fn begin(now: ClockMs, limits: &AgentLimits) -> Self {
         Self {
             began_at: now,
-            drain_until: now + limits.drain_ms,
+            drain_ends_at: now + limits.drain_ms,
             idle_since: None,
-            stay_until: now + limits.min_leave_ms,
+            earliest_stop_at: now + limits.min_leave_ms,
         }
     }
 
-    /// Whether running attempts have to be handed back now.
+    /// Whether the drain time is over, so that running attempts have to be returned to their
+    /// owners.
     pub(crate) fn is_drain_over(&self, now: ClockMs) -> bool {
-        now >= self.drain_until
+        now >= self.drain_ends_at
     }
 
-    /// Whether the agent may end.
-    pub(crate) fn is_done(&mut self, now: ClockMs, remaining: Remaining) -> bool {
+    /// Whether the planned stop is complete and the agent may be stopped.
+    pub(crate) fn is_complete(&mut self, now: ClockMs, remaining: RemainingWork) -> bool {
         if remaining.running > 0 && !self.is_drain_over(now) {
             self.idle_since = None;
             return false;
         }
         let idle_since = *self.idle_since.get_or_insert(now);
-        let patience_ms = if remaining.all_ends_delivered {
-            LAST_REPLIES_MS
+        let min_idle_ms = if remaining.all_ends_delivered {
+            REPLY_FLUSH_MS
         } else {
-            HAND_OVER_MS
+            END_DELIVERY_TIMEOUT_MS
         };
-        now >= self.stay_until && now.since(idle_since) >= patience_ms
+        now >= self.earliest_stop_at && now.since(idle_since) >= min_idle_ms
     }
 
-    /// Milliseconds since the leaving began.
-    pub(crate) fn age_ms(&self, now: ClockMs) -> u64 {
+    /// Time since the planned stop began, in milliseconds.
+    pub(crate) fn elapsed_ms(&self, now: ClockMs) -> u64 {
         now.since(self.began_at)
     }
 }
--- a/crates/masticsill_agent/src/lib.rs
+++ b/crates/masticsill_agent/src/lib.rs
@@ -1,7 +1,8 @@
-//! The agent role: the process beside an endpoint.
+//! The agent role: a process that gives entries access to one endpoint.
 //!
-//! Two duties: "agent" owns the books and answers entries, "endpoint" speaks HTTP with the engine
-//! or plain service. They are joined by two rings, commands one way and news the other.
+//! The agent has two duties. "agent" owns the generation and call tables and serves the entries;
+//! "endpoint" exchanges HTTP messages with the engine or plain service. Two rings connect them: one
+//! carries commands to the endpoint duty, the other carries events back.
 
 mod call;
 mod completion;
--- a/crates/masticsill_agent/src/messages.rs
+++ b/crates/masticsill_agent/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the agent's two duties tell each other.
+//! Messages between the agent's two duties.
 
 use masticsill_generation::{EngineCommand, EngineEvent, RunNumber};
 use masticsill_runtime::{Ring, RingFull};
@@ -9,10 +9,10 @@
 
 use crate::orders::OrderCommand;
 
-/// Pause before a full ring is tried again.
+/// Pause before another attempt to push into a full ring.
 const FULL_RING_PAUSE: Duration = Duration::from_millis(1);
 
-/// What the endpoint duty is told to do.
+/// A command to the endpoint duty.
 #[derive(Debug)]
 pub(crate) enum EndpointCommand {
     Call(Box<CallRequest>),
@@ -20,9 +20,9 @@
     Order(OrderCommand),
 }
 
-/// What the endpoint duty saw.
+/// An event from the endpoint duty.
 #[derive(Debug)]
-pub(crate) enum EndpointNews {
+pub(crate) enum EndpointEvent {
     Call(GenerationId, CallEnd),
     Load(EngineLoad),
     Models(LoadedModels),
@@ -31,24 +31,25 @@
     Unreachable,
 }
 
-/// How a plain call ended.
+/// The outcome of a plain call.
 #[derive(Debug)]
 pub(crate) enum CallEnd {
     Answered(CallAnswer),
-    /// Sent, at least in part, and not answered.
+    /// Sent at least in part, and not answered.
     Lost,
-    /// No byte of it left the agent.
+    /// No byte of the call was sent; the text is the reason.
     Unsent(String),
 }
 
-/// Sends news that must not be lost: waits while the ring is full. False once it is closed.
-pub(crate) async fn send_news(ring: &Ring<EndpointNews>, news: EndpointNews) -> bool {
-    let mut unsent = news;
-    while let Err(RingFull(returned)) = ring.push(unsent) {
+/// Pushes an event that must not be lost, waiting while the ring is full. Returns false when the
+/// ring is closed.
+pub(crate) async fn send_event(ring: &Ring<EndpointEvent>, event: EndpointEvent) -> bool {
+    let mut pending = event;
+    while let Err(RingFull(returned)) = ring.push(pending) {
         if ring.is_closed() {
             return false;
         }
-        unsent = returned;
+        pending = returned;
         sleep(FULL_RING_PAUSE).await;
     }
     true
--- a/crates/masticsill_agent/src/orders.rs
+++ b/crates/masticsill_agent/src/orders.rs
@@ -1,7 +1,8 @@
-//! Orders of the control leader to the engine beside this agent.
+//! Orders of the control leader to this agent's engine.
 //!
-//! The agent is the only way to an engine that ignores the fencing number, so it checks for it:
-//! one order at a time, each with a higher number than all before, also across a restart.
+//! Some engines ignore the fencing number and can be reached only through their agent, so the agent
+//! checks the number for them: one order is in flight at a time, and each has a higher number than
+//! all orders before it, also across a restart of the agent.
 
 mod opening;
 mod send;
@@ -16,12 +17,12 @@
 
 use crate::config::Endpoint;
 use crate::messages::EndpointCommand;
-use crate::state::Answer;
+use crate::state::DeferrableReply;
 
 pub(crate) use opening::open_gate;
 pub(crate) use send::run_engine_order;
 
-/// The gate, shared by the duty that takes orders in and the duty that sends them.
+/// The order gate, shared by the duty that accepts orders and the duty that sends them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedGate(Arc<Mutex<OrderGate>>);
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// An admitted order on its way to the duty that sends it.
+/// An admitted order in transit to the duty that sends it.
 #[derive(Debug)]
 pub(crate) struct OrderCommand {
     pub(crate) gate: SharedGate,
@@ -39,15 +40,15 @@
     pub(crate) request: OrderRequest,
 }
 
-/// Takes orders in.
+/// Admits orders and passes them to the endpoint duty.
 #[derive(Clone, Debug)]
-pub(crate) struct OrderDesk {
+pub(crate) struct OrderIntake {
     commands: Ring<EndpointCommand>,
     gate: SharedGate,
     is_engine: bool,
 }
 
-impl OrderDesk {
+impl OrderIntake {
     pub(crate) fn new(endpoint: &Endpoint, commands: Ring<EndpointCommand>) -> Self {
         Self {
             commands,
@@ -56,14 +57,14 @@
         }
     }
 
-    pub(crate) fn take_in(&self, request: OrderRequest) -> Answer<OrderReply> {
+    pub(crate) fn admit(&self, request: OrderRequest) -> DeferrableReply<OrderReply> {
         if !self.is_engine {
-            return Answer::Now(OrderReply::Refused(OrderRefusal::EngineRefused));
+            return DeferrableReply::Now(OrderReply::Refused(OrderRefusal::EngineRefused));
         }
         let fencing = request.fencing;
         let admitted = self.gate.lock().admit(fencing, &request.order);
         if let Err(refusal) = admitted {
-            return Answer::Now(refused(refusal));
+            return DeferrableReply::Now(refused(refusal));
         }
         let (reply_to, ended) = oneshot::channel();
         let command = OrderCommand {
@@ -73,9 +74,9 @@
         };
         if self.commands.push(EndpointCommand::Order(command)).is_err() {
             self.gate.lock().finish(fencing);
-            return Answer::Now(OrderReply::Refused(OrderRefusal::Busy));
+            return DeferrableReply::Now(OrderReply::Refused(OrderRefusal::Busy));
         }
-        Answer::Later(ended)
+        DeferrableReply::Later(ended)
     }
 
     pub(crate) fn fence(&self, fencing: FencingNumber) -> FenceReply {
--- a/crates/masticsill_agent/src/orders/opening.rs
+++ b/crates/masticsill_agent/src/orders/opening.rs
@@ -1,4 +1,4 @@
-//! Opening the gate after the agent's start.
+//! Opening of the order gate after the agent's start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,28 +12,29 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::OrderDesk;
+use super::OrderIntake;
 use crate::events;
 
-/// How long one control replica may take, in milliseconds.
+/// Timeout of the connection to one control replica, and of the read, in milliseconds.
 const REPLICA_TIMEOUT_MS: u64 = 1_000;
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Asks the control replicas for the highest number drawn until the leader answers.
+/// Queries the control replicas for the highest fencing number issued, until the leader answers,
+/// and opens the gate with it.
 ///
-/// Only a leader that a majority follows answers this read, so no number drawn before the
-/// agent's start is missing from it.
-pub(crate) async fn open_gate(mesh: MeshHandle, desk: OrderDesk) {
-    if !desk.is_engine {
+/// Only a leader that is followed by a majority answers this read, so the answer covers every
+/// number issued before the agent's start.
+pub(crate) async fn open_gate(mesh: MeshHandle, intake: OrderIntake) {
+    if !intake.is_engine {
         return;
     }
     let highest = loop {
-        if let Some(highest) = ask_all(&mesh).await {
+        if let Some(highest) = query_replicas(&mesh).await {
             break highest;
         }
         sleep(RETRY_PAUSE).await;
     };
-    desk.gate.lock().open(highest);
+    intake.gate.lock().open(highest);
     log_event!(
         info,
         events::ORDERS_OPEN,
@@ -42,17 +43,17 @@
     );
 }
 
-async fn ask_all(mesh: &MeshHandle) -> Option<FencingNumber> {
+async fn query_replicas(mesh: &MeshHandle) -> Option<FencingNumber> {
     let view = mesh.view();
     for member in view.controls() {
-        if let Some(highest) = ask(member.address).await {
+        if let Some(highest) = query_replica(member.address).await {
             return Some(highest);
         }
     }
     None
 }
 
-async fn ask(address: SocketAddr) -> Option<FencingNumber> {
+async fn query_replica(address: SocketAddr) -> Option<FencingNumber> {
     let transport = connect_transport(address, ServiceKind::Control, REPLICA_TIMEOUT_MS);
     let new = ControlServiceClient::new(client::Config::default(), transport.await.ok()?);
     spawn_local(async move {
--- a/crates/masticsill_agent/src/orders/send.rs
+++ b/crates/masticsill_agent/src/orders/send.rs
@@ -1,4 +1,4 @@
-//! One order at the engine.
+//! Execution of one order at the engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use tokio::time::timeout;
 
 use super::OrderCommand;
-use crate::endpoint_duty::Runs;
+use crate::endpoint_duty::ActiveRuns;
 
 use crate::events;
 
-/// How long an engine may take to load, in milliseconds.
-const ENGINE_TIMEOUT_MS: u64 = 100_000;
+/// Timeout of an order at the engine, which may have to load a model, in milliseconds.
+const ENGINE_ORDER_TIMEOUT_MS: u64 = 100_000;
 
-/// Sends an admitted order, unless it was fenced meanwhile, and tells its end.
+/// Sends an admitted order, unless it has been fenced in the meantime, and reports its end.
 pub(crate) async fn run_engine_order(
     client: Client,
     address: SocketAddr,
-    runs: Runs,
+    runs: ActiveRuns,
     command: OrderCommand,
 ) {
     let fencing = command.request.fencing;
@@ -43,12 +43,12 @@
 async fn send(
     client: &Client,
     address: SocketAddr,
-    runs: &Runs,
+    runs: &ActiveRuns,
     command: &OrderCommand,
 ) -> OrderReply {
     let request = &command.request;
     if let EngineOrder::Unload(target) = &request.order
-        && is_used(runs, target)
+        && is_in_use(runs, target)
     {
         return OrderReply::Refused(OrderRefusal::InUse);
     }
@@ -64,16 +64,17 @@
     };
     let url = format!("http://{address}/v1/orders");
     let prepared = client.post(url).force_close().no_decompress();
-    let patience = Duration::from_millis(ENGINE_TIMEOUT_MS);
-    match timeout(patience, prepared.send_json(&body)).await {
+    let order_timeout = Duration::from_millis(ENGINE_ORDER_TIMEOUT_MS);
+    match timeout(order_timeout, prepared.send_json(&body)).await {
         Ok(Ok(response)) => read_status(response.status()),
         Ok(Err(error)) if is_unsent(&error) => OrderReply::Refused(OrderRefusal::EngineUnavailable),
         Ok(Err(_)) | Err(_) => OrderReply::OutcomeUnknown,
     }
 }
 
-/// Generations are pinned to their target: it is not taken from under them.
-fn is_used(runs: &Runs, target: &ModelTarget) -> bool {
+/// Whether a run uses the target. Generations are pinned to their target, so a target in use is not
+/// unloaded.
+fn is_in_use(runs: &ActiveRuns, target: &ModelTarget) -> bool {
     let runs = runs.borrow();
     runs.values().any(|run| run.target == *target)
 }
--- a/crates/masticsill_agent/src/role.rs
+++ b/crates/masticsill_agent/src/role.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the agent.
+//! Start and stop of the agent.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,31 +17,33 @@
 use crate::config::AgentConfig;
 use crate::endpoint_duty::run_endpoint;
 use crate::events;
-use crate::messages::EndpointNews;
+use crate::messages::EndpointEvent;
 use crate::orders::open_gate;
 use crate::service::{SharedState, serve_entries};
 use crate::state::AgentState;
 
-/// Room for commands to the endpoint; what does not fit waits in the agent's backlog.
-const COMMANDS: usize = 4_096;
-/// Room for news from the endpoint; what does not fit waits at the endpoint's connections.
-const NEWS: usize = 16_384;
-const TICK_MS: u64 = 50;
+/// Capacity of the ring of commands to the endpoint duty. When it is full, engine commands wait in
+/// the agent's backlog.
+const COMMAND_RING_CAPACITY: usize = 4_096;
+/// Capacity of the ring of events from the endpoint duty. When it is full, the tasks that read from
+/// the endpoint's connections wait.
+const EVENT_RING_CAPACITY: usize = 16_384;
+const TICK_PERIOD_MS: u64 = 50;
 
-/// What joins an agent to its process.
+/// The services of its process that an agent uses.
 #[derive(Debug)]
 pub struct AgentLinks {
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: MonotonicClock,
-    /// Connections of entries, as the mesh hands them out.
+    /// The ring on which the mesh delivers the connections of entries.
     pub connections: Ring<ServiceStream>,
-    /// Where the endpoint is announced.
+    /// The mesh in which the endpoint is announced.
     pub mesh: MeshHandle,
-    /// Where counters go.
+    /// The sink of counters and gauges.
     pub metrics: Metrics,
 }
 
-/// The process beside an endpoint.
+/// The role of a process that serves one endpoint.
 #[derive(Debug)]
 pub struct AgentRole;
 
@@ -58,19 +60,22 @@
             node = config.node,
             endpoint = config.endpoint_address
         );
-        let commands = Ring::with_capacity(COMMANDS);
-        let news: Ring<EndpointNews> = Ring::with_capacity(NEWS);
-        let handle_connections = links.connections.clone();
+        let commands = Ring::with_capacity(COMMAND_RING_CAPACITY);
+        let endpoint_events: Ring<EndpointEvent> = Ring::with_capacity(EVENT_RING_CAPACITY);
+        let stop_connections = links.connections.clone();
         let leaving = ShutdownSignal::default();
         let drained = ShutdownSignal::default();
         let endpoint_duty = {
-            let (config, commands, news) = (config.clone(), commands.clone(), news.clone());
-            spawn_duty("endpoint", move || run_endpoint(config, commands, news))?
+            let (config, commands, endpoint_events) =
+                (config.clone(), commands.clone(), endpoint_events.clone());
+            spawn_duty("endpoint", move || {
+                run_endpoint(config, commands, endpoint_events)
+            })?
         };
-        let stop = Stop {
+        let stop = StopRings {
             commands: commands.clone(),
-            connections: handle_connections,
-            news: news.clone(),
+            connections: stop_connections,
+            endpoint_events: endpoint_events.clone(),
         };
         let agent_duty = {
             let (leaving, drained) = (leaving.clone(), drained.clone());
@@ -79,7 +84,7 @@
                 let mesh = links.mesh.clone();
                 let state = AgentState::new(&config, links, commands, drained);
                 spawn_local(open_gate(mesh, state.orders().clone()));
-                run_agent(state, connections, news, leaving).await;
+                run_agent(state, connections, endpoint_events, leaving).await;
             })?
         };
         Ok(AgentHandle {
@@ -92,10 +97,10 @@
 }
 
 #[derive(Debug)]
-struct Stop {
+struct StopRings {
     commands: Ring<crate::messages::EndpointCommand>,
     connections: Ring<ServiceStream>,
-    news: Ring<EndpointNews>,
+    endpoint_events: Ring<EndpointEvent>,
 }
 
 /// A running agent.
@@ -104,35 +109,36 @@
     drained: ShutdownSignal,
     duties: Vec<DutyHandle>,
     leaving: ShutdownSignal,
-    stop: Stop,
+    stop: StopRings,
 }
 
 impl AgentHandle {
-    /// Begins the planned stop: the endpoint is announced as leaving and takes nothing new; what
-    /// runs goes on until it ends or the drain time is over, and is then handed back to its owners.
+    /// Begins the planned stop. The endpoint is announced as leaving and accepts no new work.
+    /// Running attempts continue until they end; those that are still running when the drain time
+    /// is over are failed and returned to their owners.
     pub fn leave(&self) {
         self.leaving.request();
     }
 
-    /// Whether the planned stop has come so far that the agent may be stopped.
+    /// Whether the planned stop is complete, so that the agent may be stopped.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.drained.is_requested()
     }
 
-    /// Waits until the planned stop has come so far that the agent may be stopped.
+    /// Waits until the planned stop is complete, so that the agent may be stopped.
     pub async fn drained(&self) {
         self.drained.requested().await;
     }
 
-    /// Ends both duties and every connection at once.
+    /// Stops both duties and closes every connection at once.
     ///
     /// # Errors
     ///
-    /// An error naming a duty that panicked.
+    /// An error that names a duty that panicked.
     pub fn stop(self) -> io::Result<()> {
         self.stop.connections.close();
-        self.stop.news.close();
+        self.stop.endpoint_events.close();
         self.stop.commands.close();
         self.duties.into_iter().try_for_each(DutyHandle::join)
     }
@@ -141,7 +147,7 @@
 async fn run_agent(
     state: AgentState,
     connections: Ring<ServiceStream>,
-    news: Ring<EndpointNews>,
+    endpoint_events: Ring<EndpointEvent>,
     leaving: ShutdownSignal,
 ) {
     let shared = SharedState {
@@ -149,32 +155,32 @@
         wake: Rc::new(Notify::new()),
     };
     spawn_local(serve_entries(connections, shared.clone()));
-    spawn_local(await_leaving(leaving, shared.clone()));
+    spawn_local(begin_leaving_on_request(leaving, shared.clone()));
     let mut tick_at = ClockMs(0);
     loop {
         let now = shared.state.borrow().now();
         if now >= tick_at {
-            tick_at = now + TICK_MS;
+            tick_at = now + TICK_PERIOD_MS;
             shared.state.borrow_mut().tick();
         }
         let next_due = shared.state.borrow().next_due();
         let wake_at = next_due.map_or(tick_at, |due| due.min(tick_at));
         tokio::select! {
-            popped = news.pop() => {
+            popped = endpoint_events.pop() => {
                 let Some(first) = popped else {
                     return;
                 };
-                shared.state.borrow_mut().take_news(first, &news);
+                shared.state.borrow_mut().apply_events(first, &endpoint_events);
             }
             () = shared.wake.notified() => {}
             () = sleep(Duration::from_millis(wake_at.since(now))) => {}
         }
         let now = shared.state.borrow().now();
-        shared.state.borrow_mut().settle(now);
+        shared.state.borrow_mut().flush(now);
     }
 }
 
-async fn await_leaving(leaving: ShutdownSignal, shared: SharedState) {
+async fn begin_leaving_on_request(leaving: ShutdownSignal, shared: SharedState) {
     leaving.requested().await;
     shared.state.borrow_mut().begin_leaving();
 }
--- a/crates/masticsill_agent/src/server_events.rs
+++ b/crates/masticsill_agent/src/server_events.rs
@@ -1,13 +1,13 @@
-//! The data of server-sent events.
+//! Decoding of server-sent events.
 
-/// Cuts a byte stream into the data of its events.
+/// Splits a byte stream into the data of its events.
 #[derive(Debug, Default)]
 pub(crate) struct EventDecoder {
     pending: Vec<u8>,
 }
 
 impl EventDecoder {
-    /// Adds bytes and returns the data lines of the events that are whole now.
+    /// Adds bytes and returns the values of the data lines that are complete.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
         self.pending.extend_from_slice(bytes);
         let mut data = Vec::new();
--- a/crates/masticsill_agent/src/service.rs
+++ b/crates/masticsill_agent/src/service.rs
@@ -1,4 +1,4 @@
-//! The service that the agent offers to entries.
+//! The RPC service of the agent, used by entries and control replicas.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,17 +16,17 @@
 use tokio::task::spawn_local;
 
 use crate::events;
-use crate::state::{AgentState, Answer};
+use crate::state::{AgentState, DeferrableReply};
 
 /// The agent's state, shared by the tasks of its duty.
 #[derive(Clone, Debug)]
 pub(crate) struct SharedState {
     pub(crate) state: Rc<RefCell<AgentState>>,
-    /// Raised when a pull began to wait, for its time to be minded.
+    /// Notified when a pull begins to wait, so that the duty takes its due time into account.
     pub(crate) wake: Rc<Notify>,
 }
 
-/// Serves entries' connections until the ring is closed.
+/// Serves the connections from the ring until the ring is closed.
 pub(crate) async fn serve_entries(connections: Ring<ServiceStream>, shared: SharedState) {
     while let Some(connection) = connections.pop().await {
         let transport = match connection.into_transport() {
@@ -51,8 +51,8 @@
     async fn pull(self, _: Context, request: PullRequest) -> PullReply {
         let pulled = self.state.borrow_mut().pull(request);
         let progress = match pulled {
-            Answer::Now(progress) => progress,
-            Answer::Later(answered) => {
+            DeferrableReply::Now(progress) => progress,
+            DeferrableReply::Later(answered) => {
                 self.wake.notify_one();
                 answered.await.unwrap_or_default()
             }
@@ -69,15 +69,17 @@
     }
 
     async fn call(self, _: Context, request: CallRequest) -> CallReply {
-        let patience = tokio::time::Duration::from_millis(request.deadline_ms);
+        let remaining_time = tokio::time::Duration::from_millis(request.deadline_ms);
         let called = self.state.borrow_mut().call(request);
         match called {
-            Answer::Now(reply) => reply,
-            // The exchange goes on after the deadline, so that a repeat gets the answer.
-            Answer::Later(answered) => match tokio::time::timeout(patience, answered).await {
-                Ok(Ok(reply)) => reply,
-                Ok(Err(_)) | Err(_) => CallReply::OutcomeUnknown,
-            },
+            DeferrableReply::Now(reply) => reply,
+            // The exchange continues after the deadline, so that a repeated call gets the answer.
+            DeferrableReply::Later(answered) => {
+                match tokio::time::timeout(remaining_time, answered).await {
+                    Ok(Ok(reply)) => reply,
+                    Ok(Err(_)) | Err(_) => CallReply::OutcomeUnknown,
+                }
+            }
         }
     }
 
@@ -88,9 +90,9 @@
     async fn order(self, _: Context, request: OrderRequest) -> OrderReply {
         let ordered = self.state.borrow_mut().order(request);
         match ordered {
-            Answer::Now(reply) => reply,
-            // The order ends in the other duty, also when nobody waits here any more.
-            Answer::Later(ended) => ended.await.unwrap_or(OrderReply::OutcomeUnknown),
+            DeferrableReply::Now(reply) => reply,
+            // The endpoint duty completes the order even when the caller stops waiting.
+            DeferrableReply::Later(ended) => ended.await.unwrap_or(OrderReply::OutcomeUnknown),
         }
     }
 
--- a/crates/masticsill_agent/src/state.rs
+++ b/crates/masticsill_agent/src/state.rs
@@ -20,21 +20,21 @@
 use crate::engine_gate::EngineGate;
 use crate::events;
 use crate::health::EndpointHealth;
-use crate::leaving::{Leaving, Remaining};
-use crate::messages::{CallEnd, EndpointCommand, EndpointNews};
-use crate::orders::OrderDesk;
+use crate::leaving::{Leaving, RemainingWork};
+use crate::messages::{CallEnd, EndpointCommand, EndpointEvent};
+use crate::orders::OrderIntake;
 use crate::role::AgentLinks;
 
-/// A pull may wait for this part of the orphan time at most.
-const PULLS_PER_ORPHAN_TIME: u64 = 3;
+/// A pull may wait for at most the orphan time divided by this number.
+const MIN_PULLS_PER_ORPHAN_TIME: u64 = 3;
 
-/// An answer that is there, or that will come.
-pub(crate) enum Answer<T> {
+/// A reply that is ready, or that arrives later through a channel.
+pub(crate) enum DeferrableReply<T> {
     Now(T),
     Later(oneshot::Receiver<T>),
 }
 
-/// Everything that the agent duty owns.
+/// The state that the agent duty owns.
 #[derive(Debug)]
 pub(crate) struct AgentState {
     backlog: VecDeque<EndpointCommand>,
@@ -43,7 +43,7 @@
     calls: CallTable,
     clock: MonotonicClock,
     commands: Ring<EndpointCommand>,
-    counted: GenerationCounts,
+    published_counts: GenerationCounts,
     drained: ShutdownSignal,
     gate: EngineGate,
     health: EndpointHealth,
@@ -51,7 +51,7 @@
     leaving: Option<Leaving>,
     limits: AgentLimits,
     metrics: Metrics,
-    orders: OrderDesk,
+    orders: OrderIntake,
     pulls: IndexMap<PullNumber, oneshot::Sender<Vec<Progress>>>,
 }
 
@@ -71,7 +71,7 @@
             calls: CallTable::new(incarnation, config.limits.calls),
             clock: links.clock,
             commands: commands.clone(),
-            counted: GenerationCounts::default(),
+            published_counts: GenerationCounts::default(),
             drained,
             gate: EngineGate::new(),
             health: EndpointHealth::new(now, config, links.mesh),
@@ -79,7 +79,7 @@
             leaving: None,
             limits: config.limits,
             metrics: links.metrics,
-            orders: OrderDesk::new(&config.endpoint, commands),
+            orders: OrderIntake::new(&config.endpoint, commands),
             pulls: IndexMap::new(),
         }
     }
@@ -88,35 +88,35 @@
         self.clock.now()
     }
 
-    pub(crate) fn orders(&self) -> &OrderDesk {
+    pub(crate) fn orders(&self) -> &OrderIntake {
         &self.orders
     }
 
-    /// Takes an order in; it is passed on, or its end is told at once.
-    pub(crate) fn order(&mut self, request: OrderRequest) -> Answer<OrderReply> {
+    /// Passes an admitted order to the endpoint duty, or refuses the order at once.
+    pub(crate) fn order(&mut self, request: OrderRequest) -> DeferrableReply<OrderReply> {
         if !self.health.is_available() {
-            return Answer::Now(OrderReply::Refused(OrderRefusal::EngineUnavailable));
+            return DeferrableReply::Now(OrderReply::Refused(OrderRefusal::EngineUnavailable));
         }
-        self.orders.take_in(request)
+        self.orders.admit(request)
     }
 
     pub(crate) fn start(&mut self, request: StartRequest) -> StartReply {
         let now = self.now();
         let reply = self.generations.start(now, request);
-        self.settle(now);
+        self.flush(now);
         reply
     }
 
-    pub(crate) fn pull(&mut self, mut request: PullRequest) -> Answer<Vec<Progress>> {
+    pub(crate) fn pull(&mut self, mut request: PullRequest) -> DeferrableReply<Vec<Progress>> {
         let now = self.now();
-        let longest_ms = self.limits.generations.orphan_ms / PULLS_PER_ORPHAN_TIME;
+        let longest_ms = self.limits.generations.orphan_ms / MIN_PULLS_PER_ORPHAN_TIME;
         request.wait_ms = request.wait_ms.min(longest_ms);
         match self.generations.pull(now, &request) {
-            PullAnswer::Ready(progress) => Answer::Now(progress),
+            PullAnswer::Ready(progress) => DeferrableReply::Now(progress),
             PullAnswer::Waiting(number) => {
                 let (reply, answered) = oneshot::channel();
                 self.pulls.insert(number, reply);
-                Answer::Later(answered)
+                DeferrableReply::Later(answered)
             }
         }
     }
@@ -133,61 +133,63 @@
     pub(crate) fn attach(&mut self, request: &AttachRequest) -> AttachReply {
         let now = self.now();
         let reply = self.generations.attach(now, request);
-        self.settle(now);
+        self.flush(now);
         reply
     }
 
     pub(crate) fn cancel(&mut self, request: &CancelRequest) {
         let now = self.now();
         self.generations.cancel(now, request);
-        self.settle(now);
+        self.flush(now);
     }
 
-    pub(crate) fn call(&mut self, request: CallRequest) -> Answer<CallReply> {
+    pub(crate) fn call(&mut self, request: CallRequest) -> DeferrableReply<CallReply> {
         let now = self.now();
         let id = request.id;
         let step = self
             .calls
             .begin(now, id, request.incarnation, request.is_repeatable);
         match step {
-            CallDecision::Reply(reply) => return Answer::Now(reply),
+            CallDecision::Reply(reply) => return DeferrableReply::Now(reply),
             CallDecision::Join => {}
             CallDecision::Send => {
-                // The other duty sends it as soon as it takes the command, so it is started now.
+                // The endpoint duty sends the call as soon as it receives the command, so the call
+                // counts as started from here on.
                 self.calls.mark_started(now, id);
                 let command = EndpointCommand::Call(Box::new(request));
                 if self.commands.push(command).is_err() {
                     let detail = "the agent has more calls to send than it may";
-                    return Answer::Now(self.calls.note_unsent(now, id, detail));
+                    return DeferrableReply::Now(self.calls.note_unsent(now, id, detail));
                 }
             }
         }
         let (reply, answered) = oneshot::channel();
         self.call_waiters.entry(id).or_default().push(reply);
-        Answer::Later(answered)
+        DeferrableReply::Later(answered)
     }
 
     pub(crate) fn bury(&mut self, request: &BuryRequest) -> CallReply {
         self.calls.bury(self.now(), request)
     }
 
-    /// Takes all news that there is.
-    pub(crate) fn take_news(&mut self, first: EndpointNews, rest: &Ring<EndpointNews>) {
+    /// Applies the given event and those waiting in the ring.
+    pub(crate) fn apply_events(&mut self, first: EndpointEvent, rest: &Ring<EndpointEvent>) {
         let now = self.now();
-        self.take_one(now, first);
-        // Bounded, so that a flood of tokens does not keep the pulls waiting.
+        self.apply_event(now, first);
+        // The number of events is bounded, so that a burst of tokens does not delay the pulls.
         for _ in 0..rest.capacity() {
-            let Some(news) = rest.try_pop() else {
+            let Some(endpoint_event) = rest.try_pop() else {
                 break;
             };
-            self.take_one(now, news);
+            self.apply_event(now, endpoint_event);
         }
         self.generations
             .set_engine_available(self.health.is_available());
         self.health.announce(self.leaving.is_some());
     }
 
-    /// Lets time pass.
+    /// Performs the periodic work: freeze detection, expiry, announcement, planned stop and
+    /// metrics.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         if self.health.check_frozen(now) {
@@ -198,9 +200,9 @@
         self.calls.tick(now);
         self.gate.set_shared(self.health.is_shared());
         self.health.announce(self.leaving.is_some());
-        self.go_on_leaving(now);
-        self.count();
-        self.settle(now);
+        self.advance_leaving(now);
+        self.publish_counts();
+        self.flush(now);
     }
 
     /// Begins the planned stop.
@@ -216,13 +218,13 @@
         self.calls.begin_leaving();
         self.health.announce(true);
         self.health.leave();
-        self.settle(now);
+        self.flush(now);
     }
 
-    /// Hands out commands and due pulls.
-    pub(crate) fn settle(&mut self, now: ClockMs) {
+    /// Sends the pending commands to the endpoint duty and the replies of the due pulls.
+    pub(crate) fn flush(&mut self, now: ClockMs) {
         for command in self.generations.take_commands() {
-            let passed = self.gate.take(now, command);
+            let passed = self.gate.handle_command(now, command);
             self.backlog.extend(passed.map(EndpointCommand::Engine));
         }
         while let Some(command) = self.gate.forward_next() {
@@ -241,20 +243,20 @@
         }
     }
 
-    /// When the next pull is due, if any waits.
+    /// The time at which the next waiting pull is due; `None` when no pull waits.
     pub(crate) fn next_due(&self) -> Option<ClockMs> {
         self.generations.next_due()
     }
 
-    fn take_one(&mut self, now: ClockMs, news: EndpointNews) {
-        match news {
-            EndpointNews::Call(id, end) => self.end_call(now, id, end),
-            EndpointNews::Load(load) => self.health.note_load(now, load),
-            EndpointNews::Models(models) => {
+    fn apply_event(&mut self, now: ClockMs, endpoint_event: EndpointEvent) {
+        match endpoint_event {
+            EndpointEvent::Call(id, end) => self.end_call(now, id, end),
+            EndpointEvent::Load(load) => self.health.note_load(now, load),
+            EndpointEvent::Models(models) => {
                 self.gate.set_slots(models.slots);
                 self.health.note_models(now, models);
             }
-            EndpointNews::Run(run, event) => {
+            EndpointEvent::Run(run, event) => {
                 if matches!(event, EngineEvent::Tokens { .. }) {
                     self.health.record_activity(now);
                 }
@@ -263,7 +265,7 @@
                 }
                 self.generations.apply_event(now, run, event);
             }
-            EndpointNews::Unreachable => self.health.note_unreachable(now),
+            EndpointEvent::Unreachable => self.health.note_unreachable(now),
         }
     }
 
@@ -278,7 +280,7 @@
         }
     }
 
-    fn go_on_leaving(&mut self, now: ClockMs) {
+    fn advance_leaving(&mut self, now: ClockMs) {
         let Some(leaving) = &mut self.leaving else {
             return;
         };
@@ -290,29 +292,33 @@
             );
             self.generations.fail_all(now, AttemptFailure::Leaving);
         }
-        let remaining = Remaining {
+        let remaining = RemainingWork {
             all_ends_delivered: self.generations.all_ends_delivered(),
             running: self.generations.running() + self.calls.pending(),
         };
-        if leaving.is_done(now, remaining) && !self.drained.is_requested() {
-            log_event!(info, events::AGENT_DRAINED, after_ms = leaving.age_ms(now));
+        if leaving.is_complete(now, remaining) && !self.drained.is_requested() {
+            log_event!(
+                info,
+                events::AGENT_DRAINED,
+                after_ms = leaving.elapsed_ms(now)
+            );
             self.drained.request();
         }
     }
 
-    fn count(&mut self) {
+    fn publish_counts(&mut self) {
         let counts = self.generations.counts();
-        let counted = std::mem::replace(&mut self.counted, counts);
-        let orphans = counts.orphans - counted.orphans;
+        let published_counts = std::mem::replace(&mut self.published_counts, counts);
+        let orphans = counts.orphans - published_counts.orphans;
         if orphans > 0 {
             log_event!(info, events::ORPHANS_CANCELLED, count = orphans);
         }
         let changes = [
             (
                 "agent.late_events",
-                counts.late_events - counted.late_events,
+                counts.late_events - published_counts.late_events,
             ),
-            ("agent.fenced", counts.fenced - counted.fenced),
+            ("agent.fenced", counts.fenced - published_counts.fenced),
             ("agent.orphans", orphans),
         ];
         for (name, change) in changes {
--- a/crates/masticsill_agent/tests/engine_faults.rs
+++ b/crates/masticsill_agent/tests/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Engines that die, freeze, thaw and are only slow.
+//! Behaviour of the agent when its engine fails, freezes, thaws or is merely slow.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use masticsill_types::{AttemptFailure, AttemptState, EndpointKind, RefusalKind, TokenIndex};
 use masticsill_wire::agent::StartReply;
 
-use support::{TestAgent, TestEntry, engine, spec, wait_for, whole_answer};
+use support::{TestAgent, TestEntry, complete_answer, engine, spec, wait_for};
 
 fn started(engine: &FakeEngine, id: u128, max_tokens: u32) -> (TestAgent, TestEntry, Record) {
-    let agent = TestAgent::beside(engine);
+    let agent = TestAgent::for_engine(engine);
     let entry = TestEntry::connect(&agent);
     let mut record = Record::new(spec(id, max_tokens), 5);
     entry.start(&record);
@@ -19,63 +19,77 @@
     (agent, entry, record)
 }
 
-fn offers_models(agent: &TestAgent) -> bool {
+fn announces_models(agent: &TestAgent) -> bool {
     let profile = agent.announced();
     let kind = profile.map(|profile| profile.kind);
     matches!(kind, Some(EndpointKind::Engine { loaded, .. }) if !loaded.is_empty())
 }
 
 #[test]
-fn killed_engine_is_said_and_no_longer_offered() {
+fn lost_engine_fails_its_attempt_and_is_no_longer_announced() {
     let engine = engine(|_| {});
     let (agent, entry, mut record) = started(&engine, 1, 100_000);
-    wait_for("the engine is offered", || offers_models(&agent));
+    wait_for("the engine is announced with its models", || {
+        announces_models(&agent)
+    });
     drop(engine);
     let end = entry.pull_to_end(&mut record);
     assert_eq!(end, AttemptState::Failed(AttemptFailure::EngineLost));
-    wait_for("the engine is not offered", || !offers_models(&agent));
+    wait_for("the engine is announced without models", || {
+        !announces_models(&agent)
+    });
     record.begin_attempt();
     let refused = entry.start(&record);
-    assert_matches!(refused, StartReply::Refused(refusal) if refusal.kind == RefusalKind::NoEndpoint);
+    assert_matches!(
+        refused,
+        StartReply::Refused(refusal) if refusal.kind == RefusalKind::NoEndpoint
+    );
     agent.stop();
 }
 
 #[test]
-fn frozen_engine_is_judged_and_its_late_tokens_are_dropped() {
+fn frozen_engine_fails_its_attempt_and_its_late_tokens_are_dropped() {
     let engine = engine(|_| {});
     let (agent, entry, mut record) = started(&engine, 2, 600);
-    wait_for("the engine is offered", || offers_models(&agent));
+    wait_for("the engine is announced with its models", || {
+        announces_models(&agent)
+    });
     engine.freeze(6_000);
     let end = entry.pull_to_end(&mut record);
     assert_eq!(end, AttemptState::Failed(AttemptFailure::EngineFrozen));
-    wait_for("the engine is not offered", || !offers_models(&agent));
+    wait_for("the engine is announced without models", || {
+        !announces_models(&agent)
+    });
     let accepted = record.next_index();
 
     record.begin_attempt();
-    wait_for("the engine thaws and takes the next attempt", || {
-        entry.start(&record) == StartReply::Accepted
-    });
+    wait_for(
+        "the engine thaws and the agent accepts the next attempt",
+        || entry.start(&record) == StartReply::Accepted,
+    );
     assert_eq!(record.next_index(), accepted);
     assert_matches!(entry.pull_to_end(&mut record), AttemptState::Finished(_));
-    assert_eq!(record.tokens(), whole_answer(record.spec()));
-    assert!(offers_models(&agent));
+    assert_eq!(record.tokens(), complete_answer(record.spec()));
+    assert!(announces_models(&agent));
     agent.stop();
 }
 
 #[test]
-fn long_prefill_behind_a_full_batch_is_no_freeze() {
+fn long_prefill_with_a_full_batch_is_not_a_freeze() {
     let engine = engine(|settings| settings.slots = 1);
     engine.lengthen_prefill(3_000);
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let mut slow = Record::new(spec(3, 20), 5);
     let mut waiting = Record::new(spec(4, 20), 5);
     entry.start(&slow);
-    wait_for("the slow one has the slot", || engine.stats().running == 1);
+    wait_for("the slow generation has the slot", || {
+        engine.stats().running == 1
+    });
     entry.start(&waiting);
     for record in [&mut slow, &mut waiting] {
         assert_matches!(entry.pull_to_end(record), AttemptState::Finished(_));
-        assert_eq!(record.tokens(), whole_answer(record.spec()));
+        assert_eq!(record.tokens(), complete_answer(record.spec()));
     }
     assert_eq!(engine.stats().started, 2);
     agent.stop();
--- a/crates/masticsill_agent/tests/plain_calls.rs
+++ b/crates/masticsill_agent/tests/plain_calls.rs
@@ -20,7 +20,7 @@
 impl Fixture {
     fn start() -> Self {
         let service = FakeService::start(ServiceSettings::default()).unwrap();
-        let agent = TestAgent::beside_service(service.address(), |_| {});
+        let agent = TestAgent::for_service(service.address(), |_| {});
         let entry = TestEntry::connect(&agent);
         Self {
             agent,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn calls_at_the_same_time_join() {
+fn concurrent_calls_with_one_id_run_once() {
     let fixture = Fixture::start();
     fixture.service.set_delay(200);
     let client = &fixture.entry.client;
@@ -84,28 +84,28 @@
 }
 
 #[test]
-fn lost_answer_is_unknown_and_the_call_is_not_sent_again() {
+fn lost_answer_is_an_unknown_outcome_and_the_call_is_not_sent_again() {
     let fixture = Fixture::start();
     fixture.service.close_after_run(1);
     assert_eq!(fixture.call(fixture.request(3)), CallReply::OutcomeUnknown);
     assert_eq!(fixture.call(fixture.request(3)), CallReply::OutcomeUnknown);
-    let life = fixture.agent.mesh.incarnation();
-    assert_eq!(fixture.bury(3, life), CallReply::OutcomeUnknown);
+    let incarnation = fixture.agent.mesh.incarnation();
+    assert_eq!(fixture.bury(3, incarnation), CallReply::OutcomeUnknown);
     assert_eq!(fixture.service.stats().sequence, 1);
     fixture.agent.stop();
 }
 
 #[test]
-fn buried_call_and_one_for_another_life_are_not_run() {
+fn buried_calls_and_calls_for_another_incarnation_are_not_run() {
     let fixture = Fixture::start();
-    let life = fixture.agent.mesh.incarnation();
-    assert_matches!(fixture.bury(4, life), CallReply::NotRun(_));
+    let incarnation = fixture.agent.mesh.incarnation();
+    assert_matches!(fixture.bury(4, incarnation), CallReply::NotRun(_));
     assert_matches!(fixture.call(fixture.request(4)), CallReply::NotRun(_));
     let mut late = fixture.request(5);
-    late.incarnation = Incarnation(life.0 - 1);
+    late.incarnation = Incarnation(incarnation.0 - 1);
     assert_matches!(fixture.call(late), CallReply::NotRun(_));
     assert_eq!(
-        fixture.bury(5, Incarnation(life.0 - 1)),
+        fixture.bury(5, Incarnation(incarnation.0 - 1)),
         CallReply::OutcomeUnknown
     );
     assert_eq!(fixture.service.stats().sequence, 0);
@@ -113,19 +113,19 @@
 }
 
 #[test]
-fn deadline_ends_the_wait_and_a_repeat_gets_the_late_answer() {
+fn call_past_its_deadline_continues_and_a_repeat_gets_its_answer() {
     let fixture = Fixture::start();
     fixture.service.set_delay(500);
-    let mut hasty = fixture.request(6);
-    hasty.deadline_ms = 1;
-    assert_eq!(fixture.call(hasty), CallReply::OutcomeUnknown);
+    let mut short_deadline = fixture.request(6);
+    short_deadline.deadline_ms = 1;
+    assert_eq!(fixture.call(short_deadline), CallReply::OutcomeUnknown);
     assert_matches!(fixture.call(fixture.request(6)), CallReply::Answered(_));
     assert_eq!(fixture.service.stats().sequence, 1);
     fixture.agent.stop();
 }
 
 #[test]
-fn refused_connection_is_not_run() {
+fn call_is_not_run_when_the_service_refuses_connections() {
     let mut fixture = Fixture::start();
     fixture.service = FakeService::start(ServiceSettings::default()).unwrap();
     assert_matches!(fixture.call(fixture.request(7)), CallReply::NotRun(_));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn leaving_agent_finishes_calls_and_takes_none() {
+fn leaving_agent_finishes_pending_calls_and_refuses_new_ones() {
     let fixture = Fixture::start();
     fixture.service.set_delay(300);
     let other = TestEntry::connect(&fixture.agent);
--- a/crates/masticsill_agent/tests/support/mod.rs
+++ b/crates/masticsill_agent/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Agents with a mesh of their own, and an entry that follows one generation.
+//! Test agents, each with its own mesh, and a test entry that pulls one generation.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -26,18 +26,21 @@
 use tarpc::context::{self, Context};
 use tokio::runtime::Runtime;
 
-const BOUND: Duration = Duration::from_mins(1);
-const WAIT_MS: u64 = 50;
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+const PULL_WAIT_MS: u64 = 50;
 
 pub(crate) fn node(name: &str) -> NodeId {
     NodeId::new(name).unwrap()
 }
 
-/// Waits for a condition, with a generous bound.
+/// Waits for a condition and panics when it is not met within [`WAIT_TIMEOUT`].
 pub(crate) fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
     let start = Instant::now();
     while !is_met() {
-        assert!(start.elapsed() < BOUND, "did not happen: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -68,8 +71,8 @@
     }
 }
 
-/// The uninterrupted answer.
-pub(crate) fn whole_answer(spec: &GenerationSpec) -> Vec<Token> {
+/// The complete answer of an uninterrupted generation.
+pub(crate) fn complete_answer(spec: &GenerationSpec) -> Vec<Token> {
     let answer = expected_answer(&AnswerSpec {
         adapter: spec.target.adapter.clone(),
         max_tokens: spec.sampling.max_tokens,
@@ -94,7 +97,7 @@
 }
 
 impl TestAgent {
-    pub(crate) fn beside(engine: &FakeEngine) -> Self {
+    pub(crate) fn for_engine(engine: &FakeEngine) -> Self {
         Self::start(engine.address(), |_| {})
     }
 
@@ -105,10 +108,7 @@
         Self::start_with(endpoint, address, change)
     }
 
-    pub(crate) fn beside_service(
-        address: SocketAddr,
-        change: impl FnOnce(&mut AgentLimits),
-    ) -> Self {
+    pub(crate) fn for_service(address: SocketAddr, change: impl FnOnce(&mut AgentLimits)) -> Self {
         let endpoint = Endpoint::PlainService {
             service: ModelId::new("orders").unwrap(),
         };
@@ -166,7 +166,7 @@
         }
     }
 
-    /// What is announced of the endpoint, once it is.
+    /// The announced profile of the endpoint, if it has been announced.
     pub(crate) fn announced(&self) -> Option<EndpointProfile> {
         let view = self.mesh.view();
         match &view.get(&self.node)?.role {
@@ -213,7 +213,7 @@
         self.run(self.client.start(context(), request)).unwrap()
     }
 
-    /// One pull for one generation.
+    /// Sends one pull for one generation.
     pub(crate) fn pull(&self, record: &Record) -> PullReply {
         let cursor = PullCursor {
             id: record.id(),
@@ -223,21 +223,21 @@
         let request = PullRequest {
             cursors: vec![cursor],
             entry: node("entry-1"),
-            wait_ms: WAIT_MS,
+            wait_ms: PULL_WAIT_MS,
         };
         self.run(self.client.pull(context(), request)).unwrap()
     }
 
-    /// Pulls into the record until the condition holds; returns the last state told.
+    /// Pulls into the record until the condition holds; returns the last reported state.
     pub(crate) fn pull_until(
         &self,
         record: &mut Record,
         mut is_met: impl FnMut(&Record) -> bool,
     ) -> Option<ProgressState> {
         let mut last = None;
-        wait_for("the record gets on", || {
+        wait_for("the record meets the condition", || {
             for progress in self.pull(record).progress {
-                last = Some(take(record, progress));
+                last = Some(apply_progress(record, progress));
             }
             is_met(record)
         });
@@ -250,10 +250,13 @@
     }
 }
 
-fn take(record: &mut Record, progress: Progress) -> ProgressState {
+fn apply_progress(record: &mut Record, progress: Progress) -> ProgressState {
     let end_index = progress.first_index.0 + u32::try_from(progress.tokens.len()).unwrap();
     let taken = record.append_tokens(progress.lineage, progress.first_index, progress.tokens);
-    assert_eq!(taken.dropped, 0, "an idempotent pull repeats nothing");
+    assert_eq!(
+        taken.dropped, 0,
+        "a pull returned tokens that the record already has"
+    );
     if let ProgressState::Attempt(state) = progress.state
         && state != AttemptState::Running
     {
@@ -264,6 +267,6 @@
 
 pub(crate) fn context() -> Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + BOUND;
+    context.deadline = Instant::now() + WAIT_TIMEOUT;
     context
 }
--- a/crates/masticsill_agent/tests/token_streams.rs
+++ b/crates/masticsill_agent/tests/token_streams.rs
@@ -1,4 +1,4 @@
-//! Streams from the engine through the agent to an entry.
+//! Token streams from the engine through the agent to an entry.
 
 mod support;
 
@@ -11,26 +11,30 @@
     AttachReply, AttachRequest, CancelRequest, ProgressState, StartReply,
 };
 
-use support::{TestAgent, TestEntry, context, engine, node, spec, wait_for, whole_answer};
+use support::{TestAgent, TestEntry, complete_answer, context, engine, node, spec, wait_for};
 
 #[test]
-fn pulled_answer_is_the_engines() {
+fn pulled_answer_equals_the_engines_answer() {
     let engine = engine(|_| {});
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let mut record = Record::new(spec(1, 40), 5);
     assert_eq!(entry.start(&record), StartReply::Accepted);
     assert_matches!(entry.pull_to_end(&mut record), AttemptState::Finished(_));
-    assert_eq!(record.tokens(), whole_answer(record.spec()));
+    assert_eq!(record.tokens(), complete_answer(record.spec()));
     assert_eq!(entry.start(&record), StartReply::Accepted);
-    assert_eq!(engine.stats().started, 1, "a repeated start runs once");
+    assert_eq!(
+        engine.stats().started,
+        1,
+        "a repeated start ran a second time"
+    );
     agent.stop();
 }
 
 #[test]
 fn many_starts_at_once_all_reach_the_engine() {
     let engine = engine(|settings| settings.slots = 200);
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let records = (100..300).map(|id| Record::new(spec(id, 5), 5));
     let mut records: Vec<Record> = records.collect();
@@ -39,16 +43,16 @@
     }
     for record in &mut records {
         assert_matches!(entry.pull_to_end(record), AttemptState::Finished(_));
-        assert_eq!(record.tokens(), whole_answer(record.spec()));
+        assert_eq!(record.tokens(), complete_answer(record.spec()));
     }
     assert_eq!(engine.stats().started, 200);
     agent.stop();
 }
 
 #[test]
-fn engine_is_announced_with_what_it_has_loaded() {
+fn engine_is_announced_with_its_loaded_models() {
     let engine = engine(|settings| settings.slots = 3);
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     wait_for("the models are announced", || {
         let profile = agent.announced();
         let kind = profile.map(|profile| profile.kind);
@@ -60,7 +64,7 @@
 #[test]
 fn resumed_answer_equals_the_uninterrupted_one() {
     let engines = [engine(|_| {}), engine(|_| {})];
-    let agents = engines.each_ref().map(TestAgent::beside);
+    let agents = engines.each_ref().map(TestAgent::for_engine);
     let entries = agents.each_ref().map(TestEntry::connect);
     let mut record = Record::new(spec(2, 60), 5);
     entries[0].start(&record);
@@ -72,13 +76,13 @@
         entries[1].pull_to_end(&mut record),
         AttemptState::Finished(_)
     );
-    assert_eq!(record.tokens(), whole_answer(record.spec()));
+    assert_eq!(record.tokens(), complete_answer(record.spec()));
     assert_eq!(record.lineage_start(), accepted);
     let decoded = u64::from(record.next_index().0 - accepted.0);
     assert_eq!(
         engines[1].stats().decode_steps,
         decoded,
-        "no accepted token is decoded again"
+        "accepted tokens were decoded again"
     );
     agents.into_iter().for_each(TestAgent::stop);
 }
@@ -86,7 +90,7 @@
 #[test]
 fn attach_continues_the_run_and_fences_the_former_owner() {
     let engine = engine(|_| {});
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let former = TestEntry::connect(&agent);
     let mut old = Record::new(spec(3, 200), 5);
     former.start(&old);
@@ -111,13 +115,13 @@
     assert_matches!(former.start(&old), StartReply::Fenced(_));
 
     assert_matches!(entry.pull_to_end(&mut record), AttemptState::Finished(_));
-    assert_eq!(record.tokens(), whole_answer(record.spec()));
+    assert_eq!(record.tokens(), complete_answer(record.spec()));
     assert_eq!(engine.stats().started, 1);
     agent.stop();
 }
 
 #[test]
-fn generation_that_nobody_pulls_is_cancelled_at_the_engine() {
+fn orphaned_generation_is_cancelled_at_the_engine() {
     let engine = engine(|_| {});
     let agent = TestAgent::start(engine.address(), |limits| {
         limits.generations.orphan_ms = 300
@@ -135,7 +139,7 @@
 #[test]
 fn cancelled_generation_ends_at_the_engine() {
     let engine = engine(|_| {});
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let mut record = Record::new(spec(5, 100_000), 5);
     entry.start(&record);
@@ -145,38 +149,42 @@
         lineage: record.lineage(),
     };
     entry.run(entry.client.cancel(context(), request)).unwrap();
-    wait_for("the engine is free", || engine.stats().cancelled == 1);
+    wait_for("the run is cancelled at the engine", || {
+        engine.stats().cancelled == 1
+    });
     agent.stop();
 }
 
 #[test]
-fn later_life_of_an_agent_knows_nothing_and_the_engine_is_free() {
+fn restarted_agent_knows_no_generations_and_the_engine_is_idle() {
     let engine = engine(|_| {});
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let mut record = Record::new(spec(8, 400), 5);
     entry.start(&record);
     entry.pull_until(&mut record, |record| record.next_index() >= TokenIndex(5));
-    let life = entry.pull(&record).incarnation;
+    let incarnation = entry.pull(&record).incarnation;
     agent.stop();
-    wait_for("the engine is free", || engine.stats().cancelled == 1);
+    wait_for("the run is cancelled at the engine", || {
+        engine.stats().cancelled == 1
+    });
 
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let reply = entry.pull(&record);
     assert_eq!(reply.progress[0].state, ProgressState::Unknown);
-    assert!(reply.incarnation > life);
+    assert!(reply.incarnation > incarnation);
     record.begin_attempt();
     assert_eq!(entry.start(&record), StartReply::Accepted);
     assert_matches!(entry.pull_to_end(&mut record), AttemptState::Finished(_));
-    assert_eq!(record.tokens(), whole_answer(record.spec()));
+    assert_eq!(record.tokens(), complete_answer(record.spec()));
     agent.stop();
 }
 
 #[test]
-fn missing_version_is_said() {
+fn missing_model_version_fails_the_attempt() {
     let engine = engine(|_| {});
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let mut spec = spec(6, 10);
     spec.target.version = VersionId::new("v9").unwrap();
@@ -188,9 +196,9 @@
 }
 
 #[test]
-fn full_answer_ends_by_its_limit() {
+fn answer_ends_at_its_token_limit() {
     let engine = engine(|_| {});
-    let agent = TestAgent::beside(&engine);
+    let agent = TestAgent::for_engine(&engine);
     let entry = TestEntry::connect(&agent);
     let mut record = Record::new(spec(7, 2), 5);
     entry.start(&record);
--- a/crates/masticsill_generation/src/call_table.rs
+++ b/crates/masticsill_generation/src/call_table.rs
@@ -27,7 +27,8 @@
 /// What the agent has to do with an arriving call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallDecision {
-    /// Send the call to the service; [`CallTable::mark_started`] comes just before its first byte.
+    /// Send the call to the service; [`CallTable::mark_started`] has to be called just before its
+    /// first byte.
     Send,
     /// A call with the same id is in flight: wait for its outcome.
     Join,
@@ -61,7 +62,7 @@
 /// The plain calls of one incarnation of an agent.
 ///
 /// A call is either marked as started or buried (a tombstone prevents it from being sent), never
-/// both, so a "not run" reply stays true whatever request arrives late. The table knows only the
+/// both, so a "not run" reply remains true even if requests arrive late. The table knows only the
 /// calls of its own incarnation: a call for another incarnation is refused, and a request to bury
 /// such a call is answered with an unknown outcome.
 #[derive(Debug)]
--- a/crates/masticsill_generation/src/freeze.rs
+++ b/crates/masticsill_generation/src/freeze.rs
@@ -37,9 +37,9 @@
 /// The state of an engine as the detector sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EngineHealth {
-    /// No sign of life has been seen yet.
+    /// No activity has been seen yet.
     Unknown,
-    /// The engine gives signs of life.
+    /// The engine shows activity.
     Alive,
     /// The engine has been silent for far longer than its recent gaps.
     Frozen,
@@ -47,13 +47,13 @@
     Lost,
 }
 
-/// Detects a frozen engine from the signs of life of all its streams and HTTP answers together.
+/// Detects a frozen engine from the activity on all its streams and HTTP requests together.
 ///
-/// A token of any stream and any answer over HTTP are signs of life. During a long prefill no token
+/// A token of any stream and any answer over HTTP count as activity. During a long prefill no token
 /// arrives, and a request queued behind a full batch gets none for a long time, but the engine
-/// still answers its load endpoint and the other streams continue. A frozen engine gives no sign of
-/// life at all. The engine counts as frozen after a multiple of the longest recent gap between its
-/// signs of life.
+/// still answers its load endpoint and the other streams continue. A frozen engine shows no
+/// activity at all. The engine counts as frozen after a silence of a multiple of its own longest
+/// recent gap without activity.
 #[derive(Clone, Debug)]
 pub struct FreezeDetector {
     gaps: VecDeque<(ClockMs, u64)>,
@@ -64,7 +64,7 @@
 }
 
 impl FreezeDetector {
-    /// Creates a detector for an engine that has given no sign of life yet.
+    /// Creates a detector for an engine whose activity has not been seen yet.
     #[must_use]
     pub fn new(now: ClockMs, limits: FreezeLimits) -> Self {
         Self {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Records a sign of life: a token of any stream or an answer over HTTP.
+    /// Records activity: a token of any stream or an answer over HTTP.
     pub fn record_activity(&mut self, now: ClockMs) {
         self.advance(now);
         if self.health == EngineHealth::Alive {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Adds the gap that ends now. The gaps stay in descending order, so that the front is the
+    /// Adds the gap that ends now. The gaps are kept in descending order, so that the front is the
     /// longest recent one.
     fn add_gap(&mut self, now: ClockMs) {
         let gap_ms = self.silence_ms;
--- a/crates/masticsill_generation/src/generation_table.rs
+++ b/crates/masticsill_generation/src/generation_table.rs
@@ -328,13 +328,12 @@
     fn start_engine_run(&mut self, record: &Record) -> RunNumber {
         self.last_run = RunNumber(self.last_run.0 + 1);
         let run = self.last_run;
-        let start_engine_run = RunRequest {
+        let request = RunRequest {
             resume_token_ids: record.tokens().iter().map(|token| token.id).collect(),
             run,
             spec: record.spec().clone(),
         };
-        self.commands
-            .push(EngineCommand::Run(Box::new(start_engine_run)));
+        self.commands.push(EngineCommand::Run(Box::new(request)));
         self.runs.insert(run, record.id());
         run
     }
--- a/crates/masticsill_generation/src/stored_record.rs
+++ b/crates/masticsill_generation/src/stored_record.rs
@@ -1,4 +1,4 @@
-//! A record with the state that an agent stores beside it.
+//! A record together with the state that an agent needs to run and deliver it.
 
 use masticsill_types::{AttemptFailure, AttemptState, ClockMs, FinishReason, Token};
 use masticsill_wire::agent::{Progress, ProgressState, PullCursor};
--- a/crates/masticsill_generation/tests/agent_book.rs
+++ b/crates/masticsill_generation/tests/agent_book.rs
@@ -114,7 +114,10 @@
     assert_eq!(table.take_due_pulls(NOW), []);
     emit(&mut table, FIRST_RUN, 0..2);
     let due = table.take_due_pulls(NOW);
-    assert_matches!(&due[..], [(due, updates)] if *due == number && updates[0].tokens == tokens(0..2));
+    assert_matches!(
+        &due[..],
+        [(due, updates)] if *due == number && updates[0].tokens == tokens(0..2)
+    );
     assert_eq!(
         ready_progress(pull(&mut table, lineage, 1)).tokens,
         tokens(1..2)
--- a/crates/masticsill_generation/tests/simulation/agent.rs
+++ b/crates/masticsill_generation/tests/simulation/agent.rs
@@ -48,8 +48,8 @@
     ) {
         for command in self.table.take_commands() {
             match command {
-                EngineCommand::Run(order) => {
-                    let resumed = &order.resume_token_ids;
+                EngineCommand::Run(run_request) => {
+                    let resumed = &run_request.resume_token_ids;
                     assert!(
                         reference.is_prefix_of_one_answer(resumed),
                         "an engine resumes a mixed answer"
@@ -57,10 +57,10 @@
                     let run = EngineRun {
                         answer: reference.begin(resumed),
                         is_over: false,
-                        max_tokens: order.spec.sampling.max_tokens,
+                        max_tokens: run_request.spec.sampling.max_tokens,
                         queue: VecDeque::new(),
                     };
-                    self.runs.insert(order.run, run);
+                    self.runs.insert(run_request.run, run);
                 }
                 EngineCommand::Cancel(run) => {
                     if random.random_bool(0.5) {
