--- a/crates/masticsill/src/settings_map.rs
+++ b/crates/masticsill/src/settings_map.rs
@@ -95,7 +95,7 @@
         node: settings.node.clone(),
         operators: operators.collect::<Result<_, _>>()?,
         peers,
-        prompt_news: None,
+        prompt_cache_feed: None,
         replica: to_replica_settings(control.election_timeout_ms),
         rpc_address: address,
         seeds: Vec::new(),
--- a/crates/masticsill_control/src/config.rs
+++ b/crates/masticsill_control/src/config.rs
@@ -36,7 +36,7 @@
     /// RPC addresses of the other control replicas, as far as they are known.
     pub peers: IndexMap<NodeId, SocketAddr>,
     /// How engines are asked what they keep of prompts; nobody asks where there is none.
-    pub prompt_news: Option<PromptNewsCall>,
+    pub prompt_cache_feed: Option<PromptCacheFeed>,
     /// Timing and sizes of the quorum.
     pub replica: ReplicaSettings,
     /// Where other processes reach this replica's process.
@@ -48,35 +48,35 @@
 }
 
 /// Reads an engine's news of prompts; the text names what is wrong.
-pub type PromptNewsReader = fn(&[u8]) -> Result<CacheUpdate, String>;
+pub type PromptCacheParser = fn(&[u8]) -> Result<CacheUpdate, String>;
 
 /// The calls that tell what an engine keeps of prompts: one waits for news, one lists all.
 #[derive(Clone, Debug)]
-pub struct PromptNewsCall {
+pub struct PromptCacheFeed {
     /// Path of the list.
     pub list_path: String,
     /// Path and query of the call for news, before the position from which they are wanted.
-    pub path: String,
+    pub updates_path: String,
     /// Reads news.
-    pub read: PromptNewsReader,
+    pub parse_update: PromptCacheParser,
     /// Reads the list.
-    pub read_list: PromptNewsReader,
+    pub parse_list: PromptCacheParser,
     /// Header field with the longest wait, in milliseconds.
-    pub wait_field: String,
+    pub wait_header: String,
 }
 
 /// Who founds a new cluster.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FoundingPolicy {
     /// The replicas that are found at the seeds, or through them.
-    Found {
+    Discovered {
         /// Voters that the losses to be borne at once ask for.
         voters: usize,
     },
     /// The first of these replicas, once all of them are up.
     Named(Vec<NodeId>),
     /// Nobody: the system was started before.
-    Nobody,
+    Never,
 }
 
 /// Who admits and removes replicas.
--- a/crates/masticsill_control/src/endpoints/prompts.rs
+++ b/crates/masticsill_control/src/endpoints/prompts.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::EndpointHub;
-use crate::config::PromptNewsCall;
+use crate::config::PromptCacheFeed;
 use crate::events;
 
 /// Longest wait of one call; engines let none wait longer.
@@ -38,7 +38,7 @@
 type Followed = Rc<RefCell<IndexSet<EndpointId>>>;
 
 /// Follows every engine of the zone while it takes requests, until the duty ends.
-pub(crate) async fn follow_prompts(endpoints: EndpointHub, call: PromptNewsCall) {
+pub(crate) async fn follow_prompts(endpoints: EndpointHub, call: PromptCacheFeed) {
     let followed = Followed::default();
     loop {
         for engine in endpoints.keeping_engines() {
@@ -54,7 +54,7 @@
 /// Follows one engine until it takes no more requests.
 async fn follow(
     endpoints: EndpointHub,
-    call: PromptNewsCall,
+    call: PromptCacheFeed,
     engine: Announcement,
     followed: Followed,
 ) {
@@ -96,7 +96,7 @@
 
 /// What is asked of one engine.
 struct EngineNews {
-    call: PromptNewsCall,
+    call: PromptCacheFeed,
     client: EndpointClient,
     endpoints: EndpointHub,
     engine: EndpointId,
@@ -108,8 +108,8 @@
     /// started finds the newest ones only.
     async fn ask(&mut self) -> Result<(), String> {
         let position = self.endpoints.kept_position(&self.engine);
-        let target = format!("{}{position}", self.call.path);
-        let read = self.call.read;
+        let target = format!("{}{position}", self.call.updates_path);
+        let read = self.call.parse_update;
         let news = read(&self.get(&target).await?)?;
         let news = self.own(news)?;
         let is_gap = news.is_gap;
@@ -118,7 +118,7 @@
         if is_gap && self.listed_at.is_none_or(is_due) {
             self.listed_at = Some(Instant::now());
             let target = self.call.list_path.clone();
-            let read = self.call.read_list;
+            let read = self.call.parse_list;
             let list = read(&self.get(&target).await?)?;
             let list = self.own(list)?;
             self.endpoints.take_all_kept(&self.engine, list);
@@ -142,7 +142,7 @@
     async fn get(&mut self, target: &str) -> Result<BytesMut, String> {
         let call = EndpointCall {
             body: "",
-            fields: &[(&self.call.wait_field, WAIT_MS)],
+            fields: &[(&self.call.wait_header, WAIT_MS)],
             method: "GET",
             target,
         };
--- a/crates/masticsill_control/src/forwarder/role.rs
+++ b/crates/masticsill_control/src/forwarder/role.rs
@@ -97,7 +97,7 @@
     }
 
     /// Takes addresses of control that became known after the start.
-    pub fn learn_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.book.add_seeds(seeds);
     }
 
--- a/crates/masticsill_control/src/lib.rs
+++ b/crates/masticsill_control/src/lib.rs
@@ -22,8 +22,8 @@
 mod unreadable;
 
 pub use config::{
-    AdmissionPolicy, ControlConfig, FoundingPolicy, OperatorConfig, PromptNewsCall,
-    PromptNewsReader, TokenHash, TokenHashError,
+    AdmissionPolicy, ControlConfig, FoundingPolicy, OperatorConfig, PromptCacheFeed,
+    PromptCacheParser, TokenHash, TokenHashError,
 };
 pub use error::ControlError;
 pub use forwarder::{ControlForwarder, ForwarderConfig};
--- a/crates/masticsill_control/src/quorum/duty.rs
+++ b/crates/masticsill_control/src/quorum/duty.rs
@@ -106,7 +106,7 @@
         if let Some(snapshot) = &stored.snapshot {
             machine.restore(snapshot)?;
         }
-        book.admit(machine.state().replica_addresses());
+        book.set_admitted(machine.state().replica_addresses());
         let founding = founding_members(&stored);
         let unfounded = stored.snapshot.is_none().then(|| stored.clone());
         let replica = Replica::new(settings.clone(), stored, clock.now(), rand::random())?;
--- a/crates/masticsill_control/src/quorum/outputs.rs
+++ b/crates/masticsill_control/src/quorum/outputs.rs
@@ -61,7 +61,8 @@
                 self.machine.restore(&snapshot)?;
                 self.founding = None;
                 self.unfounded = None;
-                self.book.admit(self.machine.state().replica_addresses());
+                self.book
+                    .set_admitted(self.machine.state().replica_addresses());
                 log_event!(info, events::SNAPSHOT_RESTORED, index = snapshot.index);
             }
             Output::Send(envelope) => {
@@ -93,7 +94,8 @@
         }
         self.metrics
             .count("control.committed", entries.len() as u64);
-        self.book.admit(self.machine.state().replica_addresses());
+        self.book
+            .set_admitted(self.machine.state().replica_addresses());
         Ok(())
     }
 
--- a/crates/masticsill_control/src/rpc/duty.rs
+++ b/crates/masticsill_control/src/rpc/duty.rs
@@ -45,7 +45,9 @@
         address: config.rpc_address,
         node: config.node.clone(),
     };
-    parts.book.learn(sender.node.clone(), sender.address);
+    parts
+        .book
+        .record_announced(sender.node.clone(), sender.address);
     let server = ControlServer {
         book: parts.book.clone(),
         client: ControlClient::new(parts.book.clone()),
@@ -86,18 +88,18 @@
         is_founded,
     ));
     match &config.founding {
-        FoundingPolicy::Found { voters } => {
+        FoundingPolicy::Discovered { voters } => {
             spawn_local(found_with_others(server.clone(), *voters));
         }
         FoundingPolicy::Named(founders) => {
             let node = config.node.clone();
             spawn_local(run_founding(server.clone(), node, founders.clone()));
         }
-        FoundingPolicy::Nobody => {}
+        FoundingPolicy::Never => {}
     }
     spawn_local(run_exchange(server.clone(), config.node.clone()));
     spawn_local(run_judging(server.endpoints.suspects().clone()));
-    if let Some(call) = &config.prompt_news {
+    if let Some(call) = &config.prompt_cache_feed {
         spawn_local(follow_prompts(server.endpoints.clone(), call.clone()));
     }
     match config.admission {
--- a/crates/masticsill_control/src/rpc/introductions.rs
+++ b/crates/masticsill_control/src/rpc/introductions.rs
@@ -58,10 +58,10 @@
                 continue;
             };
             for (node, replica) in directory.replicas {
-                client.book().learn(node, replica);
+                client.book().record_announced(node, replica);
             }
             if directory.keeps_state {
-                client.book().learn(directory.node, address);
+                client.book().record_announced(directory.node, address);
                 keeping.insert(address);
             }
         }
@@ -73,7 +73,7 @@
 /// Notes who introduced itself.
 pub(crate) fn note_introduction(book: &AddressBook, introduction: &Introduction) {
     if introduction.keeps_state {
-        book.learn(introduction.node.clone(), introduction.address);
+        book.record_announced(introduction.node.clone(), introduction.address);
     } else {
         book.add_seeds([introduction.address]);
     }
--- a/crates/masticsill_control/src/rpc/service.rs
+++ b/crates/masticsill_control/src/rpc/service.rs
@@ -179,7 +179,7 @@
 
 impl ControlService for ControlServer {
     async fn quorum_messages(self, _: Context, batch: QuorumBatch) {
-        self.book.learn(batch.node, batch.address);
+        self.book.record_announced(batch.node, batch.address);
         for bytes in batch.messages {
             match decode_message(&bytes) {
                 // A full ring loses the message, which the quorum bears.
--- a/crates/masticsill_control/tests/common/mod.rs
+++ b/crates/masticsill_control/tests/common/mod.rs
@@ -145,7 +145,7 @@
             node: node(number),
             operators: operators(),
             peers: peers.collect(),
-            prompt_news: None,
+            prompt_cache_feed: None,
             replica: self.replica_settings.clone(),
             rpc_address,
             seeds: Vec::new(),
--- a/crates/masticsill_control_client/src/book.rs
+++ b/crates/masticsill_control_client/src/book.rs
@@ -94,12 +94,12 @@
     }
 
     /// Notes what a node told of itself.
-    pub fn learn(&self, node: NodeId, address: SocketAddr) {
+    pub fn record_announced(&self, node: NodeId, address: SocketAddr) {
         self.lock().learned.insert(node, address);
     }
 
     /// Replaces what operators named.
-    pub fn admit(&self, admitted: &IndexMap<NodeId, SocketAddr>) {
+    pub fn set_admitted(&self, admitted: &IndexMap<NodeId, SocketAddr>) {
         self.lock().admitted.clone_from(admitted);
     }
 
