--- a/crates/masticsill_control/examples/control_latency.rs
+++ b/crates/masticsill_control/examples/control_latency.rs
@@ -1,14 +1,14 @@
 //! Measures the control quorum within one process: `control_latency REPLICAS CHANGES LEADER_LOSSES`.
 //!
-//! Prints how long a change takes until it is accepted, one after another and 64 at a time, and
-//! how long after the loss of the leader the next change is accepted.
+//! Prints how long a change takes to be accepted, one after another and 64 at a time, and how long
+//! after the loss of the leader the next change is accepted.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use std::time::Instant;
 
-use common::{BOUND_MS, Cluster, block_on, put};
+use common::{CALL_TIMEOUT_MS, Cluster, block_on, put};
 use futures::StreamExt;
 use hdrhistogram::Histogram;
 
@@ -52,7 +52,7 @@
         for number in 0..changes {
             let change = put(&format!("s{number}"), &format!("s{number}"), 0);
             let start = Instant::now();
-            client.change(&change, BOUND_MS).await.unwrap();
+            client.change(&change, CALL_TIMEOUT_MS).await.unwrap();
             one_by_one.record(microseconds_since(start)).unwrap();
         }
         show("accepted, one by one", &one_by_one);
@@ -63,7 +63,7 @@
             async move {
                 let change = put(&format!("c{number}"), &format!("c{number}"), 0);
                 let start = Instant::now();
-                client.change(&change, BOUND_MS).await.unwrap();
+                client.change(&change, CALL_TIMEOUT_MS).await.unwrap();
                 microseconds_since(start)
             }
         });
@@ -90,11 +90,11 @@
             .trim_start_matches("control-")
             .parse()
             .unwrap();
-        // The wait counts from before the loss, so it is never told too short.
+        // Measured from before the loss, so that the reported time is never too short.
         let start = Instant::now();
         cluster.abort(&leader);
         let change = put(&format!("l{number}"), &format!("l{number}"), 0);
-        block_on(async { client.change(&change, BOUND_MS).await.unwrap() });
+        block_on(async { client.change(&change, CALL_TIMEOUT_MS).await.unwrap() });
         waits.record(microseconds_since(start)).unwrap();
         cluster.run(name);
     }
--- a/crates/masticsill_control/src/admission.rs
+++ b/crates/masticsill_control/src/admission.rs
@@ -1,10 +1,10 @@
-//! A quorum that looks after its own members.
+//! Admission and removal of replicas by the quorum itself.
 //!
-//! A replica whose folder belongs to no cluster, or only to a founding of which nothing came, asks
-//! to be admitted; it takes the place of a voter
-//! of its name, whose folder was lost, or else joins beside the others. The leader removes members
-//! that have been silent for long: learners, and voters while more remain than the losses to be
-//! borne ask for. Both are the changes that operators make otherwise: one at a time, and a replica
+//! A replica requests admission when its folder belongs to no cluster, or only to a founding that
+//! never committed an entry. It replaces a voter of the same name, whose folder was lost, or else
+//! joins in addition to the others. The leader removes members that have been silent for long:
+//! learners, and voters while more remain than are needed to tolerate the configured losses. Both
+//! use the membership changes that are otherwise made by operators: one at a time, and a replica
 //! counts only once it has caught up.
 
 use std::net::SocketAddr;
@@ -18,22 +18,22 @@
 };
 
 use crate::events;
-use crate::quorum::{ReplicaOrder, Request};
+use crate::quorum::{MembershipRequest, Request};
 use crate::rpc::ControlServer;
 
-/// Pause between requests; a lost disk must be made good within a few seconds.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for one request.
-const ASK_BOUND_MS: u64 = 1_000;
-/// How often the leader looks for silent voters.
-const TRIM_INTERVAL: Duration = Duration::from_millis(500);
-/// Who is named in the audit trail.
+/// Pause between requests for admission; a lost disk must be replaced within a few seconds.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of one request for admission.
+const REQUEST_TIMEOUT_MS: u64 = 1_000;
+/// How often the leader checks for silent members.
+const REMOVAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Operator recorded in the audit trail.
 const OPERATOR: &str = "quorum";
 
-/// Asks to be admitted until this replica belongs to a cluster.
+/// Requests admission until this replica belongs to a cluster.
 pub(crate) async fn run_admission(server: ControlServer, node: NodeId, address: SocketAddr) {
     loop {
-        tokio::time::sleep(ASK_INTERVAL).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         let Some((own, _)) = server.quorum.ask_any(Request::Identify).await else {
             return;
         };
@@ -41,7 +41,7 @@
             if server.quorum.status().last_index > LogIndex::default() {
                 return;
             }
-            if is_left_out(&server, &own).await {
+            if is_excluded(&server, &own).await {
                 server.quorum.ask_any(Request::GiveUpFounding).await;
             }
             continue;
@@ -55,7 +55,10 @@
             action: join,
             operator: operator(),
         };
-        let answer = server.client.change_replicas(&change, ASK_BOUND_MS).await;
+        let answer = server
+            .client
+            .change_replicas(&change, REQUEST_TIMEOUT_MS)
+            .await;
         let outcome = match answer {
             Ok(ReplicaAnswer::Accepted) => "accepted".to_owned(),
             Ok(ReplicaAnswer::Refused(text)) => text,
@@ -70,12 +73,14 @@
     }
 }
 
-/// Whether a cluster with a leader exists of which this founded replica is no member.
+/// Whether a cluster with a leader exists of which this founded replica is not a member.
 ///
-/// That happens where it founded, lost power before it told anyone and was away for so long that
-/// the others founded without it.
-async fn is_left_out(server: &ControlServer, own: &ReplicaIdentity) -> bool {
-    let view = server.client.read(&ReadRequest::Replicas, ASK_BOUND_MS);
+/// That happens when this replica founded the cluster, lost power before the other founders
+/// received the members, and was away for so long that the others founded a cluster without it.
+async fn is_excluded(server: &ControlServer, own: &ReplicaIdentity) -> bool {
+    let view = server
+        .client
+        .read(&ReadRequest::Replicas, REQUEST_TIMEOUT_MS);
     let Ok(ReadAnswer::Replicas(view)) = view.await else {
         return false;
     };
@@ -84,18 +89,18 @@
 }
 
 /// Removes silent members that are not needed, while this replica leads.
-pub(crate) async fn run_trimming(server: ControlServer) {
+pub(crate) async fn run_member_removal(server: ControlServer) {
     loop {
-        tokio::time::sleep(TRIM_INTERVAL).await;
+        tokio::time::sleep(REMOVAL_INTERVAL).await;
         let status = server.quorum.status();
         let Some(id) = status.spare_members.first().filter(|_| status.is_leading) else {
             continue;
         };
-        let order = ReplicaOrder::Trim {
+        let membership_request = MembershipRequest::RemoveExact {
             id: id.clone(),
             operator: operator(),
         };
-        let trim = |reply_to| Request::ChangeReplicas(order, reply_to);
+        let trim = |reply_to| Request::ChangeReplicas(membership_request, reply_to);
         let reply = server.quorum.ask(trim).await;
         log_event!(
             info,
--- a/crates/masticsill_control/src/config.rs
+++ b/crates/masticsill_control/src/config.rs
@@ -1,4 +1,4 @@
-//! What a control replica is told at its start.
+//! Configuration of a control replica.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,29 +17,29 @@
 pub struct ControlConfig {
     /// Who admits and removes replicas.
     pub admission: AdmissionPolicy,
-    /// The cluster's name; a data folder of another cluster is refused.
+    /// The cluster's name; the data folder of another cluster is refused.
     pub cluster: String,
-    /// Where the replica's durable state lives.
+    /// Folder of the replica's durable state.
     pub data_folder: PathBuf,
-    /// When endpoints count as lost and are forgotten.
+    /// When endpoints count as silent and when their records are forgotten.
     pub endpoints: RegistryTimeouts,
     /// Who founds a new cluster.
     ///
-    /// It matters only while every folder is new: a founded cluster is never founded again.
+    /// Only used while every folder is new: a founded cluster is never founded again.
     pub founding: FoundingPolicy,
-    /// Where the administration API listens.
+    /// Listen address of the administration API.
     pub http_address: SocketAddr,
     /// This node.
     pub node: NodeId,
     /// Operators of the administration API.
     pub operators: Vec<OperatorConfig>,
-    /// RPC addresses of the other control replicas, as far as they are known.
+    /// Known RPC addresses of the other control replicas.
     pub peers: IndexMap<NodeId, SocketAddr>,
-    /// How engines are asked what they keep of prompts; nobody asks where there is none.
+    /// How the engines' prompt caches are read; `None` turns that off.
     pub prompt_cache_feed: Option<PromptCacheFeed>,
     /// Timing and sizes of the quorum.
     pub replica: ReplicaSettings,
-    /// Where other processes reach this replica's process.
+    /// RPC address at which other processes reach this process.
     pub rpc_address: SocketAddr,
     /// RPC addresses at which control is served, by replicas or by processes without state.
     pub seeds: Vec<SocketAddr>,
@@ -47,35 +47,35 @@
     pub zone: ZoneId,
 }
 
-/// Reads an engine's news of prompts; the text names what is wrong.
+/// Parses a prompt cache update or list; the error text says what is wrong.
 pub type PromptCacheParser = fn(&[u8]) -> Result<CacheUpdate, String>;
 
-/// The calls that tell what an engine keeps of prompts: one waits for news, one lists all.
+/// The calls that read an engine's prompt cache: one waits for updates, one lists all entries.
 #[derive(Clone, Debug)]
 pub struct PromptCacheFeed {
-    /// Path of the list.
+    /// Path of the call for the full list.
     pub list_path: String,
-    /// Path and query of the call for news, before the position from which they are wanted.
+    /// Path and query of the call for updates; the position to start from is appended.
     pub updates_path: String,
-    /// Reads news.
+    /// Parses an update.
     pub parse_update: PromptCacheParser,
-    /// Reads the list.
+    /// Parses the full list.
     pub parse_list: PromptCacheParser,
-    /// Header field with the longest wait, in milliseconds.
+    /// Header field that carries the longest wait, in milliseconds.
     pub wait_header: String,
 }
 
 /// Who founds a new cluster.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FoundingPolicy {
-    /// The replicas that are found at the seeds, or through them.
+    /// The replicas that are discovered at the seeds, or through them.
     Discovered {
-        /// Voters that the losses to be borne at once ask for.
+        /// Voters needed to tolerate the configured number of simultaneous losses.
         voters: usize,
     },
     /// The first of these replicas, once all of them are up.
     Named(Vec<NodeId>),
-    /// Nobody: the system was started before.
+    /// Nobody: the cluster was founded before.
     Never,
 }
 
@@ -84,17 +84,17 @@
 pub enum AdmissionPolicy {
     /// Operators do.
     Operators,
-    /// The quorum does: a replica with a new folder asks to be admitted, and a leader removes a
-    /// voter that stays silent once there are more than `voters` of them.
+    /// The quorum does: a replica with a new folder requests admission, and the leader removes
+    /// silent voters while there are more than `voters` of them.
     Quorum {
-        /// Voters that the losses to be borne at once ask for.
+        /// Voters needed to tolerate the configured number of simultaneous losses.
         voters: usize,
     },
 }
 
 impl AdmissionPolicy {
-    /// Voters that the quorum keeps by itself; none where operators look after it.
-    pub(crate) fn wanted_voters(self) -> Option<usize> {
+    /// Voters that the quorum maintains by itself; `None` where operators maintain the members.
+    pub(crate) fn target_voters(self) -> Option<usize> {
         match self {
             Self::Operators => None,
             Self::Quorum { voters } => Some(voters),
@@ -113,7 +113,7 @@
     pub token_hash: TokenHash,
 }
 
-/// `blake3` hash of an operator's token; the token itself is kept nowhere.
+/// `blake3` hash of an operator's token; the token itself is not stored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenHash(blake3::Hash);
 
--- a/crates/masticsill_control/src/endpoints.rs
+++ b/crates/masticsill_control/src/endpoints.rs
@@ -1,14 +1,14 @@
-//! Endpoints that register by heartbeat: what this replica heard, what it exchanges with the
-//! others, and whom it tells.
+//! Endpoints that register by heartbeat: the registry of this replica, its exchange with the other
+//! replicas, and the watchers that receive its changes.
 
 mod exchange;
 mod hub;
-mod memory;
+mod persistence;
 mod prompts;
 mod suspects;
 
 pub(crate) use exchange::run_exchange;
 pub(crate) use hub::EndpointHub;
-pub(crate) use memory::{read as read_endpoints, run_memory};
+pub(crate) use persistence::{read as read_endpoints, run_persistence};
 pub(crate) use prompts::follow_prompts;
-pub(crate) use suspects::run_judging;
+pub(crate) use suspects::run_judgements;
--- a/crates/masticsill_control/src/endpoints/exchange.rs
+++ b/crates/masticsill_control/src/endpoints/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange of what was heard with the other replicas.
+//! Exchange of endpoint records with the other replicas.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,21 +11,22 @@
 use masticsill_wire::control::WatchRequest;
 use tokio::task::spawn_local;
 
-use super::hub::RESTORED_MS;
+use super::hub::RESTORED_GRACE_MS;
 use crate::rpc::ControlServer;
 
-/// Longest wait of one exchange; also how old a heartbeat's age may be when it arrives.
+/// Longest wait of one exchange, and so the greatest age of a reported heartbeat age on arrival.
 const WAIT_MS: u64 = 1_000;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How often silence is judged and new replicas are looked for.
-const JUDGE_INTERVAL: Duration = Duration::from_millis(500);
-/// A replica that answered within this time counts as reached.
-const REACHED_MS: u64 = 2_500;
+/// How often silent endpoints and new replicas are checked for.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// A replica that answered within this time counts as reachable.
+const REACHABLE_TIMEOUT_MS: u64 = 2_500;
 
-/// When each other replica answered last.
+/// Time of the last answer of each other replica.
 type Answers = Rc<RefCell<IndexMap<NodeId, ClockMs>>>;
 
-/// Exchanges records with every other replica and judges silence, until the duty ends.
+/// Exchanges records with every other replica and updates which endpoints are silent; never
+/// returns.
 pub(crate) async fn run_exchange(server: ControlServer, node: NodeId) {
     let started_at = server.clock.now();
     let answers: Answers = Rc::default();
@@ -34,36 +35,37 @@
         let others = others.into_iter().filter(|(other, _)| *other != node);
         for (other, _) in others {
             if !answers.borrow().contains_key(&other) {
-                // Not heard yet: the origin of the clock lies before any answer.
+                // No answer yet: the origin of the clock lies before any answer.
                 answers.borrow_mut().insert(other.clone(), ClockMs(0));
                 let following = follow(server.clone(), node.clone(), other, Rc::clone(&answers));
                 spawn_local(following);
             }
         }
         let now = server.clock.now();
-        // A replica that has just started has heard nobody yet. Those it remembers are believed in
-        // for as long; afterwards the others have told whom they hear.
-        let is_settled = now.since(started_at) > RESTORED_MS;
+        // A replica that has just started has received no heartbeats yet. Restored records count as
+        // live for this long; after that the other replicas have reported which endpoints they
+        // hear.
+        let is_settled = now.since(started_at) > RESTORED_GRACE_MS;
         server
             .endpoints
-            .judge_silence(is_settled && reaches_majority(&answers, now));
-        tokio::time::sleep(JUDGE_INTERVAL).await;
+            .update_silence(is_settled && reaches_majority(&answers, now));
+        tokio::time::sleep(SILENCE_CHECK_INTERVAL).await;
     }
 }
 
 fn reaches_majority(answers: &Answers, now: ClockMs) -> bool {
     let answers = answers.borrow();
-    let is_reached = |at: &&ClockMs| **at != ClockMs(0) && now.since(**at) < REACHED_MS;
+    let is_reached = |at: &&ClockMs| **at != ClockMs(0) && now.since(**at) < REACHABLE_TIMEOUT_MS;
     let reached = answers.values().filter(is_reached).count();
     (reached + 1) * 2 > answers.len() + 1
 }
 
-/// Follows one replica's registry.
+/// Merges the changes of one other replica's registry, repeatedly.
 async fn follow(server: ControlServer, node: NodeId, other: NodeId, answers: Answers) {
     let mut request = WatchRequest {
         document_seen: Some(u64::MAX),
         loads: Vec::new(),
-        // Replicas send no requests to endpoints, so they need no word of others'.
+        // Replicas send no requests to endpoints, so they don't need the loads of other watchers.
         loads_revision: u64::MAX,
         registry: 0,
         revision: 0,
@@ -85,7 +87,7 @@
             .borrow_mut()
             .insert(other.clone(), server.clock.now());
         server.endpoints.merge(&reply.endpoints, &reply.heard);
-        server.endpoints.suspects().take(&reply.suspects);
+        server.endpoints.suspects().merge(&reply.suspects);
         request.registry = reply.registry;
         request.revision = reply.revision;
         request.suspects_revision = reply.suspects_revision;
--- a/crates/masticsill_control/src/endpoints/hub.rs
+++ b/crates/masticsill_control/src/endpoints/hub.rs
@@ -1,4 +1,4 @@
-//! The registry of this process, and the watchers that hear of its changes.
+//! The registry of this process, and the watchers that are notified of its changes.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,38 +16,41 @@
 use super::suspects::Suspects;
 use crate::events;
 use crate::quorum::PublishedState;
-use crate::unreadable::{UnreadableWord, UnreadableWords};
+use crate::unreadable::{UnreadableMessage, UnreadableMessages};
 
-/// How long an endpoint of a former life is believed in without a heartbeat: two of them.
-pub(super) const RESTORED_MS: u64 = 2_500;
-/// Longest wait of one watch, whatever it asks for.
+/// How long a restored endpoint counts as live without a heartbeat: two heartbeat intervals.
+pub(super) const RESTORED_GRACE_MS: u64 = 2_500;
+/// Longest wait of one watch, even if the request asks for more.
 const MAX_WAIT_MS: u64 = 2_000;
-/// Longest wait for the watchers before a deregistration is acknowledged; senders give up after 1 s.
-const TELL_BOUND: Duration = Duration::from_millis(400);
-/// Tokens of a prompt that are worth a word: they are read in a few hundredths of a second.
-const LEAST_KEPT_TOKENS: u64 = 256;
-/// Pause for each watcher before news that can wait are told, those of loads and of endpoints that
-/// began or fell silent, so that a replica with many watchers answers each less often: 16 ms for
-/// the eight of a small system, 64 ms for 32. When a zone's endpoints begin anew within a second, each
-/// watcher hears of them in a few answers instead of one for each.
-const NEWS_PAUSE_MS: u64 = 2;
-/// How many times longer watchers of another zone wait for loads: bytes between zones are dear, and
-/// their requests seldom come here.
-const FAR_PAUSES: u32 = 4;
+/// Longest wait for the watchers' acknowledgement of a deregistration; senders give up after 1 s.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Shortest cached prefix of a prompt that is reported, in tokens: prefilling fewer takes only a
+/// few hundredths of a second.
+const MIN_CACHED_TOKENS: u64 = 256;
+/// Delay for each watcher before updates that are not urgent are sent: those of loads, and of
+/// endpoints that registered or fell silent. It lets a replica with many watchers answer each less
+/// often: after 16 ms with the eight watchers of a small system, after 64 ms with 32. When the
+/// endpoints of a zone restart within a second, each watcher receives them in a few answers instead
+/// of one for each endpoint.
+const UPDATE_DELAY_PER_WATCHER_MS: u64 = 2;
+/// Factor by which the delay of loads is longer for watchers of another zone: traffic between zones
+/// is expensive, and such watchers seldom send requests to this zone.
+const REMOTE_ZONE_DELAY_FACTOR: u32 = 4;
 
 #[derive(Debug)]
 struct Shared {
     acknowledged: Notify,
     clock: MonotonicClock,
-    kept: Mutex<PromptCacheIndex>,
-    /// Tells this registry from that of another life of the process.
-    life: u64,
-    /// Raised when some watcher's loads change.
+    prompt_cache: Mutex<PromptCacheIndex>,
+    /// Random number that distinguishes this incarnation of the registry from those before a
+    /// restart.
+    incarnation: u64,
+    /// Counter of changes to any watcher's loads.
     loads: watch::Sender<u64>,
     registry: Mutex<Registry>,
     revision: watch::Sender<u64>,
     suspects: Suspects,
-    unreadable: UnreadableWords,
+    unreadable: UnreadableMessages,
     watchers: Mutex<WatcherTable>,
     zone: ZoneId,
 }
@@ -63,13 +66,13 @@
         clock: MonotonicClock,
         periods: RegistryTimeouts,
         zone: ZoneId,
-        unreadable: UnreadableWords,
+        unreadable: UnreadableMessages,
     ) -> Self {
         let shared = Shared {
             acknowledged: Notify::new(),
             clock,
-            kept: Mutex::default(),
-            life: rand::random(),
+            prompt_cache: Mutex::default(),
+            incarnation: rand::random(),
             loads: watch::Sender::new(0),
             registry: Mutex::new(Registry::new(periods)),
             revision: watch::Sender::new(0),
@@ -83,13 +86,14 @@
         }
     }
 
-    /// Requests under which endpoints crashed.
+    /// The requests during which endpoints crashed.
     pub(crate) fn suspects(&self) -> &Suspects {
         &self.shared.suspects
     }
 
-    /// Takes a heartbeat. That of an endpoint which is leaving is done only once the watchers
-    /// that can be reached hold it, so that they send it nothing new.
+    /// Records a heartbeat. For a leaving endpoint, returns only once all reachable watchers have
+    /// received the change, so that they send the endpoint no new requests, or after a bounded
+    /// wait.
     pub(crate) async fn announce(&self, announcement: Announcement) {
         let now = self.shared.clock.now();
         let (is_changed, revision) = {
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Takes an endpoint's deregistration, as [`Self::announce`].
+    /// Records an endpoint's deregistration, waiting for the watchers as [`Self::announce`] does.
     pub(crate) async fn depart(&self, id: EndpointId) {
         let now = self.shared.clock.now();
         let (is_changed, revision) = {
@@ -139,32 +143,32 @@
         self.await_watchers(revision).await;
     }
 
-    /// Takes the records of a former life of this replica.
+    /// Restores the records that a former process of this replica persisted.
     pub(crate) fn restore(&self, records: &[EndpointRecord]) {
         let mut registry = self.registry();
-        let age_ms = registry.silence_ms().saturating_sub(RESTORED_MS);
+        let age_ms = registry.silence_ms().saturating_sub(RESTORED_GRACE_MS);
         registry.restore(self.shared.clock.now(), records, age_ms);
         self.shared.revision.send_replace(registry.revision());
     }
 
-    /// Every record, ended ones that are still remembered included.
+    /// All records, including those of ended endpoints that are still retained.
     pub(crate) fn all_records(&self) -> Vec<EndpointRecord> {
         self.registry().records().cloned().collect()
     }
 
-    /// Every record that has not ended.
+    /// The records of endpoints that have not ended.
     pub(crate) fn records(&self) -> Vec<EndpointRecord> {
         let registry = self.registry();
-        let lives = |it: &&EndpointRecord| it.announcement.state < EndpointState::Gone;
-        registry.records().filter(lives).cloned().collect()
+        let is_live = |it: &&EndpointRecord| it.announcement.state < EndpointState::Gone;
+        registry.records().filter(is_live).cloned().collect()
     }
 
-    /// Follows the revision.
+    /// Subscribes to the registry's revision.
     pub(crate) fn revisions(&self) -> watch::Receiver<u64> {
         self.shared.revision.subscribe()
     }
 
-    /// Joins what another replica told.
+    /// Merges the records and heartbeat ages of another replica.
     pub(crate) fn merge(&self, records: &[EndpointRecord], heard: &[HeartbeatAge]) {
         let now = self.shared.clock.now();
         let mut registry = self.registry();
@@ -174,12 +178,13 @@
         }
     }
 
-    /// Marks endpoints that fell silent or are heard again.
-    pub(crate) fn judge_silence(&self, can_judge: bool) {
+    /// Marks endpoints that fell silent or are heard again. `is_silence_conclusive` is false while
+    /// missing heartbeats may be due to this replica's own start or isolation.
+    pub(crate) fn update_silence(&self, is_silence_conclusive: bool) {
         let now = self.shared.clock.now();
         let mut registry = self.registry();
         let before = registry.revision();
-        if !registry.update_silence(now, can_judge) {
+        if !registry.update_silence(now, is_silence_conclusive) {
             return;
         }
         let changes = registry.changes_since(before);
@@ -196,27 +201,27 @@
         }
     }
 
-    /// Answers a watcher once there is news, or its wait is over.
+    /// Answers a watcher once there is an update, or when the wait is over.
     pub(crate) async fn watch(
         &self,
         published: &PublishedState,
         members: Vec<(NodeId, std::net::SocketAddr)>,
         request: WatchRequest,
     ) -> WatchReply {
-        self.note_watcher(&request);
+        self.record_watcher(&request);
         let mut revisions = self.shared.revision.subscribe();
         let mut documents = published.watch_document();
         let mut loads = self.shared.loads.subscribe();
-        let mut suspects = self.suspects().spread_revisions();
+        let mut suspects = self.suspects().watch_broadcast_revision();
         let wait_ms = request.wait_ms.min(MAX_WAIT_MS);
         let began = Instant::now();
-        let mut bound = began + Duration::from_millis(wait_ms);
-        while !self.has_urgent_news(published, &request) {
+        let mut deadline = began + Duration::from_millis(wait_ms);
+        while !self.has_urgent_update(published, &request) {
             if self.registry().revision() > request.revision {
-                bound = bound.min(began + self.news_pause());
+                deadline = deadline.min(began + self.update_delay());
             }
             if self.have_loads_changed(&request) {
-                bound = bound.min(began + self.loads_pause(&request.watcher));
+                deadline = deadline.min(began + self.loads_delay(&request.watcher));
             }
             let change = async {
                 tokio::select! {
@@ -226,80 +231,86 @@
                     _ = suspects.changed() => {}
                 }
             };
-            if timeout_at(bound, change).await.is_err() {
+            if timeout_at(deadline, change).await.is_err() {
                 break;
             }
         }
         self.reply(published, members, &request)
     }
 
-    /// Engines of this zone that take requests and tell what they keep of prompts.
-    pub(crate) fn keeping_engines(&self) -> Vec<Announcement> {
+    /// The engines of this zone that take requests and report their prompt cache.
+    pub(crate) fn prompt_caching_engines(&self) -> Vec<Announcement> {
         let registry = self.registry();
         let is_engine = |it: &&EndpointRecord| {
-            let said = &it.announcement;
-            let is_ready = said.state == EndpointState::Ready && !it.is_silent;
-            is_ready && said.keeps_prompts && said.zone == self.shared.zone
+            let announcement = &it.announcement;
+            let is_ready = announcement.state == EndpointState::Ready && !it.is_silent;
+            is_ready && announcement.keeps_prompts && announcement.zone == self.shared.zone
         };
         let engines = registry.records().filter(is_engine);
         engines.map(|it| it.announcement.clone()).collect()
     }
 
-    /// Whether an endpoint takes requests, as far as is known.
+    /// Whether an endpoint takes requests, according to this registry.
     pub(crate) fn takes_requests(&self, id: &EndpointId) -> bool {
         let registry = self.registry();
         let record = registry.get(id);
         record.is_some_and(|it| it.announcement.state == EndpointState::Ready && !it.is_silent)
     }
 
-    /// From where an engine's news of prompts go on.
-    pub(crate) fn kept_position(&self, endpoint: &EndpointId) -> u64 {
-        self.kept().position(endpoint)
+    /// The position from which an engine's prompt cache updates continue.
+    pub(crate) fn prompt_cache_position(&self, endpoint: &EndpointId) -> u64 {
+        self.prompt_cache().position(endpoint)
     }
 
-    /// Takes an engine's news of the prompts that it keeps.
-    pub(crate) fn take_kept(&self, endpoint: &EndpointId, news: CacheUpdate) {
-        self.kept().apply(endpoint, news);
+    /// Applies an update of an engine's prompt cache.
+    pub(crate) fn apply_prompt_cache_update(&self, endpoint: &EndpointId, update: CacheUpdate) {
+        self.prompt_cache().apply(endpoint, update);
     }
 
-    /// Takes the whole list of the prompts that an engine keeps.
-    pub(crate) fn take_all_kept(&self, endpoint: &EndpointId, list: CacheUpdate) {
-        self.kept().replace(endpoint, list);
+    /// Replaces an engine's prompt cache by a full list.
+    pub(crate) fn replace_prompt_cache(&self, endpoint: &EndpointId, list: CacheUpdate) {
+        self.prompt_cache().replace(endpoint, list);
     }
 
-    /// Notes entries of an engine's news of prompts that could not be read.
-    pub(crate) fn note_unreadable_news(&self, endpoint: &EndpointId, entries: u64) {
-        let word = UnreadableWord::PromptNews;
-        let cause = "entries of its news are of another form; they are passed over";
-        self.shared.unreadable.note(word, endpoint, entries, cause);
+    /// Counts entries of an engine's prompt cache updates that could not be parsed.
+    pub(crate) fn record_unreadable_updates(&self, endpoint: &EndpointId, entries: u64) {
+        let message = UnreadableMessage::PromptCacheUpdate;
+        let cause = "prompt cache entries of an unknown form; they are skipped";
+        self.shared
+            .unreadable
+            .record(message, endpoint, entries, cause);
     }
 
-    /// Forgets what an engine kept.
-    pub(crate) fn forget_kept(&self, endpoint: &EndpointId) {
-        self.kept().forget(endpoint);
+    /// Removes an engine's prompt cache from the index.
+    pub(crate) fn forget_prompt_cache(&self, endpoint: &EndpointId) {
+        self.prompt_cache().forget(endpoint);
     }
 
-    /// Engines of this zone that keep the beginning of a prompt.
-    pub(crate) fn find_kept(&self, prompt: &[PromptPart]) -> Vec<CachedTokens> {
-        self.kept().find(prompt, LEAST_KEPT_TOKENS)
+    /// The engines of this zone that have a prefix of the prompt in their cache.
+    pub(crate) fn find_cached(&self, prompt: &[PromptPart]) -> Vec<CachedTokens> {
+        self.prompt_cache().find(prompt, MIN_CACHED_TOKENS)
     }
 
-    /// Takes a watcher's requests at the endpoints of this zone.
-    pub(crate) fn take_loads(&self, watcher: &Watcher, loads: &[EndpointLoad]) {
+    /// Records a watcher's loads: its requests at the endpoints of this zone.
+    pub(crate) fn record_loads(&self, watcher: &Watcher, loads: &[EndpointLoad]) {
         let now = self.shared.clock.now();
         let change = self.watchers().take_loads(now, watcher, loads);
-        self.tell_of_loads(change);
+        self.notify_loads_change(change);
     }
 
-    /// Hands out a place at an engine of this zone; tells what the other watchers have there.
-    pub(crate) fn take_place(&self, request: &EngineReservationRequest) -> Option<EndpointLoad> {
+    /// Reserves a slot at an engine of this zone; returns the engine with the other watchers' load
+    /// there, or `None` if no engine can be reserved.
+    pub(crate) fn reserve_engine(
+        &self,
+        request: &EngineReservationRequest,
+    ) -> Option<EndpointLoad> {
         let now = self.shared.clock.now();
         let registry = self.registry();
         let engines = registry.ready_endpoints(&request.service, &self.shared.zone);
         self.watchers().reserve_engine(now, request, &engines)
     }
 
-    fn tell_of_loads(&self, change: LoadsChange) {
+    fn notify_loads_change(&self, change: LoadsChange) {
         match change {
             LoadsChange::Changed => self.shared.loads.send_modify(|changes| *changes += 1),
             LoadsChange::None => {}
@@ -311,24 +322,26 @@
         watchers.have_other_loads_changed(&request.watcher, request.loads_revision)
     }
 
-    /// How long news that are not urgent wait, counted from the question, so that many share one
-    /// answer.
-    fn news_pause(&self) -> Duration {
+    /// Delay of updates that are not urgent, counted from the request, so that many updates share
+    /// one answer.
+    fn update_delay(&self) -> Duration {
         let watchers = u32::try_from(self.watchers().len()).unwrap_or(u32::MAX);
-        Duration::from_millis(NEWS_PAUSE_MS) * watchers
+        Duration::from_millis(UPDATE_DELAY_PER_WATCHER_MS) * watchers
     }
 
-    /// How long changed loads wait, likewise.
-    fn loads_pause(&self, watcher: &Watcher) -> Duration {
+    /// Delay of changed loads, counted in the same way.
+    fn loads_delay(&self, watcher: &Watcher) -> Duration {
         let is_near = matches!(watcher, Watcher::Entry { zone, .. } if *zone == self.shared.zone);
-        let pauses = if is_near { 1 } else { FAR_PAUSES };
-        self.news_pause() * pauses
+        let factor = if is_near { 1 } else { REMOTE_ZONE_DELAY_FACTOR };
+        self.update_delay() * factor
     }
 
-    /// Whether a watcher must hear at once: of an endpoint that leaves, of a document, or of a request
-    /// that crashes endpoints.
-    fn has_urgent_news(&self, published: &PublishedState, request: &WatchRequest) -> bool {
-        if !self.is_followed(request) || self.registry().has_departure_since(request.revision) {
+    /// Whether an update must be sent at once: an endpoint that leaves, a new document, or a
+    /// request that crashes endpoints.
+    fn has_urgent_update(&self, published: &PublishedState, request: &WatchRequest) -> bool {
+        if !self.is_same_incarnation(request)
+            || self.registry().has_departure_since(request.revision)
+        {
             return true;
         }
         if self.suspects().broadcast_revision() > request.suspects_revision {
@@ -367,7 +380,7 @@
             loads,
             loads_revision,
             members,
-            registry: self.shared.life,
+            registry: self.shared.incarnation,
             revision: registry.revision(),
             suspects,
             suspects_revision,
@@ -375,42 +388,42 @@
         }
     }
 
-    /// Whether a watcher goes on from this life of the registry.
-    fn is_followed(&self, request: &WatchRequest) -> bool {
-        request.registry == self.shared.life
+    /// Whether a watcher's revisions refer to this incarnation of the registry.
+    fn is_same_incarnation(&self, request: &WatchRequest) -> bool {
+        request.registry == self.shared.incarnation
     }
 
-    /// The revision up to which a watcher holds this registry.
+    /// The revision of this registry up to which a watcher is current.
     fn known_revision(&self, request: &WatchRequest) -> u64 {
-        if self.is_followed(request) {
+        if self.is_same_incarnation(request) {
             request.revision
         } else {
             0
         }
     }
 
-    /// The revision up to which a watcher knows of requests that crash endpoints.
+    /// The revision up to which a watcher knows the requests that crash endpoints.
     fn known_suspects(&self, request: &WatchRequest) -> u64 {
-        if self.is_followed(request) {
+        if self.is_same_incarnation(request) {
             request.suspects_revision
         } else {
             0
         }
     }
 
-    fn note_watcher(&self, request: &WatchRequest) {
+    fn record_watcher(&self, request: &WatchRequest) {
         let now = self.shared.clock.now();
         let revision = self.known_revision(request);
         let change = self
             .watchers()
             .record_poll(now, &request.watcher, revision, &request.loads);
-        self.tell_of_loads(change);
+        self.notify_loads_change(change);
         self.shared.acknowledged.notify_waiters();
     }
 
-    /// Waits until each watcher that still asks holds a revision, for a bounded time.
+    /// Waits until each active watcher has received a revision, for a bounded time.
     async fn await_watchers(&self, revision: u64) {
-        let bound = Instant::now() + TELL_BOUND;
+        let deadline = Instant::now() + ACKNOWLEDGEMENT_TIMEOUT;
         loop {
             let acknowledged = self.shared.acknowledged.notified();
             tokio::pin!(acknowledged);
@@ -418,7 +431,7 @@
             if self.have_all_seen(revision) {
                 return;
             }
-            if timeout_at(bound, acknowledged).await.is_err() {
+            if timeout_at(deadline, acknowledged).await.is_err() {
                 return;
             }
         }
@@ -434,9 +447,9 @@
         registry.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn kept(&self) -> MutexGuard<'_, PromptCacheIndex> {
-        let kept = self.shared.kept.lock();
-        kept.unwrap_or_else(PoisonError::into_inner)
+    fn prompt_cache(&self) -> MutexGuard<'_, PromptCacheIndex> {
+        let prompt_cache = self.shared.prompt_cache.lock();
+        prompt_cache.unwrap_or_else(PoisonError::into_inner)
     }
 
     fn watchers(&self) -> MutexGuard<'_, WatcherTable> {
--- a/crates/masticsill_control/src/endpoints/memory.rs
+++ b/crates/masticsill_control/src/endpoints/persistence.rs
@@ -1,8 +1,9 @@
-//! The registry's records on the disk, so that a replica that starts again knows at once whom to
-//! name: endpoints announce themselves only once a second. With them, which requests crash endpoints:
-//! where all processes end at the same moment, nobody else could tell.
+//! Persists the registry's records, so that a restarted replica knows the endpoints at once:
+//! endpoints announce themselves only once a second. The requests that crash endpoints are
+//! persisted too: where all processes end at the same moment, no other process could report them.
 //!
-//! Nothing relies on the records: they may be old, and requests name the incarnation that they mean.
+//! Correctness does not depend on the records: they may be old, and requests name the incarnation
+//! that they are meant for.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -24,67 +25,74 @@
 /// Pause between writes, so that a burst of changes is one write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The durable form. Variants are only ever added at the end.
+/// Durable encoding. Variants are only ever added at the end.
 #[derive(Deserialize, Serialize)]
 enum StoredEndpoints {
-    /// Of former versions, whose records lack fields: they are not worth a second reader.
+    /// V1, V2 and V4 were written by former versions, whose records lack fields. Such a file is
+    /// ignored: a decoder of its own is not worthwhile.
     V1,
     V2,
     V3(Vec<EndpointRecord>),
     V4,
-    V5(Remembered),
+    V5(PersistedEndpoints),
 }
 
-/// What outlasts a life of this replica.
+/// The records that are kept over a restart of this replica.
 #[derive(Default, Deserialize, Serialize)]
-pub(crate) struct Remembered {
+pub(crate) struct PersistedEndpoints {
     /// Endpoints that have not ended.
     pub(crate) endpoints: Vec<EndpointRecord>,
-    /// Requests under which endpoints crashed, by their ages when this was written.
+    /// Requests during which endpoints crashed, with their ages at the time of writing.
     pub(crate) suspects: Vec<RequestRecord>,
 }
 
-/// Reads what a former life left; nothing when there is none or it can't be read.
-pub(crate) fn read(folder: &Path) -> Remembered {
+/// Reads the records of a former process; empty when there are none or they can't be read.
+pub(crate) fn read(folder: &Path) -> PersistedEndpoints {
     let bytes = match fs::read(folder.join(FILE)) {
         Ok(bytes) => bytes,
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return Remembered::default(),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => {
+            return PersistedEndpoints::default();
+        }
         Err(error) => {
             log_event!(warn, events::ENDPOINTS_NOT_KEPT, cause = error);
-            return Remembered::default();
+            return PersistedEndpoints::default();
         }
     };
     match postcard::from_bytes(&bytes) {
         Ok(StoredEndpoints::V1 | StoredEndpoints::V2 | StoredEndpoints::V4) => {
-            Remembered::default()
+            PersistedEndpoints::default()
         }
-        Ok(StoredEndpoints::V3(endpoints)) => Remembered {
+        Ok(StoredEndpoints::V3(endpoints)) => PersistedEndpoints {
             endpoints,
             suspects: Vec::new(),
         },
-        Ok(StoredEndpoints::V5(remembered)) => remembered,
+        Ok(StoredEndpoints::V5(persisted)) => persisted,
         Err(error) => {
             log_event!(warn, events::ENDPOINTS_NOT_KEPT, cause = error);
-            Remembered::default()
+            PersistedEndpoints::default()
         }
     }
 }
 
 /// Writes the records whenever they have changed, until the replica ends.
-pub(crate) async fn run_memory(folder: PathBuf, endpoints: EndpointHub, ended: ShutdownSignal) {
+pub(crate) async fn run_persistence(
+    folder: PathBuf,
+    endpoints: EndpointHub,
+    ended: ShutdownSignal,
+) {
     let mut revisions = endpoints.revisions();
-    let mut suspects = endpoints.suspects().spread_revisions();
+    let mut suspects = endpoints.suspects().watch_broadcast_revision();
     loop {
         tokio::select! {
             changed = revisions.changed() => if changed.is_err() { return },
             changed = suspects.changed() => if changed.is_err() { return },
             () = ended.requested() => return,
         }
-        let remembered = Remembered {
+        let persisted = PersistedEndpoints {
             endpoints: endpoints.records(),
             suspects: endpoints.suspects().broadcast_since(0),
         };
-        if let Err(error) = write(&folder, remembered) {
+        if let Err(error) = write(&folder, persisted) {
             log_event!(warn, events::ENDPOINTS_NOT_KEPT, cause = error);
         }
         tokio::select! {
@@ -94,12 +102,13 @@
     }
 }
 
-fn write(folder: &Path, remembered: Remembered) -> io::Result<()> {
-    let bytes = postcard::to_stdvec(&StoredEndpoints::V5(remembered)).map_err(io::Error::other)?;
+fn write(folder: &Path, persisted: PersistedEndpoints) -> io::Result<()> {
+    let bytes = postcard::to_stdvec(&StoredEndpoints::V5(persisted)).map_err(io::Error::other)?;
     let temporary = folder.join(TEMPORARY_FILE);
     let mut file = File::create(&temporary)?;
     file.write_all(&bytes)?;
-    // A name that leads to half a file would be worse than an old one.
+    // Synced before the rename: a truncated file under the final name would be worse than an old
+    // one.
     file.sync_all()?;
     fs::rename(&temporary, folder.join(FILE))
 }
--- a/crates/masticsill_control/src/endpoints/suspects.rs
+++ b/crates/masticsill_control/src/endpoints/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints crashed: what the watchers noted, joined and judged here.
+//! Requests during which endpoints crashed: merges the records of the watchers and assesses them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,20 +10,20 @@
 
 use crate::events;
 
-/// How often what is old is forgotten even though nothing is to be judged.
+/// How often expired records are removed when no crash is due for assessment.
 const FORGET_INTERVAL_MS: u64 = 60_000;
 
 #[derive(Debug)]
 struct Shared {
     clock: MonotonicClock,
     ledger: Mutex<CrashLedger>,
-    /// Revision of the last change that concerns every watcher.
-    spread: watch::Sender<u64>,
-    /// Told whenever there may be something to judge.
-    taken: Notify,
+    /// Revision of the last change that must reach every watcher.
+    broadcast_revision_sender: watch::Sender<u64>,
+    /// Notified whenever a crash may have to be assessed.
+    merged: Notify,
 }
 
-/// What this replica knows of such requests. Clones share it.
+/// The requests during which endpoints crashed, as known to this replica. Clones share them.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspects {
     shared: Arc<Shared>,
@@ -34,52 +34,54 @@
         let shared = Shared {
             clock,
             ledger: Mutex::default(),
-            spread: watch::Sender::new(0),
-            taken: Notify::new(),
+            broadcast_revision_sender: watch::Sender::new(0),
+            merged: Notify::new(),
         };
         Self {
             shared: Arc::new(shared),
         }
     }
 
-    /// Joins what a watcher noted, another replica told, or a former life left.
-    pub(crate) fn take(&self, records: &[RequestRecord]) {
+    /// Merges records of a watcher, of another replica or of a former process.
+    pub(crate) fn merge(&self, records: &[RequestRecord]) {
         if records.is_empty() {
             return;
         }
         self.ledger().merge(self.shared.clock.now(), records);
-        self.note_change();
-        self.shared.taken.notify_one();
+        self.publish_revision();
+        self.shared.merged.notify_one();
     }
 
-    /// What concerns every watcher and changed after a revision.
+    /// Records that must reach every watcher and changed after a revision.
     pub(crate) fn broadcast_since(&self, revision: u64) -> Vec<RequestRecord> {
         let now = self.shared.clock.now();
         self.ledger().broadcast_since(now, revision)
     }
 
-    /// Revision of the last change that concerns every watcher.
+    /// Revision of the last change that must reach every watcher.
     pub(crate) fn broadcast_revision(&self) -> u64 {
         self.ledger().broadcast_revision()
     }
 
-    /// Follows that revision.
-    pub(crate) fn spread_revisions(&self) -> watch::Receiver<u64> {
-        self.shared.spread.subscribe()
+    /// Subscribes to the revision of [`Self::broadcast_revision`].
+    pub(crate) fn watch_broadcast_revision(&self) -> watch::Receiver<u64> {
+        self.shared.broadcast_revision_sender.subscribe()
     }
 
-    fn note_change(&self) {
+    fn publish_revision(&self) {
         let revision = self.broadcast_revision();
-        self.shared.spread.send_if_modified(|known| {
-            let is_changed = *known != revision;
-            *known = revision;
-            is_changed
-        });
+        self.shared
+            .broadcast_revision_sender
+            .send_if_modified(|known| {
+                let is_changed = *known != revision;
+                *known = revision;
+                is_changed
+            });
     }
 
     fn judge(&self) {
         let judgements = self.ledger().judge(self.shared.clock.now());
-        self.note_change();
+        self.publish_revision();
         for judgement in judgements {
             log_judgement(&judgement);
         }
@@ -96,12 +98,12 @@
     }
 }
 
-/// Judges crashes when they are due, for good.
-pub(crate) async fn run_judging(suspects: Suspects) {
+/// Assesses crashes when they are due; never returns.
+pub(crate) async fn run_judgements(suspects: Suspects) {
     loop {
         let due_in = Duration::from_millis(suspects.next_judgement_in_ms());
-        // What was taken meanwhile may be due sooner.
-        let _ = timeout(due_in, suspects.shared.taken.notified()).await;
+        // Records merged in the meantime may be due sooner.
+        let _ = timeout(due_in, suspects.shared.merged.notified()).await;
         suspects.judge();
     }
 }
--- a/crates/masticsill_control/src/error.rs
+++ b/crates/masticsill_control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a control replica can't start.
+//! Errors that keep a control replica from starting.
 
 use std::io;
 
@@ -8,13 +8,13 @@
 
 use crate::quorum::StateError;
 
-/// Why a control replica can't start.
+/// A control replica could not be started.
 #[derive(Debug, Error)]
 pub enum ControlError {
     /// An address can't be bound, or a thread can't be started.
     #[error("control replica can't start: {0}; check its addresses and the process limits")]
     Io(#[from] io::Error),
-    /// The quorum's settings can't keep a leader's lease.
+    /// The quorum's settings are inconsistent with the leader's lease.
     #[error("control settings are refused: {0}")]
     Settings(#[from] SettingsError),
     /// The durable state can't be read.
--- a/crates/masticsill_control/src/events.rs
+++ b/crates/masticsill_control/src/events.rs
@@ -2,65 +2,65 @@
 
 use masticsill_types::Event;
 
-/// The replica runs.
+/// The replica has started.
 pub const CONTROL_STARTED: Event = Event::new(4101, "control_started");
 /// The replica's role, term or known leader changed.
 pub const ROLE_CHANGED: Event = Event::new(4102, "control_role_changed");
 /// Writing or syncing failed; the replica stops.
 pub const STORAGE_FAILED: Event = Event::new(4103, "control_storage_failed");
-/// The log or a snapshot holds what this version can't read; the replica stops.
+/// This version can't decode an entry of the log or a snapshot; the replica stops.
 pub const STATE_UNREADABLE: Event = Event::new(4104, "control_state_unreadable");
-/// The replica took the founding members.
+/// The replica stored the founding members; its data folder belongs to a cluster from now on.
 pub const FOUNDED: Event = Event::new(4105, "control_founded");
 /// The data folder is new, and the replica waits until an operator admits it.
 pub const WAITS_FOR_ADMISSION: Event = Event::new(4106, "control_waits_for_admission");
-/// A message of a peer could not be decoded.
+/// A quorum message from a peer could not be decoded.
 pub const MESSAGE_UNREADABLE: Event = Event::new(4107, "control_message_unreadable");
-/// An operator's token is not known.
+/// A request was refused because its operator token is missing or unknown.
 pub const OPERATOR_UNKNOWN: Event = Event::new(4108, "control_operator_unknown");
-/// Leadership is handed over before a stop.
+/// The replica is stopping and transfers its leadership.
 pub const HANDING_OVER: Event = Event::new(4109, "control_handing_over");
 /// The replica stopped.
 pub const CONTROL_STOPPED: Event = Event::new(4110, "control_stopped");
-/// The state was restored from a snapshot of the leader.
+/// The state was restored from the leader's snapshot.
 pub const SNAPSHOT_RESTORED: Event = Event::new(4111, "control_snapshot_restored");
 /// A snapshot of the state was taken.
 pub const SNAPSHOT_TAKEN: Event = Event::new(4112, "control_snapshot_taken");
-/// This replica leads and gives the orders to engines, after it fenced its predecessors.
+/// This replica leads and starts to send orders to engines, having fenced former leaders.
 pub const ORDERS_BEGUN: Event = Event::new(4120, "control_orders_begun");
 /// An order to an engine ended.
 pub const ORDER_ENDED: Event = Event::new(4121, "control_order_ended");
-/// An agent could not be told that former leaders' orders are void; it gets no order yet.
+/// An agent did not confirm the fencing of former leaders; it gets no orders until it does.
 pub const AGENT_NOT_FENCED: Event = Event::new(4122, "control_agent_not_fenced");
-/// An endpoint announced itself, or says something else of itself than before.
+/// An endpoint registered, or changed what it announces.
 pub const ENDPOINT_HEARD: Event = Event::new(4130, "control_endpoint_heard");
-/// An endpoint said that it has ended.
+/// An endpoint deregistered.
 pub const ENDPOINT_LEFT: Event = Event::new(4131, "control_endpoint_left");
-/// An endpoint fell silent, or is heard again.
+/// An endpoint's heartbeats stopped arriving, or resumed.
 pub const ENDPOINT_SILENCE: Event = Event::new(4132, "control_endpoint_silence");
 /// This replica asked to be admitted to the quorum.
 pub const ADMISSION_ASKED: Event = Event::new(4133, "control_admission_asked");
-/// The leader removes a silent voter that is not needed.
+/// The leader removes a member that has been silent and is not needed.
 pub const VOTER_TRIMMED: Event = Event::new(4134, "control_voter_trimmed");
-/// The endpoints' records could not be read or written; only a restart is slower for it.
+/// The persisted endpoint records could not be read or written; only a restart gets slower.
 pub const ENDPOINTS_NOT_KEPT: Event = Event::new(4135, "control_endpoints_not_kept");
-/// An engine's news of the prompts that it keeps are followed.
+/// The updates of an engine's prompt cache can be read.
 pub const PROMPTS_FOLLOWED: Event = Event::new(4136, "control_prompts_followed");
-/// An engine's news of prompts can't be had; requests are placed without them.
+/// The updates of an engine's prompt cache can't be read; requests are placed without them.
 pub const PROMPTS_LOST: Event = Event::new(4137, "control_prompts_lost");
-/// A process without a disk serves control by passing calls on.
+/// A process without a disk serves control by forwarding calls to the replicas.
 pub const FORWARDER_STARTED: Event = Event::new(4138, "control_forwarder_started");
-/// No replica took a heartbeat that was passed on; the endpoint calls another process.
+/// No replica accepted a forwarded heartbeat; the endpoint retries at another process.
 pub const HEARTBEAT_NOT_PASSED: Event = Event::new(4139, "control_heartbeat_not_passed");
-/// This replica founds a cluster, or could not reserve the members for it.
+/// This replica founded a cluster, or could not reserve the members for it.
 pub const FOUNDING_PROPOSED: Event = Event::new(4140, "control_founding_proposed");
-/// The document in force can't be cut into pieces, so that relays can't fetch it.
+/// The document in force can't be split into pieces, so that relays can't fetch it.
 pub const DOCUMENT_UNCUT: Event = Event::new(4141, "control_document_uncut");
-/// An endpoint said something that can't be read; it is refused or passed over.
+/// A message of an endpoint could not be parsed; it is refused or skipped.
 pub const WORD_UNREADABLE: Event = Event::new(4142, "control_word_unreadable");
-/// This replica's folder was founded, nothing came of it, and a cluster exists without it.
+/// This replica gave up its founding: its log is empty, and a cluster exists without it.
 pub const FOUNDING_GIVEN_UP: Event = Event::new(4143, "control_founding_given_up");
-/// A crash of an endpoint was judged: whether it counts against the request that ran there.
+/// An endpoint crash was assessed: whether it counts against the request that ran there.
 pub const CRASH_JUDGED: Event = Event::new(4144, "control_crash_judged");
 
 /// Every event of this crate.
--- a/crates/masticsill_control/src/forwarder.rs
+++ b/crates/masticsill_control/src/forwarder.rs
@@ -1,8 +1,8 @@
 //! Serving control on an instance without a disk.
 //!
-//! Such a process never votes and keeps no state: what operators and endpoints ask of it is passed
-//! on to the replicas. It also leads replicas to each other, since the few addresses that all
-//! processes start with may be of instances without disks only.
+//! Such a process never votes and keeps no state: it forwards the calls of operators and endpoints
+//! to the replicas. It also helps replicas to discover each other, since the few addresses that all
+//! processes start with may all belong to instances without disks.
 
 mod calls;
 mod role;
--- a/crates/masticsill_control/src/forwarder/calls.rs
+++ b/crates/masticsill_control/src/forwarder/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and endpoints, passed on to the replicas.
+//! Forwards the calls of operators and endpoints to the replicas.
 
 use std::net::SocketAddr;
 
@@ -8,62 +8,62 @@
 use tokio::task::spawn_local;
 
 use crate::events;
-use crate::rpc::{FORWARD_BOUND_MS, Forward};
+use crate::rpc::{FORWARD_TIMEOUT_MS, Forward};
 
-/// Time for one replica to take a heartbeat: that of an endpoint which is leaving is held for up
-/// to 0.4 s until the entries know of it, and the endpoint itself gives up after a second.
-const HEARTBEAT_BOUND_MS: u64 = 480;
-/// Replicas that one heartbeat is offered to within that second.
-const HEARTBEAT_OFFERS: usize = 2;
+/// Timeout for one replica to accept a heartbeat. The heartbeat of a leaving endpoint is held for
+/// up to 400 ms until the entries know of the change, and the endpoint itself gives up after 1 s.
+const HEARTBEAT_TIMEOUT_MS: u64 = 480;
+/// Replicas tried for one heartbeat, so that all attempts fit into that second.
+const MAX_HEARTBEAT_ATTEMPTS: usize = 2;
 
-/// Takes calls until the ring is closed.
+/// Forwards calls until the ring is closed.
 pub(super) async fn run_calls(client: ControlClient, calls: Ring<Forward>) {
     while let Some(call) = calls.pop().await {
-        spawn_local(pass_on(client.clone(), call));
+        spawn_local(forward_call(client.clone(), call));
     }
 }
 
-async fn pass_on(client: ControlClient, call: Forward) {
-    let bound_ms = FORWARD_BOUND_MS;
-    // An asker that has left needs no answer.
+async fn forward_call(client: ControlClient, call: Forward) {
+    let timeout_ms = FORWARD_TIMEOUT_MS;
+    // A send fails only if the caller has gone; then nobody needs the answer.
     match call {
         Forward::Change(request, reply_to) => {
-            let _ = reply_to.send(client.change(&request, bound_ms).await);
+            let _ = reply_to.send(client.change(&request, timeout_ms).await);
         }
         Forward::Document(change, reply_to) => {
-            let _ = reply_to.send(client.put_document(&change, bound_ms).await);
+            let _ = reply_to.send(client.put_document(&change, timeout_ms).await);
         }
         Forward::Read(request, reply_to) => {
-            let _ = reply_to.send(client.read(&request, bound_ms).await);
+            let _ = reply_to.send(client.read(&request, timeout_ms).await);
         }
         Forward::Replicas(change, reply_to) => {
-            let _ = reply_to.send(client.change_replicas(&change, bound_ms).await);
+            let _ = reply_to.send(client.change_replicas(&change, timeout_ms).await);
         }
         Forward::Announce(announcement, reply_to) => {
             let offer = async |address| {
-                let taking = client.announce(address, &announcement, HEARTBEAT_BOUND_MS);
+                let taking = client.announce(address, &announcement, HEARTBEAT_TIMEOUT_MS);
                 taking.await
             };
-            let taken = offer_heartbeat(&client, offer).await;
-            let _ = reply_to.send(taken);
+            let result = offer_heartbeat(&client, offer).await;
+            let _ = reply_to.send(result);
         }
         Forward::Depart(id, reply_to) => {
-            let offer = async |address| client.depart(address, &id, HEARTBEAT_BOUND_MS).await;
-            let taken = offer_heartbeat(&client, offer).await;
-            let _ = reply_to.send(taken);
+            let offer = async |address| client.depart(address, &id, HEARTBEAT_TIMEOUT_MS).await;
+            let result = offer_heartbeat(&client, offer).await;
+            let _ = reply_to.send(result);
         }
     }
 }
 
-/// Offers a heartbeat to one replica after the other, a drawn one first.
+/// Offers a heartbeat to one replica after another, starting with a random one.
 async fn offer_heartbeat(
     client: &ControlClient,
     offer: impl AsyncFn(SocketAddr) -> bool,
 ) -> Result<(), ControlUnavailable> {
     let replicas = client.replicas();
     let first = rand::random::<u32>() as usize;
-    for turn in 0..HEARTBEAT_OFFERS.min(replicas.len()) {
-        let (_, address) = &replicas[first.wrapping_add(turn) % replicas.len()];
+    for attempt in 0..MAX_HEARTBEAT_ATTEMPTS.min(replicas.len()) {
+        let (_, address) = &replicas[first.wrapping_add(attempt) % replicas.len()];
         if offer(*address).await {
             return Ok(());
         }
--- a/crates/masticsill_control/src/forwarder/role.rs
+++ b/crates/masticsill_control/src/forwarder/role.rs
@@ -12,17 +12,17 @@
 use super::service::ForwarderServer;
 use crate::events;
 use crate::handle::{ControlHandle, HeartbeatSink};
-use crate::rpc::{Forward, Newcomer, run_introductions, serve_connections};
-use crate::unreadable::UnreadableWords;
+use crate::rpc::{Forward, ProcessIdentity, run_introductions, serve_connections};
+use crate::unreadable::UnreadableMessages;
 
-const CALLS: usize = 1_024;
+const CALL_QUEUE_CAPACITY: usize = 1_024;
 
 /// Settings of a forwarder.
 #[derive(Clone, Debug)]
 pub struct ForwarderConfig {
     /// This node.
     pub node: NodeId,
-    /// Where other processes reach this process.
+    /// RPC address at which other processes reach this process.
     pub rpc_address: SocketAddr,
     /// RPC addresses at which control is served, by replicas or by processes without state.
     pub seeds: Vec<SocketAddr>,
@@ -37,7 +37,7 @@
     calls: Ring<Forward>,
     duty: DutyHandle,
     ended: ShutdownSignal,
-    unreadable: UnreadableWords,
+    unreadable: UnreadableMessages,
 }
 
 impl ControlForwarder {
@@ -52,10 +52,10 @@
         clock: MonotonicClock,
     ) -> io::Result<Self> {
         let book = AddressBook::from_seeds(config.seeds.iter().copied());
-        let calls = Ring::with_capacity(CALLS);
+        let calls = Ring::with_capacity(CALL_QUEUE_CAPACITY);
         let ended = ShutdownSignal::default();
         let server = ForwarderServer::new(&config, book.clone(), clock);
-        let (taken, stop) = (calls.clone(), ended.clone());
+        let (queued_calls, stop) = (calls.clone(), ended.clone());
         log_event!(
             info,
             events::FORWARDER_STARTED,
@@ -63,13 +63,13 @@
             rpc = config.rpc_address
         );
         let duty = spawn_async_duty("control_forwarder", move || async move {
-            let newcomer = Newcomer {
+            let identity = ProcessIdentity {
                 address: config.rpc_address,
                 keeps_state: false,
                 node: config.node,
             };
-            spawn_local(run_introductions(server.client.clone(), newcomer, || false));
-            spawn_local(run_calls(server.client.clone(), taken));
+            spawn_local(run_introductions(server.client.clone(), identity, || false));
+            spawn_local(run_calls(server.client.clone(), queued_calls));
             tokio::select! {
                 () = serve_connections(&connections, server) => {}
                 () = stop.requested() => {}
@@ -82,26 +82,26 @@
             calls,
             duty,
             ended,
-            unreadable: UnreadableWords::new(clock),
+            unreadable: UnreadableMessages::new(clock),
         })
     }
 
-    /// What edges of this process use.
+    /// A handle through which this process's servers call control.
     #[must_use]
     pub fn handle(&self) -> ControlHandle {
         ControlHandle {
             calls: self.calls.clone(),
-            heartbeats: HeartbeatSink::Others,
+            heartbeats: HeartbeatSink::Replicas,
             unreadable: self.unreadable.clone(),
         }
     }
 
-    /// Takes addresses of control that became known after the start.
+    /// Adds addresses of control that became known after the start.
     pub fn add_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.book.add_seeds(seeds);
     }
 
-    /// Ends the forwarder: calls under way are answered no more.
+    /// Stops the forwarder without waiting: calls in flight get no answer.
     ///
     /// # Errors
     ///
--- a/crates/masticsill_control/src/forwarder/service.rs
+++ b/crates/masticsill_control/src/forwarder/service.rs
@@ -1,4 +1,4 @@
-//! The service that a forwarder offers to other processes.
+//! The control service as implemented by a forwarder.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -24,7 +24,7 @@
 use super::role::ForwarderConfig;
 use crate::rpc::{attempt_of, note_introduction};
 
-/// Answers other processes. Each connection has a clone.
+/// Answers calls of other processes. Each connection has a clone.
 #[derive(Clone, Debug)]
 pub(super) struct ForwarderServer {
     pub(super) client: ControlClient,
@@ -130,7 +130,7 @@
         ControlReply::NotLeader(None)
     }
 
-    /// Nothing is known here: who asks has not read the directory.
+    /// A forwarder has no registry; only callers that have not read the directory ask it.
     async fn watch(self, _: Context, _: WatchRequest) -> WatchReply {
         WatchReply {
             document_version: None,
--- a/crates/masticsill_control/src/gauges.rs
+++ b/crates/masticsill_control/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges of a control replica. Their names stand in docs/METRICS.md.
+//! Gauges of a control replica, documented in docs/METRICS.md.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 
 use crate::rpc::ControlServer;
 
-/// How often the gauges follow the state.
-const INTERVAL: Duration = Duration::from_secs(1);
+/// How often the gauges are updated.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Gauges of one replica.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
 }
 
 impl ControlGauges {
-    /// Gauges that are shown by a registry.
+    /// Creates the gauges and registers them.
     pub(crate) fn new(registry: &mut Registry) -> Self {
         let gauges = Self::default();
         let help = "Version of the document applied here";
@@ -53,7 +53,7 @@
         gauges
     }
 
-    fn follow(&self, server: &ControlServer) {
+    fn update(&self, server: &ControlServer) {
         let status = server.quorum.status();
         let version = server.published.document().map(|document| document.version);
         self.document_version.set(version.unwrap_or_default());
@@ -63,16 +63,17 @@
         self.voters
             .set(i64::try_from(status.voters).unwrap_or(i64::MAX));
         let records = server.endpoints.records();
-        let said: Vec<EndpointState> = records.iter().map(|it| it.announcement.state).collect();
+        let endpoint_states: Vec<EndpointState> =
+            records.iter().map(|it| it.announcement.state).collect();
         let shown = [EndpointState::Ready, EndpointState::Draining];
-        self.endpoints.update(&shown, &said);
+        self.endpoints.update(&shown, &endpoint_states);
     }
 }
 
-/// Keeps the gauges in step until the duty ends.
+/// Updates the gauges periodically until the duty ends.
 pub(crate) async fn run_gauges(server: ControlServer, gauges: ControlGauges) {
     loop {
-        gauges.follow(&server);
-        sleep(INTERVAL).await;
+        gauges.update(&server);
+        sleep(UPDATE_INTERVAL).await;
     }
 }
--- a/crates/masticsill_control/src/handle.rs
+++ b/crates/masticsill_control/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the edges of the process ask of a control replica.
+//! Calls to control from other parts of the process.
 
 use masticsill_catalogue::{DocumentAnswer, StoredDocument};
 use masticsill_control_client::ControlUnavailable;
@@ -9,31 +9,32 @@
 
 use crate::endpoints::EndpointHub;
 use crate::rpc::{Forward, ForwardReply};
-use crate::unreadable::{UnreadableWord, UnreadableWords};
+use crate::unreadable::{UnreadableMessage, UnreadableMessages};
 
-/// Operators' and endpoints' calls, from any duty of the process. Clones share one replica.
+/// Sends operators' and endpoints' calls to control, from any duty of the process. Clones share one
+/// replica.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     pub(crate) calls: Ring<Forward>,
     pub(crate) heartbeats: HeartbeatSink,
-    pub(crate) unreadable: UnreadableWords,
+    pub(crate) unreadable: UnreadableMessages,
 }
 
-/// Where the heartbeats go that come to this process.
+/// Destination of the heartbeats that this process receives.
 #[derive(Clone, Debug)]
 pub(crate) enum HeartbeatSink {
-    /// Into the registry of this process.
-    Here(EndpointHub),
-    /// On to a replica.
-    Others,
+    /// The registry of this process.
+    Local(EndpointHub),
+    /// A replica in another process.
+    Replicas,
 }
 
 impl ControlHandle {
-    /// Puts the catalogue as one document in force; answered once that is durable.
+    /// Puts a catalogue document in force; returns once the change is durable.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] when no leader answered in time; sending it again is safe.
+    /// [`ControlUnavailable`] when no leader answered in time; retrying is safe.
     pub async fn put_document(
         &self,
         change: DocumentChange,
@@ -42,7 +43,7 @@
             .await
     }
 
-    /// The document in force, as of some moment after this call began.
+    /// The document in force at some moment after this call began.
     ///
     /// # Errors
     ///
@@ -57,42 +58,43 @@
         }
     }
 
-    /// Takes an endpoint's heartbeat.
+    /// Records an endpoint's heartbeat, or forwards the heartbeat to a replica.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] when it had to be passed on and no replica took it.
+    /// [`ControlUnavailable`] when the heartbeat had to be forwarded and no replica accepted it.
     pub async fn announce(&self, announcement: Announcement) -> Result<(), ControlUnavailable> {
         match &self.heartbeats {
-            HeartbeatSink::Here(endpoints) => {
+            HeartbeatSink::Local(endpoints) => {
                 endpoints.announce(announcement).await;
                 Ok(())
             }
-            HeartbeatSink::Others => {
+            HeartbeatSink::Replicas => {
                 self.forward(|reply_to| Forward::Announce(announcement, reply_to))
                     .await
             }
         }
     }
 
-    /// Notes a heartbeat or a deregistration that was refused since it can't be read.
+    /// Counts and logs a heartbeat or a deregistration that was refused because it could not be
+    /// parsed.
     pub fn note_unreadable(&self, endpoint: &EndpointId, cause: &str) {
-        let word = UnreadableWord::Heartbeat;
-        self.unreadable.note(word, endpoint, 1, cause);
+        let message = UnreadableMessage::Heartbeat;
+        self.unreadable.record(message, endpoint, 1, cause);
     }
 
-    /// Takes an endpoint's deregistration.
+    /// Records an endpoint's deregistration, or forwards it to a replica.
     ///
     /// # Errors
     ///
     /// As [`Self::announce`].
     pub async fn depart(&self, id: EndpointId) -> Result<(), ControlUnavailable> {
         match &self.heartbeats {
-            HeartbeatSink::Here(endpoints) => {
+            HeartbeatSink::Local(endpoints) => {
                 endpoints.depart(id).await;
                 Ok(())
             }
-            HeartbeatSink::Others => self.forward(|reply_to| Forward::Depart(id, reply_to)).await,
+            HeartbeatSink::Replicas => self.forward(|reply_to| Forward::Depart(id, reply_to)).await,
         }
     }
 
@@ -104,7 +106,7 @@
     }
 }
 
-/// Has a call answered by the leader.
+/// Queues a call for the router, which gets the leader's answer, and waits for the answer.
 pub(crate) async fn forward<T>(
     calls: &Ring<Forward>,
     call: impl FnOnce(ForwardReply<T>) -> Forward,
--- a/crates/masticsill_control/src/http.rs
+++ b/crates/masticsill_control/src/http.rs
@@ -2,9 +2,9 @@
 
 mod auth;
 mod catalogue;
+mod document;
 mod operations;
 mod reply;
-mod routed;
 mod server;
 
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 pub(crate) use server::HttpEdge;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpState {
     calls: Ring<Forward>,
@@ -48,7 +48,7 @@
 }
 
 impl HttpState {
-    /// Has a call answered by the leader.
+    /// Sends a call to the router, which gets the leader's answer.
     async fn forward<T>(
         &self,
         call: impl FnOnce(oneshot::Sender<Result<T, ControlUnavailable>>) -> Forward,
@@ -65,8 +65,8 @@
         .route("/v1/catalogue/{id}*", web::get().to(catalogue::read))
         .route("/v1/catalogue/{id}*", web::put().to(catalogue::put))
         .route("/v1/catalogue/{id}*", web::delete().to(catalogue::delete))
-        .route("/v1/document", web::get().to(routed::document))
-        .route("/v1/endpoints", web::get().to(routed::endpoints))
+        .route("/v1/document", web::get().to(document::document))
+        .route("/v1/endpoints", web::get().to(document::endpoints))
         .route("/v1/audit", web::get().to(operations::audit))
         .route("/v1/replicas", web::get().to(operations::replicas))
         .route("/v1/replicas", web::post().to(operations::join))
--- a/crates/masticsill_control/src/http/auth.rs
+++ b/crates/masticsill_control/src/http/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: bearer tokens, known only by their hashes.
+//! Authentication of operators by bearer tokens, of which only hashes are stored.
 
 use masticsill_types::log_event;
 use masticsill_wire::admin::ErrorJson;
@@ -10,13 +10,13 @@
 use crate::config::{OperatorConfig, TokenHash};
 use crate::events;
 
-/// The operator whose token a request carries, or the refusal.
+/// The operator whose token a request carries, or the response that refuses the request.
 pub(crate) fn authenticate<'a>(
     state: &'a HttpState,
     request: &HttpRequest,
 ) -> Result<&'a OperatorConfig, HttpResponse> {
     let hash = bearer_token(request).map(TokenHash::of_token);
-    // Hashes are compared in constant time.
+    // `blake3::Hash` compares in constant time.
     let is_named = |operator: &&OperatorConfig| Some(operator.token_hash) == hash;
     state.operators.iter().find(is_named).ok_or_else(|| {
         log_event!(warn, events::OPERATOR_UNKNOWN, has_token = hash.is_some());
--- a/crates/masticsill_control/src/http/catalogue.rs
+++ b/crates/masticsill_control/src/http/catalogue.rs
@@ -55,7 +55,7 @@
                 .await
                 .map(|json| reply::ok(&json))
         }
-        None => whole(&state).await.map(|json| reply::ok(&json)),
+        None => read_catalogue(&state).await.map(|json| reply::ok(&json)),
     };
     answer.unwrap_or_else(reply::unavailable)
 }
@@ -90,7 +90,7 @@
     entries
 }
 
-async fn whole(state: &HttpState) -> Result<CatalogueJson, ControlUnavailable> {
+async fn read_catalogue(state: &HttpState) -> Result<CatalogueJson, ControlUnavailable> {
     let (version, update) = read_since(state, CatalogueVersion::default()).await?;
     let entries = entries_of(update);
     Ok(CatalogueJson {
@@ -99,7 +99,8 @@
     })
 }
 
-/// Waits for a version past `from`; after the wait it answers without a change.
+/// Waits for a version newer than `from`, for at most `wait_ms`; after that the answer holds no
+/// change.
 async fn watch(
     state: &HttpState,
     from: CatalogueVersion,
@@ -125,10 +126,13 @@
     let deleted = match &update {
         Some(CatalogueUpdate::Delta(delta)) => {
             let is_gone = |id: &EntryId| !delta.puts.iter().any(|held| held.entry.id == *id);
-            let gone = delta.deletes.iter().filter(|grave| is_gone(&grave.id));
-            gone.map(|grave| DeletedJson {
-                id: grave.id.to_string(),
-                version: grave.version.0,
+            let gone = delta
+                .deletes
+                .iter()
+                .filter(|tombstone| is_gone(&tombstone.id));
+            gone.map(|tombstone| DeletedJson {
+                id: tombstone.id.to_string(),
+                version: tombstone.version.0,
             })
             .collect()
         }
@@ -183,12 +187,12 @@
         Err(errors) => return reply::refusal(&ChangeRefusal::Invalid(errors)),
     };
     let content = ChangeContent::Put(Box::new(entry));
-    let sent = Sent {
+    let parameters = ChangeParameters {
         change_id: &json.change_id,
         entry_id: &id,
         expected_version: json.expected_version,
     };
-    change(&state, operator, sent, content).await
+    change(&state, operator, parameters, content).await
 }
 
 pub(crate) async fn delete(
@@ -201,15 +205,15 @@
         Ok(read) => read,
         Err(refusal) => return refusal,
     };
-    let sent = Sent {
+    let parameters = ChangeParameters {
         change_id: &json.change_id,
         entry_id: &id,
         expected_version: json.expected_version,
     };
-    change(&state, operator, sent, ChangeContent::Delete).await
+    change(&state, operator, parameters, ChangeContent::Delete).await
 }
 
-/// Who sends a change, and its body.
+/// Authenticates the operator of a change and parses the body.
 fn read_change<'a, T: DeserializeOwned>(
     state: &'a HttpState,
     request: &HttpRequest,
@@ -220,8 +224,8 @@
     Ok((operator, json))
 }
 
-/// What names a change, as sent.
-struct Sent<'a> {
+/// Identifiers of a change, as sent by the operator.
+struct ChangeParameters<'a> {
     change_id: &'a str,
     entry_id: &'a str,
     expected_version: u64,
@@ -230,10 +234,10 @@
 async fn change(
     state: &HttpState,
     operator: &OperatorConfig,
-    sent: Sent<'_>,
+    parameters: ChangeParameters<'_>,
     content: ChangeContent,
 ) -> HttpResponse {
-    let change = match name_change(operator, &sent, content) {
+    let change = match build_change(operator, &parameters, content) {
         Ok(change) => change,
         Err(error) => return reply::refusal(&ChangeRefusal::Invalid(vec![error])),
     };
@@ -249,21 +253,21 @@
     }
 }
 
-fn name_change(
+fn build_change(
     operator: &OperatorConfig,
-    sent: &Sent<'_>,
+    parameters: &ChangeParameters<'_>,
     content: ChangeContent,
 ) -> Result<Change, FieldError> {
-    let id = sent.change_id.parse();
-    let entry = sent.entry_id.parse();
+    let id = parameters.change_id.parse();
+    let entry = parameters.entry_id.parse();
     Ok(Change {
         content,
         entry: entry.map_err(|error: masticsill_types::IdError| {
-            FieldError::new("id", sent.entry_id, error.to_string())
+            FieldError::new("id", parameters.entry_id, error.to_string())
         })?,
-        expected_version: CatalogueVersion(sent.expected_version),
+        expected_version: CatalogueVersion(parameters.expected_version),
         id: id.map_err(|error: masticsill_types::IdError| {
-            FieldError::new("change_id", sent.change_id, error.to_string())
+            FieldError::new("change_id", parameters.change_id, error.to_string())
         })?,
         operator: operator.operator.clone(),
     })
--- a/crates/masticsill_control/src/http/routed.rs
+++ b/crates/masticsill_control/src/http/document.rs
@@ -1,4 +1,4 @@
-//! The catalogue as one document, and the endpoints that registered themselves.
+//! Handlers for the catalogue document and the registered endpoints.
 
 use masticsill_wire::admin::{DocumentJson, EndpointJson, EndpointsJson, ErrorJson};
 use masticsill_wire::control::{ReadAnswer, ReadRequest};
@@ -10,7 +10,7 @@
 use super::operations::{read_state, unexpected};
 use super::{HttpState, reply};
 
-/// The document in force, read through the quorum.
+/// The document in force, as confirmed by the leader.
 pub(crate) async fn document(state: State<HttpState>, request: HttpRequest) -> HttpResponse {
     if let Err(refusal) = authenticate(&state, &request) {
         return refusal;
@@ -38,7 +38,7 @@
     }
 }
 
-/// The endpoints, as this replica knows them.
+/// The endpoints in this replica's registry.
 pub(crate) async fn endpoints(state: State<HttpState>, request: HttpRequest) -> HttpResponse {
     if let Err(refusal) = authenticate(&state, &request) {
         return refusal;
--- a/crates/masticsill_control/src/http/operations.rs
+++ b/crates/masticsill_control/src/http/operations.rs
@@ -1,4 +1,4 @@
-//! The audit trail, the control replicas and the health of this one.
+//! Handlers for the audit trail, the control replicas and the health of this replica.
 
 use masticsill_catalogue::OperatorScope;
 use masticsill_types::NodeId;
@@ -17,8 +17,8 @@
 use crate::config::OperatorConfig;
 use crate::rpc::Forward;
 
-const DEFAULT_LIMIT: u32 = 100;
-const MAX_LIMIT: u32 = 1_000;
+const DEFAULT_AUDIT_LIMIT: u32 = 100;
+const MAX_AUDIT_LIMIT: u32 = 1_000;
 
 /// Query of `GET /v1/audit`.
 #[derive(Debug, Deserialize)]
@@ -40,7 +40,10 @@
     };
     let read = ReadRequest::Audit {
         after: query.after.unwrap_or(0),
-        limit: query.limit.unwrap_or(DEFAULT_LIMIT).min(MAX_LIMIT),
+        limit: query
+            .limit
+            .unwrap_or(DEFAULT_AUDIT_LIMIT)
+            .min(MAX_AUDIT_LIMIT),
     };
     match read_state(&state, read).await {
         Ok(ReadAnswer::Audit(page)) => reply::ok(&AuditJson::from(&page)),
@@ -164,7 +167,7 @@
     }
 }
 
-/// Whether the process should be left running.
+/// Liveness: fails when the process must be restarted.
 pub(crate) async fn health(state: State<HttpState>) -> HttpResponse {
     if state.quorum.status().has_failed {
         let message = "storage or state failed; read the log and restart the process";
@@ -174,7 +177,7 @@
     reply::ok(&serde_json::json!({ "status": "ok" }))
 }
 
-/// Whether operators' calls should be sent here.
+/// Readiness: whether operators' calls should be sent to this replica.
 pub(crate) async fn readiness(state: State<HttpState>) -> HttpResponse {
     let status = state.quorum.status();
     let cause = if state.stopping.is_requested() {
--- a/crates/masticsill_control/src/http/reply.rs
+++ b/crates/masticsill_control/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the administration API.
+//! Responses of the administration API.
 
 use masticsill_catalogue::ChangeRefusal;
 use masticsill_control_client::ControlUnavailable;
@@ -51,7 +51,7 @@
     finish(response, &ErrorJson::new(reason, cause.to_string()))
 }
 
-/// Reads a body, or gives the refusal that names the place of the mistake.
+/// Parses a JSON body; the error is a response that names the position of the mistake.
 pub(crate) fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, HttpResponse> {
     serde_json::from_slice(body)
         .map_err(|error| bad_request(format!("the body is not valid: {error}; correct it")))
--- a/crates/masticsill_control/src/http/server.rs
+++ b/crates/masticsill_control/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Runs the HTTP server on the duty's thread.
+//! Runs the HTTP server on a thread of its own.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -11,8 +11,8 @@
 
 use super::{HttpState, configure};
 
-/// Time for open requests at a graceful stop; waiting watches end at once.
-const GRACE: Seconds = Seconds(5);
+/// Time for open requests at a graceful stop; catalogue watches return at once.
+const SHUTDOWN_TIMEOUT: Seconds = Seconds(5);
 
 /// The running HTTP duty.
 #[derive(Debug)]
@@ -44,12 +44,14 @@
         self.address
     }
 
-    /// Answers `/readyz` with a refusal and ends waiting watches from now on.
+    /// From now on `/readyz` reports the instance as not ready, and catalogue watches return at
+    /// once.
     pub(crate) fn refuse_readiness(&self) {
         self.stopping.request();
     }
 
-    /// Finishes the open requests, or cuts them, and ends the duty.
+    /// Stops the server. A graceful stop finishes the open requests first; otherwise they are
+    /// aborted.
     pub(crate) fn stop(self, is_graceful: bool) -> io::Result<()> {
         self.stopping.request();
         let _ = self.stop.send(is_graceful);
@@ -63,7 +65,7 @@
         let server = match run_server(listener, state) {
             Ok(server) => server,
             Err(error) => {
-                log::error!("the administration API can't be served: {error}");
+                log::error!("administration API could not be started: {error}");
                 return;
             }
         };
@@ -80,7 +82,7 @@
     let server = HttpServer::new(app)
         .workers(1)
         .disable_signals()
-        .shutdown_timeout(GRACE)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT)
         .listen(listener)?;
     Ok(server.run())
 }
--- a/crates/masticsill_control/src/lib.rs
+++ b/crates/masticsill_control/src/lib.rs
@@ -1,12 +1,12 @@
 //! The control role: the catalogue's quorum and the administration API.
 //!
-//! Duties, each on a thread of its own: the quorum (replicated log and state), the storage (one
-//! sync for many writes), the RPC edge (other replicas and nodes), the HTTP edge (operators) and,
+//! Each duty runs on its own thread: the quorum (replicated log and state), the storage (one sync
+//! for many writes), the RPC server (other replicas and nodes), the HTTP server (operators) and,
 //! once the membership is known, the orders to engines.
 
 mod admission;
 mod config;
-mod cutting;
+mod document_pieces;
 mod endpoints;
 mod error;
 pub mod events;
--- a/crates/masticsill_control/src/orders/calls.rs
+++ b/crates/masticsill_control/src/orders/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of agents.
+//! Calls to agents.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -19,23 +19,25 @@
 
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 const FENCE_TIMEOUT_MS: u64 = 1_000;
-/// Longer than an agent waits for its engine, and less than a planner waits for an effect.
+/// Longer than an agent waits for its engine, and shorter than the planner waits for the effect of
+/// an order.
 const ORDER_TIMEOUT_MS: u64 = 110_000;
 
-/// What came of telling an agent that orders of former terms are void.
+/// Outcome of telling an agent that orders of former terms are void.
 #[derive(Debug)]
-pub(crate) enum FenceEnd {
-    /// Nobody listens at its address: the process has ended, though the members don't know yet.
+pub(crate) enum FenceOutcome {
+    /// Nothing listens at the agent's address: the process has ended, though the membership does
+    /// not show that yet.
     Absent,
-    /// It refuses them from now on.
+    /// The agent refuses such orders from now on.
     Fenced(FenceReply),
-    /// It did not answer, and may have an order under way.
+    /// The agent did not answer, and may have an order in flight.
     Silent,
 }
 
-/// What an order needs on its way.
+/// Sends orders and fencing calls in one term.
 #[derive(Clone, Debug)]
-pub(crate) struct Giver {
+pub(crate) struct OrderSender {
     pub(crate) clock: MonotonicClock,
     pub(crate) lease_ms: u64,
     pub(crate) published: PublishedState,
@@ -43,9 +45,9 @@
     pub(crate) term: Term,
 }
 
-impl Giver {
-    /// Gives an order; one that could not be given counts as refused.
-    pub(crate) async fn give(&self, address: SocketAddr, planned: &PlannedOrder) -> OrderEnd {
+impl OrderSender {
+    /// Sends an order; an order that could not be sent counts as refused.
+    pub(crate) async fn send(&self, address: SocketAddr, planned: &PlannedOrder) -> OrderEnd {
         let Ok(client) = connect(address).await else {
             return OrderEnd::Refused;
         };
@@ -59,7 +61,8 @@
             },
             order: planned.order.clone(),
         };
-        // Any await before may have been a pause: what was proven then proves nothing now.
+        // The task may have been suspended at any await above, so an earlier proof of the lease may
+        // have expired.
         if !self.is_leading() {
             return OrderEnd::Refused;
         }
@@ -77,7 +80,7 @@
     }
 
     async fn draw_sequence(&self) -> Option<u64> {
-        let draw = |reply_to| Request::Act(Action::DrawOrderSequence, reply_to);
+        let draw = |reply_to| Request::Command(Action::DrawOrderSequence, reply_to);
         match self.quorum.ask(draw).await {
             ControlReply::Done(CommandAnswer::OrderSequence(sequence)) => Some(sequence),
             _ => None,
@@ -85,26 +88,28 @@
     }
 
     /// Tells an agent that orders of former terms are void.
-    pub(crate) async fn fence(&self, address: SocketAddr) -> FenceEnd {
+    pub(crate) async fn fence(&self, address: SocketAddr) -> FenceOutcome {
         let fencing = FencingNumber {
             term: self.term,
             sequence: 0,
         };
         let client = match connect(address).await {
             Ok(client) => client,
-            Err(error) if error.kind() == ErrorKind::ConnectionRefused => return FenceEnd::Absent,
-            Err(_) => return FenceEnd::Silent,
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+                return FenceOutcome::Absent;
+            }
+            Err(_) => return FenceOutcome::Silent,
         };
         let asking = client.fence(call_context(FENCE_TIMEOUT_MS), fencing);
         let bound = Duration::from_millis(FENCE_TIMEOUT_MS);
         match timeout(bound, asking).await {
-            Ok(Ok(reply)) => FenceEnd::Fenced(reply),
-            Ok(Err(_)) | Err(_) => FenceEnd::Silent,
+            Ok(Ok(reply)) => FenceOutcome::Fenced(reply),
+            Ok(Err(_)) | Err(_) => FenceOutcome::Silent,
         }
     }
 }
 
-/// Connects to an agent. The connection ends with the client.
+/// Connects to an agent. The connection is closed when the client is dropped.
 async fn connect(address: SocketAddr) -> io::Result<AgentServiceClient> {
     let transport = connect_transport(address, ServiceKind::Agent, CONNECT_TIMEOUT_MS);
     let new = AgentServiceClient::new(Config::default(), transport.await?);
--- a/crates/masticsill_control/src/orders/duty.rs
+++ b/crates/masticsill_control/src/orders/duty.rs
@@ -1,4 +1,4 @@
-//! The loop that gives orders while this replica leads.
+//! The loop that sends orders while this replica leads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval};
 
-use super::calls::{FenceEnd, Giver};
+use super::calls::{FenceOutcome, OrderSender};
 use super::session::{AgentIncarnation, Session};
 use crate::quorum::{PublishedState, QuorumHandle};
 
-const TICK: Duration = Duration::from_millis(100);
-/// More than the orders and fences under way at once: one an agent.
-const REPORTS: usize = 16_384;
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// More than the orders and fencing calls in flight at once: at most one for each agent.
+const REPORT_QUEUE_CAPACITY: usize = 16_384;
 
-/// What a call of an agent came to.
+/// Result of a call to an agent.
 #[derive(Debug)]
 enum Report {
-    Fenced(AgentIncarnation, FenceEnd),
+    Fenced(AgentIncarnation, FenceOutcome),
     Ended(PlannedOrder, OrderEnd),
 }
 
-/// The duty that gives orders to engines.
+/// The duty that sends orders to engines.
 #[derive(Debug)]
 pub(crate) struct OrdersDuty {
     pub(crate) clock: MonotonicClock,
@@ -39,9 +39,9 @@
 impl OrdersDuty {
     /// Runs until the replica ends.
     pub(crate) async fn run(self) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let reports = Ring::with_capacity(REPORTS);
+        let reports = Ring::with_capacity(REPORT_QUEUE_CAPACITY);
         let mut session = None;
         loop {
             tokio::select! {
@@ -60,23 +60,24 @@
         };
         let now = self.clock.now();
         match report {
-            Report::Ended(planned, end) => session.note_end(now, planned, end),
-            Report::Fenced(life, end) => session.note_fence(now, life, end),
+            Report::Ended(planned, end) => session.record_end(now, planned, end),
+            Report::Fenced(incarnation, end) => session.record_fence_outcome(now, incarnation, end),
         }
     }
 
     fn step(&self, session: &mut Option<Session>, reports: &Ring<(Term, Report)>) {
         let now = self.clock.now();
         let Some(term) = self.published.led_term(now, self.lease_ms) else {
-            // The session stays: the same term may be proven again, and then its orders go on.
+            // The session is kept: if the lease of the same term is confirmed again, its orders
+            // continue.
             return;
         };
         session.take_if(|session| session.term != term);
         let new = || Session::new(now, term, PlanLimits::default(), rand::random());
         let session = session.get_or_insert_with(new);
         let view = self.mesh.view();
-        for life in session.take_unfenced(now, &view) {
-            self.spawn_fence(term, life, reports);
+        for incarnation in session.take_unfenced(now, &view) {
+            self.spawn_fence(term, incarnation, reports);
         }
         for planned in session.plan(now, &self.published.catalogue(), &view) {
             if let Some(member) = view.get(&planned.agent) {
@@ -85,11 +86,16 @@
         }
     }
 
-    fn spawn_fence(&self, term: Term, life: AgentIncarnation, reports: &Ring<(Term, Report)>) {
-        let (giver, reports) = (self.giver(term), reports.clone());
+    fn spawn_fence(
+        &self,
+        term: Term,
+        incarnation: AgentIncarnation,
+        reports: &Ring<(Term, Report)>,
+    ) {
+        let (order_sender, reports) = (self.order_sender(term), reports.clone());
         spawn_local(async move {
-            let end = giver.fence(life.address).await;
-            let _ = reports.push((term, Report::Fenced(life, end)));
+            let end = order_sender.fence(incarnation.address).await;
+            let _ = reports.push((term, Report::Fenced(incarnation, end)));
         });
     }
 
@@ -100,15 +106,15 @@
         planned: PlannedOrder,
         reports: &Ring<(Term, Report)>,
     ) {
-        let (giver, reports) = (self.giver(term), reports.clone());
+        let (order_sender, reports) = (self.order_sender(term), reports.clone());
         spawn_local(async move {
-            let end = giver.give(address, &planned).await;
+            let end = order_sender.send(address, &planned).await;
             let _ = reports.push((term, Report::Ended(planned, end)));
         });
     }
 
-    fn giver(&self, term: Term) -> Giver {
-        Giver {
+    fn order_sender(&self, term: Term) -> OrderSender {
+        OrderSender {
             clock: self.clock,
             lease_ms: self.lease_ms,
             published: self.published.clone(),
--- a/crates/masticsill_control/src/orders/session.rs
+++ b/crates/masticsill_control/src/orders/session.rs
@@ -1,4 +1,4 @@
-//! One term of giving orders.
+//! State of the orders of one term of leadership.
 
 use std::net::SocketAddr;
 
@@ -9,16 +9,16 @@
 use masticsill_orders::{LoadPlanner, ObservedEngine, OrderEnd, PlanLimits, PlannedOrder};
 use masticsill_types::{ClockMs, EndpointKind, Incarnation, NodeId, Term, log_event};
 
-use super::calls::FenceEnd;
+use super::calls::FenceOutcome;
 use crate::events;
 
-/// How long a new leader waits at least, for its view of the members to become whole.
-const SETTLE_MS: u64 = 1_000;
+/// Shortest time that a new leader waits for its view of the members to become complete.
+const MIN_SETTLE_MS: u64 = 1_000;
 const FENCE_RETRY_MS: u64 = 500;
-/// A new leader must not open a connection to every agent at the same moment.
-const FENCES_AT_ONCE: usize = 128;
+/// Limits the connections that a new leader opens to agents at the same moment.
+const MAX_CONCURRENT_FENCES: usize = 128;
 
-/// One life of an agent, and where it listens.
+/// One incarnation of an agent, and the address where it listens.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct AgentIncarnation {
     pub(crate) address: SocketAddr,
@@ -26,13 +26,15 @@
     pub(crate) incarnation: Incarnation,
 }
 
-/// What the leader of one term knows of its orders.
+/// What the leader of one term knows of its orders and of the agents that it has fenced.
 #[derive(Debug)]
 pub(crate) struct Session {
-    /// Nobody listened there when it was asked last; asked again, as it may be a short cut.
+    /// Agents at whose address nothing listened at the last attempt. They are tried again, as the
+    /// connection may have failed only for a short time.
     absent: IndexSet<AgentIncarnation>,
-    /// Being asked, or not to be asked again before then.
-    asked: IndexMap<AgentIncarnation, Option<ClockMs>>,
+    /// Agents with a fencing call in flight (`None`), or the time before which the call is not
+    /// repeated.
+    fence_attempts: IndexMap<AgentIncarnation, Option<ClockMs>>,
     fenced: IndexSet<AgentIncarnation>,
     is_begun: bool,
     limits: PlanLimits,
@@ -45,7 +47,7 @@
     pub(crate) fn new(now: ClockMs, term: Term, limits: PlanLimits, seed: u64) -> Self {
         Self {
             absent: IndexSet::new(),
-            asked: IndexMap::new(),
+            fence_attempts: IndexMap::new(),
             fenced: IndexSet::new(),
             is_begun: false,
             limits,
@@ -55,54 +57,70 @@
         }
     }
 
-    /// Agents that are to be fenced now; each counts as asked.
+    /// Returns the agents to fence now, and marks each as having a call in flight.
     pub(crate) fn take_unfenced(
         &mut self,
         now: ClockMs,
         view: &MembershipView,
     ) -> Vec<AgentIncarnation> {
-        let lives: IndexSet<AgentIncarnation> = engine_members(view).map(|it| life(it.0)).collect();
-        self.fenced.retain(|life| lives.contains(life));
-        self.absent.retain(|life| lives.contains(life));
-        self.asked.retain(|life, _| lives.contains(life));
-        let is_due = |life: &AgentIncarnation| match self.asked.get(life) {
+        let incarnations: IndexSet<AgentIncarnation> = engine_members(view)
+            .map(|it| incarnation_of(it.0))
+            .collect();
+        self.fenced
+            .retain(|incarnation| incarnations.contains(incarnation));
+        self.absent
+            .retain(|incarnation| incarnations.contains(incarnation));
+        self.fence_attempts
+            .retain(|incarnation, _| incarnations.contains(incarnation));
+        let is_due = |incarnation: &AgentIncarnation| match self.fence_attempts.get(incarnation) {
             Some(retry_at) => retry_at.is_some_and(|retry_at| retry_at <= now),
-            None => !self.fenced.contains(life),
+            None => !self.fenced.contains(incarnation),
         };
-        let being_asked = self.asked.values().filter(|it| it.is_none()).count();
-        let due = lives.into_iter().filter(is_due);
+        let in_flight = self
+            .fence_attempts
+            .values()
+            .filter(|it| it.is_none())
+            .count();
+        let due = incarnations.into_iter().filter(is_due);
         let due: Vec<AgentIncarnation> = due
-            .take(FENCES_AT_ONCE.saturating_sub(being_asked))
+            .take(MAX_CONCURRENT_FENCES.saturating_sub(in_flight))
             .collect();
-        for life in &due {
-            self.asked.insert(life.clone(), None);
+        for incarnation in &due {
+            self.fence_attempts.insert(incarnation.clone(), None);
         }
         due
     }
 
-    pub(crate) fn note_fence(&mut self, now: ClockMs, life: AgentIncarnation, end: FenceEnd) {
-        self.absent.swap_remove(&life);
+    pub(crate) fn record_fence_outcome(
+        &mut self,
+        now: ClockMs,
+        incarnation: AgentIncarnation,
+        end: FenceOutcome,
+    ) {
+        self.absent.swap_remove(&incarnation);
         match end {
-            FenceEnd::Absent => {
-                self.asked.insert(life.clone(), Some(now + FENCE_RETRY_MS));
-                self.absent.insert(life);
+            FenceOutcome::Absent => {
+                self.fence_attempts
+                    .insert(incarnation.clone(), Some(now + FENCE_RETRY_MS));
+                self.absent.insert(incarnation);
             }
-            FenceEnd::Fenced(reply) => {
-                self.asked.swap_remove(&life);
+            FenceOutcome::Fenced(reply) => {
+                self.fence_attempts.swap_remove(&incarnation);
                 if let Some(order) = reply.under_way {
                     self.planner
-                        .record_in_flight(now, life.agent.clone(), order);
+                        .record_in_flight(now, incarnation.agent.clone(), order);
                 }
-                self.fenced.insert(life);
+                self.fenced.insert(incarnation);
             }
-            FenceEnd::Silent => {
-                log_event!(warn, events::AGENT_NOT_FENCED, agent = life.agent);
-                self.asked.insert(life, Some(now + FENCE_RETRY_MS));
+            FenceOutcome::Silent => {
+                log_event!(warn, events::AGENT_NOT_FENCED, agent = incarnation.agent);
+                self.fence_attempts
+                    .insert(incarnation, Some(now + FENCE_RETRY_MS));
             }
         }
     }
 
-    pub(crate) fn note_end(&mut self, now: ClockMs, ended: PlannedOrder, end: OrderEnd) {
+    pub(crate) fn record_end(&mut self, now: ClockMs, ended: PlannedOrder, end: OrderEnd) {
         log_event!(
             info,
             events::ORDER_ENDED,
@@ -113,7 +131,7 @@
         self.planner.record_end(now, ended, end);
     }
 
-    /// The orders to give now.
+    /// The orders to send now.
     pub(crate) fn plan(
         &mut self,
         now: ClockMs,
@@ -133,27 +151,30 @@
                 agent: member.node.clone(),
                 is_leaving: member.state == MemberState::Leaving,
                 loaded: loaded.to_vec(),
-                takes_orders: member.takes_work(now) && self.fenced.contains(&life(member)),
+                takes_orders: member.takes_work(now)
+                    && self.fenced.contains(&incarnation_of(member)),
                 zone: member.zone.clone(),
             })
             .collect();
         self.planner.step(now, catalogue, &engines)
     }
 
-    /// Until every agent that is there is fenced, a predecessor's order may be under way where nobody looked.
+    /// Whether orders may be sent: until every reachable agent is fenced, an order of a former
+    /// leader may be in flight at an agent that was not asked. After the timeout of an order none
+    /// can be.
     fn is_ready(&self, now: ClockMs, view: &MembershipView) -> bool {
         let age_ms = now.since(self.started_at);
         let mut members = engine_members(view);
         let is_settled = |(member, _): (&Member, _)| {
-            let life = life(member);
-            self.fenced.contains(&life) || self.absent.contains(&life)
+            let incarnation = incarnation_of(member);
+            self.fenced.contains(&incarnation) || self.absent.contains(&incarnation)
         };
-        let are_fenced = age_ms >= SETTLE_MS && members.all(is_settled);
+        let are_fenced = age_ms >= MIN_SETTLE_MS && members.all(is_settled);
         self.is_begun || are_fenced || age_ms >= self.limits.order_timeout_ms
     }
 }
 
-fn life(member: &Member) -> AgentIncarnation {
+fn incarnation_of(member: &Member) -> AgentIncarnation {
     AgentIncarnation {
         address: member.address,
         agent: member.node.clone(),
--- a/crates/masticsill_control/src/quorum.rs
+++ b/crates/masticsill_control/src/quorum.rs
@@ -1,19 +1,20 @@
-//! The quorum duty: the replicated log, the state it leads to and its storage.
+//! The quorum duty: the replicated log, the state machine that applies its entries, and the
+//! storage.
 
 mod duty;
 mod founding;
-mod machine;
 mod members;
 mod outputs;
+mod pending;
 mod published;
 mod request;
+mod state_machine;
 mod storage;
-mod waiting;
 
 pub(crate) use duty::{DutyParts, Outgoing, QuorumDuty};
-pub(crate) use machine::Machine;
-pub use machine::StateError;
 pub(crate) use members::voter;
 pub(crate) use published::PublishedState;
-pub(crate) use request::{JoiningReplica, QuorumHandle, ReplicaOrder, Request, Status};
+pub(crate) use request::{JoiningReplica, MembershipRequest, QuorumHandle, Request, Status};
+pub use state_machine::StateError;
+pub(crate) use state_machine::StateMachine;
 pub(crate) use storage::{Job, StorageProgress, StorageQueue, run_storage};
--- a/crates/masticsill_control/src/quorum/duty.rs
+++ b/crates/masticsill_control/src/quorum/duty.rs
@@ -1,4 +1,4 @@
-//! The loop that drives the replica.
+//! The event loop that drives the quorum replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,32 +18,33 @@
 use tokio::time::MissedTickBehavior;
 
 use super::founding::founding_members;
-use super::machine::{self, Machine, StateError};
+use super::pending::{PendingCall, PendingCalls};
 use super::published::PublishedState;
 use super::request::{Request, Status};
+use super::state_machine::{self, StateError, StateMachine};
 use super::storage::{StorageProgress, StorageQueue};
-use super::waiting::{Waiting, WaitingList};
 use crate::events;
 
-const TICK: Duration = Duration::from_millis(20);
-/// Requests taken together, so that their commands share a sync.
-const BATCH_REQUESTS: usize = 512;
-const BATCH_MESSAGES: usize = 256;
-/// Silence after which a spare member is removed: far beyond a restart, which takes about 1 s.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Most requests taken in one step, so that their commands share a sync.
+const MAX_BATCH_REQUESTS: usize = 512;
+const MAX_BATCH_MESSAGES: usize = 256;
+/// Silence after which a member that is not needed is removed: far longer than a restart, which
+/// takes about 1 s.
 const MEMBER_SILENCE_MS: u64 = 4_000;
 
-/// A message on its way to another replica.
+/// An encoded message to another replica.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub(crate) message: Vec<u8>,
     pub(crate) to: NodeId,
 }
 
-/// What the quorum duty is built from.
+/// Constructor arguments of [`QuorumDuty`].
 pub(crate) struct DutyParts {
     pub(crate) book: AddressBook,
     pub(crate) clock: MonotonicClock,
-    pub(crate) machine: Machine,
+    pub(crate) state_machine: StateMachine,
     pub(crate) messages: Ring<Envelope>,
     pub(crate) metrics: Metrics,
     pub(crate) outgoing: Ring<Outgoing>,
@@ -54,20 +55,20 @@
     pub(crate) status: watch::Sender<Status>,
     pub(crate) storage: StorageQueue,
     pub(crate) stored: StoredState,
-    /// Voters that the quorum keeps where it looks after itself.
-    pub(crate) wanted_voters: Option<usize>,
+    /// Voters that the quorum maintains by itself; `None` where operators maintain the members.
+    pub(crate) target_voters: Option<usize>,
 }
 
-/// The quorum duty.
+/// State of the quorum duty.
 pub(crate) struct QuorumDuty {
-    /// Answers of the commands that were committed in this step.
+    /// Answers of the commands that were applied in this step.
     pub(super) answers: IndexMap<LogIndex, CommandAnswer>,
     pub(super) book: AddressBook,
     pub(super) clock: MonotonicClock,
-    /// The founding members, while the log holds no other membership.
+    /// The founding members, while no later membership has replaced them.
     pub(super) founding: Option<Membership>,
     pub(super) is_stopping: bool,
-    pub(super) machine: Machine,
+    pub(super) state_machine: StateMachine,
     pub(super) messages: Ring<Envelope>,
     pub(super) metrics: Metrics,
     pub(super) outgoing: Ring<Outgoing>,
@@ -79,10 +80,10 @@
     pub(super) settings: ReplicaSettings,
     pub(super) status: watch::Sender<Status>,
     pub(super) storage: StorageQueue,
-    /// What storage holds while the folder belongs to no cluster.
+    /// Copy of the stored state, kept while the folder belongs to no cluster.
     pub(super) unfounded: Option<StoredState>,
-    pub(super) waiting: WaitingList,
-    wanted_voters: Option<usize>,
+    pub(super) pending: PendingCalls,
+    target_voters: Option<usize>,
 }
 
 impl QuorumDuty {
@@ -90,7 +91,7 @@
         let DutyParts {
             book,
             clock,
-            mut machine,
+            mut state_machine,
             messages,
             metrics,
             outgoing,
@@ -101,12 +102,12 @@
             status,
             storage,
             stored,
-            wanted_voters,
+            target_voters,
         } = parts;
         if let Some(snapshot) = &stored.snapshot {
-            machine.restore(snapshot)?;
+            state_machine.restore(snapshot)?;
         }
-        book.set_admitted(machine.state().replica_addresses());
+        book.set_admitted(state_machine.state().replica_addresses());
         let founding = founding_members(&stored);
         let unfounded = stored.snapshot.is_none().then(|| stored.clone());
         let replica = Replica::new(settings.clone(), stored, clock.now(), rand::random())?;
@@ -116,7 +117,7 @@
             clock,
             founding,
             is_stopping: false,
-            machine,
+            state_machine,
             messages,
             metrics,
             outgoing,
@@ -129,14 +130,14 @@
             status,
             storage,
             unfounded,
-            waiting: WaitingList::default(),
-            wanted_voters,
+            pending: PendingCalls::default(),
+            target_voters,
         })
     }
 
-    /// Runs until the requests are closed or something fails.
+    /// Runs until the requests are closed, or storage or state fails.
     pub(crate) async fn run(mut self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let messages = self.messages.clone();
         let requests = self.requests.clone();
@@ -168,9 +169,9 @@
             self.publish();
         }
         requests.close();
-        // A caller whose request is dropped hears that its outcome is not known.
+        // Dropping a request tells its caller that the outcome is unknown.
         while requests.try_pop().is_some() {}
-        self.waiting.abandon_all();
+        self.pending.abandon_all();
     }
 
     fn fail(&mut self) {
@@ -183,12 +184,12 @@
     fn take_progress(&mut self) -> Result<(), StateError> {
         let progress = self.progress.borrow_and_update().clone();
         if let Some(failure) = progress.failure {
-            // Nothing after this point may be promised: the data folder no longer takes it.
+            // Nothing may be acknowledged from here on: the data folder no longer accepts writes.
             log_event!(error, events::STORAGE_FAILED, cause = failure);
             self.fail();
             return Ok(());
         }
-        if self.storage.note_synced(progress.synced) {
+        if self.storage.record_synced(progress.synced) {
             let up_to = progress.synced;
             return self.step(Input::SyncDone { up_to });
         }
@@ -201,7 +202,7 @@
         while let Some(message) = next {
             self.step(Input::Message(message))?;
             taken += 1;
-            next = (taken < BATCH_MESSAGES)
+            next = (taken < MAX_BATCH_MESSAGES)
                 .then(|| self.messages.try_pop())
                 .flatten();
         }
@@ -214,7 +215,7 @@
         while let Some(request) = next {
             self.take_request(request).await?;
             taken += 1;
-            next = (taken < BATCH_REQUESTS)
+            next = (taken < MAX_BATCH_REQUESTS)
                 .then(|| self.requests.try_pop())
                 .flatten();
         }
@@ -227,8 +228,10 @@
 
     async fn take_request(&mut self, request: Request) -> Result<(), StateError> {
         match request {
-            Request::Act(action, reply_to) => self.propose(action, Waiting::Act(reply_to)),
-            Request::ChangeReplicas(order, reply_to) => self.change_replicas(order, reply_to),
+            Request::Command(action, reply_to) => {
+                self.propose(action, PendingCall::Command(reply_to));
+            }
+            Request::ChangeReplicas(change, reply_to) => self.change_replicas(change, reply_to),
             Request::Found(members, reply_to) => {
                 let is_taken = self.found(&members).await?;
                 let _ = reply_to.send(is_taken);
@@ -239,9 +242,9 @@
             Request::Identify(reply_to) => {
                 let _ = reply_to.send(self.identify());
             }
-            Request::Proof { version, as_of } => self.machine.renew_by_proof(version, as_of),
+            Request::Proof { version, as_of } => self.state_machine.renew_by_proof(version, as_of),
             Request::Read(request, reply_to) => {
-                let token = self.waiting.add(Waiting::Read(request, reply_to));
+                let token = self.pending.add(PendingCall::Read(request, reply_to));
                 return self.step(Input::ReadIndex { token });
             }
             Request::SnapshotTaken(index, data) => {
@@ -259,13 +262,13 @@
         Ok(())
     }
 
-    /// Queues a command; the queue becomes one proposal with one sync.
-    pub(super) fn propose(&mut self, action: Action, waiting: Waiting) {
+    /// Queues a command; all queued commands become one proposal with one sync.
+    pub(super) fn propose(&mut self, action: Action, pending: PendingCall) {
         if self.is_stopping {
-            return waiting.refuse(ControlReply::ShuttingDown);
+            return pending.refuse(ControlReply::ShuttingDown);
         }
-        let token = self.waiting.add(waiting);
-        let command = machine::encode_command(action);
+        let token = self.pending.add(pending);
+        let command = state_machine::encode_command(action);
         self.proposals.push(Proposal { token, command });
     }
 
@@ -291,24 +294,24 @@
 
     fn renew_own_proof(&mut self, now: ClockMs) {
         if let Some((index, as_of)) = self.replica.lease_read_point(now) {
-            self.machine.renew_as_leader(index, as_of);
+            self.state_machine.renew_as_leader(index, as_of);
         }
     }
 
     fn spare_members(&self, now: ClockMs) -> Vec<VoterId> {
-        let Some(wanted) = self.wanted_voters else {
+        let Some(target) = self.target_voters else {
             return Vec::new();
         };
         let replica = &self.replica;
-        replica.removable_members(now, MEMBER_SILENCE_MS, wanted)
+        replica.removable_members(now, MEMBER_SILENCE_MS, target)
     }
 
     fn publish(&mut self) {
         let now = self.clock.now();
         self.renew_own_proof(now);
-        let freshness = self.machine.freshness();
-        let state = self.machine.state();
-        // A sole voter that stops has no successor to wait for.
+        let freshness = self.state_machine.freshness();
+        let state = self.state_machine.state();
+        // A sole voter that stops has no successor to transfer leadership to.
         let is_ending = self.is_stopping && self.replica.membership().voters.len() == 1;
         let is_leader = self.replica.role() == Role::Leader && !is_ending;
         let current_as_of = self.replica.lease_read_point(now).filter(|_| is_leader);
@@ -325,7 +328,7 @@
             leader: self.replica.leader().map(|id| id.name.clone()),
             spare_members: self.spare_members(now),
             term: self.replica.term(),
-            version: self.machine.state().catalogue().version(),
+            version: self.state_machine.state().catalogue().version(),
             voters: self.replica.membership().voters.len(),
         };
         self.status.send_if_modified(|published| {
--- a/crates/masticsill_control/src/quorum/founding.rs
+++ b/crates/masticsill_control/src/quorum/founding.rs
@@ -1,4 +1,4 @@
-//! Founding and changing the members.
+//! Founding the cluster and changing its members.
 
 use masticsill_catalogue::Action;
 use masticsill_quorum::{LogIndex, Membership, Replica, Snapshot, StoredState};
@@ -7,39 +7,39 @@
 use tokio::sync::oneshot;
 
 use super::duty::QuorumDuty;
-use super::machine::StateError;
-use super::members::{self, Meaning};
-use super::request::{ReplicaOrder, ReplyTo};
-use super::waiting::Waiting;
+use super::members::{self, Interpretation};
+use super::pending::PendingCall;
+use super::request::{MembershipRequest, ReplyTo};
+use super::state_machine::StateError;
 use crate::events;
 
 impl QuorumDuty {
-    /// Records the change in the audit trail first; the change itself follows.
+    /// Proposes the audit record of a change; the change itself follows once that is committed.
     pub(super) fn change_replicas(
         &mut self,
-        order: ReplicaOrder,
+        membership_request: MembershipRequest,
         reply_to: ReplyTo<ReplicaAnswer>,
     ) {
         if self.replica.lease_read_point(self.clock.now()).is_none() {
-            // Only a leader knows the newest members.
+            // Only a leader with a valid lease knows the newest members.
             let leader = self.replica.leader();
             let leader = leader.map(|leader| members::hint(leader, &self.book));
             let _ = reply_to.send(ControlReply::NotLeader(leader));
             return;
         }
-        let change = match members::interpret(&order, self.replica.membership()) {
-            Meaning::AlreadyDone => {
+        let change = match members::interpret(&membership_request, self.replica.membership()) {
+            Interpretation::AlreadyDone => {
                 let _ = reply_to.send(ControlReply::Done(ReplicaAnswer::Accepted));
                 return;
             }
-            Meaning::Refused(text) => {
+            Interpretation::Refused(text) => {
                 let _ = reply_to.send(ControlReply::Done(ReplicaAnswer::Refused(text)));
                 return;
             }
-            Meaning::Change(change) => change,
+            Interpretation::Change(change) => change,
         };
-        let action = match order {
-            ReplicaOrder::Join {
+        let action = match membership_request {
+            MembershipRequest::Join {
                 replica, operator, ..
             } => Action::NoteReplicas {
                 address: replica.address,
@@ -47,20 +47,20 @@
                 operator,
                 replica: replica.id.name,
             },
-            ReplicaOrder::Remove { node, operator } => Action::NoteReplicas {
+            MembershipRequest::Remove { node, operator } => Action::NoteReplicas {
                 address: None,
                 is_added: false,
                 operator,
                 replica: node,
             },
-            ReplicaOrder::Trim { id, operator } => Action::NoteReplicas {
+            MembershipRequest::RemoveExact { id, operator } => Action::NoteReplicas {
                 address: None,
                 is_added: false,
                 operator,
                 replica: id.name,
             },
         };
-        self.propose(action, Waiting::Note(change, reply_to));
+        self.propose(action, PendingCall::AuditRecord(change, reply_to));
     }
 
     pub(super) fn identify(&self) -> (ReplicaIdentity, Vec<ReplicaIdentity>) {
@@ -70,7 +70,8 @@
         (own, founding)
     }
 
-    /// Takes the founding members into a folder that belongs to no cluster.
+    /// Stores the founding members in a folder that belongs to no cluster; returns whether this
+    /// replica belongs to a cluster afterwards.
     pub(super) async fn found(
         &mut self,
         identities: &[ReplicaIdentity],
@@ -90,7 +91,7 @@
         let (done, is_done) = oneshot::channel();
         self.storage.found(snapshot.clone(), done);
         if is_done.await.is_err() {
-            // Storage failed and says so itself.
+            // Storage failed; the storage duty reports the cause.
             return Ok(false);
         }
         stored.snapshot = Some(snapshot);
@@ -102,10 +103,11 @@
         Ok(true)
     }
 
-    /// Gives up a founding of which nothing came here; the replica goes on with a new identity.
+    /// Gives up a founding whose log is still empty here; the replica continues with a new
+    /// identity. Returns whether the founding was given up.
     ///
-    /// Nothing that counts is lost: without an entry this replica has taken part in no commit, and
-    /// its old identity never votes again, as if its disk had been lost.
+    /// No acknowledged entry is lost: with an empty log this replica has taken part in no commit,
+    /// and its old identity never votes again, as if its disk had been lost.
     pub(super) async fn give_up_founding(&mut self) -> bool {
         let has_entries = self.replica.last_index() > LogIndex::default();
         if !self.is_founded() || has_entries || !self.storage.is_synced() {
@@ -115,7 +117,7 @@
         let (done, is_done) = oneshot::channel();
         self.storage.give_up(done);
         let Ok(stored) = is_done.await else {
-            // Storage failed and says so itself.
+            // Storage failed; the storage duty reports the cause.
             return false;
         };
         self.unfounded = Some(stored.clone());
--- a/crates/masticsill_control/src/quorum/members.rs
+++ b/crates/masticsill_control/src/quorum/members.rs
@@ -1,4 +1,4 @@
-//! The members of the quorum, as callers name and see them.
+//! Membership requests and views of the members for callers.
 
 use masticsill_control_client::AddressBook;
 use masticsill_quorum::{FolderId, Membership, MembershipChange, Replica, VoterId};
@@ -7,36 +7,39 @@
     LeaderHint, ReplicaIdentity, ReplicaStanding, ReplicaView, ReplicasView,
 };
 
-use crate::quorum::request::ReplicaOrder;
+use crate::quorum::request::MembershipRequest;
 
-/// What an order means for the present members.
+/// The effect that a request has on the present members.
 #[derive(Debug)]
-pub(crate) enum Meaning {
-    /// It is done already.
+pub(crate) enum Interpretation {
+    /// None: the members are already as requested.
     AlreadyDone,
-    /// This change, of this replica.
+    /// This membership change.
     Change(MembershipChange),
-    /// Nothing that can be done; the text says why and what to do.
+    /// The request can't be carried out; the text says why and what to do.
     Refused(String),
 }
 
-pub(crate) fn interpret(order: &ReplicaOrder, membership: &Membership) -> Meaning {
-    match order {
-        ReplicaOrder::Join {
+pub(crate) fn interpret(
+    membership_request: &MembershipRequest,
+    membership: &Membership,
+) -> Interpretation {
+    match membership_request {
+        MembershipRequest::Join {
             replica, replaces, ..
         } => interpret_join(&replica.id, replaces.as_ref(), membership),
-        ReplicaOrder::Trim { id, .. } => {
+        MembershipRequest::RemoveExact { id, .. } => {
             if membership.is_member(id) {
-                Meaning::Change(MembershipChange::Remove { id: id.clone() })
+                Interpretation::Change(MembershipChange::Remove { id: id.clone() })
             } else {
-                Meaning::AlreadyDone
+                Interpretation::AlreadyDone
             }
         }
-        ReplicaOrder::Remove { node, .. } => {
+        MembershipRequest::Remove { node, .. } => {
             let member = membership.members().find(|member| member.name == *node);
             match member.cloned() {
-                Some(id) => Meaning::Change(MembershipChange::Remove { id }),
-                None => Meaning::Refused(format!(
+                Some(id) => Interpretation::Change(MembershipChange::Remove { id }),
+                None => Interpretation::Refused(format!(
                     "replica `{node}` is not a member; list the replicas and name one of them"
                 )),
             }
@@ -44,23 +47,27 @@
     }
 }
 
-fn interpret_join(id: &VoterId, replaces: Option<&NodeId>, membership: &Membership) -> Meaning {
+fn interpret_join(
+    id: &VoterId,
+    replaces: Option<&NodeId>,
+    membership: &Membership,
+) -> Interpretation {
     if membership.is_member(id) {
-        return Meaning::AlreadyDone;
+        return Interpretation::AlreadyDone;
     }
     let leaving = match replaces {
         None => None,
         Some(name) => {
             let voter = membership.voters.iter().find(|voter| voter.name == *name);
             let Some(voter) = voter else {
-                return Meaning::Refused(format!(
+                return Interpretation::Refused(format!(
                     "replica `{name}` is not a voter; list the replicas and name the one to replace"
                 ));
             };
             Some(voter.clone())
         }
     };
-    Meaning::Change(MembershipChange::Join {
+    Interpretation::Change(MembershipChange::Join {
         id: id.clone(),
         replaces: leaving,
     })
--- a/crates/masticsill_control/src/quorum/outputs.rs
+++ b/crates/masticsill_control/src/quorum/outputs.rs
@@ -1,4 +1,4 @@
-//! What the replica asks for, carried out: writes, messages, commands and callers' answers.
+//! Carries out the outputs of the replica: writes, messages, commands and callers' answers.
 
 use std::thread;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use masticsill_wire::control::{ControlReply, ReadAnswer, ReadRequest, ReplicaAnswer};
 
 use super::duty::{Outgoing, QuorumDuty};
-use super::machine::{self, StateError};
 use super::members;
+use super::pending::{PendingCall, Refused};
 use super::request::Request;
+use super::state_machine::{self, StateError};
 use super::storage;
-use super::waiting::{Refused, Waiting};
 use crate::events;
 
 const SNAPSHOT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-const TOO_MANY_RETRY_AFTER_MS: u64 = 200;
+const TOO_MANY_PENDING_RETRY_AFTER_MS: u64 = 200;
 const MEMBERSHIP_RETRY_AFTER_MS: u64 = 300;
 
 impl QuorumDuty {
@@ -44,7 +44,7 @@
             }
             Output::ReadReady { token, .. } => self.answer_read(token),
             Output::RefusedMembership { token, error } => {
-                if let Some(Waiting::Member(reply_to)) = self.waiting.take(token) {
+                if let Some(PendingCall::Membership(reply_to)) = self.pending.take(token) {
                     let _ = reply_to.send(refused_membership(&error));
                 }
             }
@@ -58,17 +58,17 @@
                 self.refuse(token, refused);
             }
             Output::RestoreSnapshot { snapshot } => {
-                self.machine.restore(&snapshot)?;
+                self.state_machine.restore(&snapshot)?;
                 self.founding = None;
                 self.unfounded = None;
                 self.book
-                    .set_admitted(self.machine.state().replica_addresses());
+                    .set_admitted(self.state_machine.state().replica_addresses());
                 log_event!(info, events::SNAPSHOT_RESTORED, index = snapshot.index);
             }
             Output::Send(envelope) => {
                 let to = envelope.to.name.clone();
                 let message = encode_message(envelope);
-                // The quorum bears lost messages; a full ring must not stop it.
+                // The quorum tolerates lost messages; a full ring must not block this duty.
                 let _ = self.outgoing.push(Outgoing { message, to });
             }
             Output::TakeSnapshot { index } => self.take_snapshot(index),
@@ -81,66 +81,68 @@
             self.unfounded = None;
         }
         if let Some(unfounded) = &mut self.unfounded {
-            storage::mirror(unfounded, &write);
+            storage::apply_write(unfounded, &write);
         }
         self.storage.write(point, write);
     }
 
     fn apply(&mut self, entries: &[Entry]) -> Result<(), StateError> {
         for entry in entries {
-            if let Some(answer) = self.machine.apply(entry)? {
+            if let Some(answer) = self.state_machine.apply(entry)? {
                 self.answers.insert(entry.index, answer);
             }
         }
         self.metrics
             .count("control.committed", entries.len() as u64);
         self.book
-            .set_admitted(self.machine.state().replica_addresses());
+            .set_admitted(self.state_machine.state().replica_addresses());
         Ok(())
     }
 
     fn answer_committed(&mut self, token: CallerToken, index: LogIndex) {
-        match self.waiting.take(token) {
-            Some(Waiting::Act(reply_to)) => {
+        match self.pending.take(token) {
+            Some(PendingCall::Command(reply_to)) => {
                 let answer = self.answers.swap_remove(&index);
                 let reply = answer.map_or(ControlReply::OutcomeUnknown, ControlReply::Done);
                 let _ = reply_to.send(reply);
             }
-            Some(Waiting::Member(reply_to)) => {
+            Some(PendingCall::Membership(reply_to)) => {
                 let _ = reply_to.send(ControlReply::Done(ReplicaAnswer::Accepted));
             }
-            Some(Waiting::Note(change, reply_to)) => {
-                let token = self.waiting.add(Waiting::Member(reply_to));
+            Some(PendingCall::AuditRecord(change, reply_to)) => {
+                let token = self.pending.add(PendingCall::Membership(reply_to));
                 let now = self.clock.now();
                 let input = Input::ChangeMembership { token, change };
                 let outputs = self.replica.step(now, input);
-                // A membership change commits nothing in the step that begins it.
+                // The step that starts a membership change commits nothing.
                 for output in outputs {
                     let result = self.carry_out(output);
                     debug_assert!(result.is_ok(), "no entry is applied in this step");
                 }
             }
-            Some(Waiting::Read(..)) | None => {}
+            Some(PendingCall::Read(..)) | None => {}
         }
     }
 
     fn answer_read(&mut self, token: CallerToken) {
-        let Some(Waiting::Read(request, reply_to)) = self.waiting.take(token) else {
+        let Some(PendingCall::Read(request, reply_to)) = self.pending.take(token) else {
             return;
         };
-        let catalogue = self.machine.state().catalogue();
+        let catalogue = self.state_machine.state().catalogue();
         let answer = match request {
             ReadRequest::Audit { after, limit } => {
-                ReadAnswer::Audit(self.machine.audit_page(after, limit))
+                ReadAnswer::Audit(self.state_machine.audit_page(after, limit))
             }
             ReadRequest::Catalogue { have } => {
                 ReadAnswer::Catalogue(catalogue.version(), catalogue.update_since(have))
             }
             ReadRequest::Entry { id } => ReadAnswer::Entry(catalogue.get(&id).cloned()),
-            ReadRequest::Document => ReadAnswer::Document(self.machine.state().document().cloned()),
+            ReadRequest::Document => {
+                ReadAnswer::Document(self.state_machine.state().document().cloned())
+            }
             ReadRequest::HighestOrder => ReadAnswer::HighestOrder(FencingNumber {
                 term: self.replica.term(),
-                sequence: self.machine.state().order_sequence(),
+                sequence: self.state_machine.state().order_sequence(),
             }),
             ReadRequest::Replicas => ReadAnswer::Replicas(members::view(&self.replica, &self.book)),
         };
@@ -148,8 +150,8 @@
     }
 
     fn refuse(&mut self, token: CallerToken, refused: Refused) {
-        if let Some(waiting) = self.waiting.take(token) {
-            waiting.refuse(refused);
+        if let Some(pending) = self.pending.take(token) {
+            pending.refuse(refused);
         }
     }
 
@@ -160,19 +162,20 @@
                 ControlReply::NotLeader(leader)
             }
             RefusalReason::TooManyPending => ControlReply::Overloaded {
-                retry_after_ms: TOO_MANY_RETRY_AFTER_MS,
+                retry_after_ms: TOO_MANY_PENDING_RETRY_AFTER_MS,
             },
         }
     }
 
-    /// Serialises a copy of the state on a thread of its own, so that heartbeats go on.
+    /// Encodes a copy of the state on a separate thread, so that heartbeats are not delayed.
     fn take_snapshot(&mut self, index: LogIndex) {
-        let state = self.machine.state().clone();
+        let state = self.state_machine.state().clone();
         let requests = self.requests.clone();
         let serialise = move || {
-            let data = machine::encode_state(state);
+            let data = state_machine::encode_state(state);
             let mut taken = Request::SnapshotTaken(index, data);
-            // The replica asks only once, so the answer must not get lost in a full ring.
+            // The replica requests a snapshot only once, so the result must not be dropped when the
+            // ring is full.
             while let Err(full) = requests.push(taken) {
                 if requests.is_closed() {
                     return;
--- a/crates/masticsill_control/src/quorum/published.rs
+++ b/crates/masticsill_control/src/quorum/published.rs
@@ -1,4 +1,5 @@
-//! The catalogue and its proof, as other duties see them without waiting.
+//! The catalogue and its proof of freshness, for other duties to read without waiting for the
+//! quorum duty.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -9,26 +10,26 @@
 use tokio::sync::watch;
 
 #[derive(Debug)]
-struct Shown {
+struct Published {
     catalogue: Arc<Catalogue>,
     document: Option<StoredDocument>,
     freshness: Freshness,
     leadership: Option<LeaderProof>,
 }
 
-/// What the quorum duty last published. Clones share it.
+/// The state that the quorum duty last published. Clones share it.
 ///
-/// A proof that is published late only counts as older, never as younger.
+/// A proof that is published late only counts as older than it is, never as younger.
 #[derive(Clone, Debug)]
 pub(crate) struct PublishedState {
-    copy: Arc<Mutex<Shown>>,
-    /// Version of the document, for those who wait for a newer one.
+    copy: Arc<Mutex<Published>>,
+    /// Version of the document, for duties that wait for a newer one.
     document_version: Arc<watch::Sender<Option<u64>>>,
 }
 
 impl PublishedState {
     pub(crate) fn new(started_at: ClockMs) -> Self {
-        let copy = Shown {
+        let copy = Published {
             catalogue: Arc::default(),
             document: None,
             freshness: Freshness::new(started_at),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Publishes the catalogue and the document, if their versions are others, and the proofs.
+    /// Publishes the proofs, and the catalogue and the document if their versions have changed.
     pub(crate) fn publish(
         &self,
         state: &ControlState,
@@ -73,12 +74,12 @@
         self.lock().document.clone()
     }
 
-    /// Follows the version of the document.
+    /// Subscribes to the version of the document.
     pub(crate) fn watch_document(&self) -> watch::Receiver<Option<u64>> {
         self.document_version.subscribe()
     }
 
-    /// The term that this replica leads within its lease.
+    /// The term that this replica leads, if its lease is valid at `now`.
     pub(crate) fn led_term(&self, now: ClockMs, lease_ms: u64) -> Option<Term> {
         self.lock().leadership?.led_term(now, lease_ms)
     }
@@ -88,7 +89,7 @@
         Arc::clone(&self.lock().catalogue)
     }
 
-    /// Answers a node or peer that renews its copy.
+    /// Answers a node or peer that renews its copy of the catalogue.
     pub(crate) fn answer_renewal(&self, now: ClockMs, request: RenewRequest) -> RenewReply {
         let (catalogue, freshness) = {
             let copy = self.lock();
@@ -101,7 +102,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Shown> {
+    fn lock(&self) -> MutexGuard<'_, Published> {
         self.copy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/masticsill_control/src/quorum/request.rs
+++ b/crates/masticsill_control/src/quorum/request.rs
@@ -1,4 +1,4 @@
-//! What other duties ask of the quorum duty, and what it publishes.
+//! Requests of other duties to the quorum duty, and the status that it publishes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,43 +14,44 @@
 use tokio::time::timeout;
 
 const OVERLOADED_RETRY_AFTER_MS: u64 = 200;
-/// Longest wait for the quorum duty; its answer to a command is not known after that.
-const ANSWER_BOUND: Duration = Duration::from_secs(5);
+/// Longest wait for the quorum duty; after that the outcome of a command is unknown.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where an answer goes.
+/// Channel for the reply to one request.
 pub(crate) type ReplyTo<T> = oneshot::Sender<ControlReply<T>>;
 
-/// What other duties ask of the quorum duty.
+/// A request of another duty to the quorum duty.
 #[derive(Debug)]
 pub(crate) enum Request {
-    /// Put a command into the log.
-    Act(Action, ReplyTo<CommandAnswer>),
+    /// Append a command to the log.
+    Command(Action, ReplyTo<CommandAnswer>),
     /// Change the members.
-    ChangeReplicas(ReplicaOrder, ReplyTo<ReplicaAnswer>),
-    /// Take the founding members.
+    ChangeReplicas(MembershipRequest, ReplyTo<ReplicaAnswer>),
+    /// Store the founding members; replies whether this replica belongs to a cluster afterwards.
     Found(Vec<ReplicaIdentity>, oneshot::Sender<bool>),
-    /// Give up a founding of which nothing came; tells whether it was.
+    /// Give up a founding whose log is still empty; replies whether it was given up.
     GiveUpFounding(oneshot::Sender<bool>),
-    /// Tell who this replica is, and the founding members while nothing has changed them.
+    /// Report this replica's identity, and the founding members while no later membership has
+    /// replaced them.
     Identify(oneshot::Sender<(ReplicaIdentity, Vec<ReplicaIdentity>)>),
-    /// A proof of freshness that the leader gave this replica.
+    /// Apply a proof of freshness from the leader.
     Proof {
-        /// The version that the proof is about.
+        /// The version that the proof applies to.
         version: CatalogueVersion,
-        /// When that version held every accepted change.
+        /// Time at which that version held every accepted change.
         as_of: ClockMs,
     },
-    /// Read the state as it is now.
+    /// Read the current state.
     Read(ReadRequest, ReplyTo<ReadAnswer>),
-    /// A snapshot of the state was serialised.
+    /// A snapshot of the state was encoded.
     SnapshotTaken(LogIndex, Vec<u8>),
-    /// Hand leadership over and accept nothing more.
+    /// Transfer leadership and accept no more commands.
     Stop,
 }
 
-/// A change of the members, with the identities looked up.
+/// A requested change of the members, with the identities resolved.
 #[derive(Debug)]
-pub(crate) enum ReplicaOrder {
+pub(crate) enum MembershipRequest {
     Join {
         replica: JoiningReplica,
         operator: OperatorId,
@@ -60,8 +61,8 @@
         node: NodeId,
         operator: OperatorId,
     },
-    /// Remove exactly this member, which may share its name with another.
-    Trim {
+    /// Remove the member with this identity; another member may have the same name.
+    RemoveExact {
         id: VoterId,
         operator: OperatorId,
     },
@@ -70,46 +71,47 @@
 /// A replica that is to be admitted.
 #[derive(Clone, Debug)]
 pub(crate) struct JoiningReplica {
-    /// The address that the operator named.
+    /// RPC address that the operator gave.
     pub(crate) address: Option<SocketAddr>,
-    /// Its identity.
+    /// Identity of the replica's folder.
     pub(crate) id: VoterId,
 }
 
-/// What the quorum duty publishes.
+/// Status that the quorum duty publishes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Status {
-    /// Whether storage or state failed, and the replica has stopped.
+    /// Whether storage failed or the state was unreadable, and the replica has stopped.
     pub(crate) has_failed: bool,
-    /// Whether the replica leads and has proved it.
+    /// Whether the replica leads and has confirmed its lease.
     pub(crate) is_leading: bool,
     /// Whether the folder belongs to a cluster.
     pub(crate) is_founded: bool,
-    /// The last entry of the log.
+    /// Index of the last entry of the log.
     pub(crate) last_index: LogIndex,
     /// The leader, if known.
     pub(crate) leader: Option<NodeId>,
-    /// Silent members that the quorum removes itself, while this replica leads.
+    /// Silent members that the quorum may remove by itself; only known while this replica leads.
     pub(crate) spare_members: Vec<VoterId>,
-    /// The term.
+    /// The current term.
     pub(crate) term: Term,
     /// The version of the applied catalogue.
     pub(crate) version: CatalogueVersion,
-    /// Voters of the newest membership.
+    /// Number of voters of the newest membership.
     pub(crate) voters: usize,
 }
 
-/// The other duties' end of the quorum duty.
+/// Handle through which other duties send requests to the quorum duty.
 #[derive(Clone, Debug)]
 pub(crate) struct QuorumHandle {
-    /// Messages of other replicas; apart, so that no crowd of callers keeps heartbeats out.
+    /// Messages of other replicas; in a separate queue, so that many callers can't delay
+    /// heartbeats.
     pub(crate) messages: Ring<Envelope>,
     pub(crate) requests: Ring<Request>,
     pub(crate) status: watch::Receiver<Status>,
 }
 
 impl QuorumHandle {
-    /// Asks something that only the leader answers.
+    /// Sends a request that only the leader answers.
     pub(crate) async fn ask<T>(
         &self,
         request: impl FnOnce(ReplyTo<T>) -> Request,
@@ -124,20 +126,21 @@
                 }
             };
         }
-        let reply = timeout(ANSWER_BOUND, reply).await;
+        let reply = timeout(ANSWER_TIMEOUT, reply).await;
         reply.map_or(ControlReply::OutcomeUnknown, |reply| {
             reply.unwrap_or(ControlReply::OutcomeUnknown)
         })
     }
 
-    /// Asks something that every replica answers; `None` when it has stopped or is overloaded.
+    /// Sends a request that every replica answers; `None` when the replica has stopped, is
+    /// overloaded or does not answer in time.
     pub(crate) async fn ask_any<T>(
         &self,
         request: impl FnOnce(oneshot::Sender<T>) -> Request,
     ) -> Option<T> {
         let (reply_to, reply) = oneshot::channel();
         self.requests.push(request(reply_to)).ok()?;
-        timeout(ANSWER_BOUND, reply).await.ok()?.ok()
+        timeout(ANSWER_TIMEOUT, reply).await.ok()?.ok()
     }
 
     pub(crate) fn status(&self) -> Status {
--- a/crates/masticsill_control/src/quorum/machine.rs
+++ b/crates/masticsill_control/src/quorum/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state of this replica, its durable form and its freshness.
+//! The replicated state of this replica, its durable encoding and its freshness.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Bytes of the log or of a snapshot that this version can't read.
+/// An entry of the log or a snapshot can't be decoded by this version.
 #[derive(Clone, Debug, Error)]
 #[error("{what} can't be read ({source}); run the version of masticsill that wrote it, or newer")]
 pub struct StateError {
@@ -19,31 +19,31 @@
     source: postcard::Error,
 }
 
-/// The durable form of a command. Variants are only ever added at the end.
+/// Durable encoding of a command. Variants are only ever added at the end.
 #[derive(Deserialize, Serialize)]
 enum StoredCommand {
     V1(Command),
 }
 
-/// The durable form of the state. Variants are only ever added at the end.
+/// Durable encoding of the state. Variants are only ever added at the end.
 #[derive(Deserialize, Serialize)]
 enum StoredState {
     V1(ControlState),
-    /// With the catalogue as one document.
+    /// The state together with the catalogue document.
     V2(ControlState, Option<StoredDocument>),
 }
 
-/// The replicated state, applied up to an index.
+/// The replicated state and the index up to which it is applied.
 #[derive(Debug)]
-pub(crate) struct Machine {
+pub(crate) struct StateMachine {
     applied: LogIndex,
-    /// A proof about a version that is not applied here yet.
+    /// A proof of freshness for a version that is not applied here yet.
     awaited_proof: Option<(CatalogueVersion, ClockMs)>,
     freshness: Freshness,
     state: ControlState,
 }
 
-impl Machine {
+impl StateMachine {
     pub(crate) fn new(started_at: ClockMs) -> Self {
         Self {
             applied: LogIndex::default(),
@@ -57,7 +57,7 @@
         &self.state
     }
 
-    /// Replaces the state by a snapshot's; a founding snapshot holds none.
+    /// Replaces the state by that of a snapshot; a founding snapshot holds no state.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), StateError> {
         let what = "the snapshot";
         self.state = if snapshot.data.is_empty() {
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Applies a committed entry; returns the answer when it holds a command.
+    /// Applies a committed entry; returns the answer if the entry holds a command.
     pub(crate) fn apply(&mut self, entry: &Entry) -> Result<Option<CommandAnswer>, StateError> {
         let answer = match &entry.payload {
             Payload::Command(bytes) => {
@@ -89,20 +89,23 @@
         Ok(answer)
     }
 
-    /// Takes in that this state, as applied up to `index`, held every accepted change at `as_of`.
+    /// Renews the freshness of this state if it is applied up to `index`: at `as_of` it held every
+    /// accepted change.
     pub(crate) fn renew_as_leader(&mut self, index: LogIndex, as_of: ClockMs) {
         if self.applied >= index {
             self.freshness.renew(as_of);
         }
     }
 
-    /// Takes in the leader's proof about a version, now or once that version is applied.
+    /// Renews the freshness by the leader's proof for a version, now or once that version is
+    /// applied.
     pub(crate) fn renew_by_proof(&mut self, version: CatalogueVersion, as_of: ClockMs) {
         self.renew_if_awaited();
         if self.state.catalogue().version() >= version {
             self.freshness.renew(as_of);
         } else if self.awaited_proof.is_none() {
-            // The first is kept, so that a stream of newer ones can't starve it.
+            // The oldest pending proof is kept: if each newer one replaced it, a steady stream of
+            // proofs for versions not yet applied could keep the state from ever being renewed.
             self.awaited_proof = Some((version, as_of));
         }
     }
@@ -131,7 +134,7 @@
     }
 }
 
-/// A command's durable form, stamped with the wall clock.
+/// Encodes a command with the current wall-clock time.
 pub(crate) fn encode_command(action: Action) -> Arc<[u8]> {
     let command = Command {
         action,
@@ -141,7 +144,7 @@
     Arc::from(bytes.expect("commands always encode into memory"))
 }
 
-/// The state's durable form.
+/// Encodes the state for a snapshot.
 pub(crate) fn encode_state(state: ControlState) -> Vec<u8> {
     let document = state.document().cloned();
     let bytes = postcard::to_stdvec(&StoredState::V2(state, document));
--- a/crates/masticsill_control/src/quorum/storage.rs
+++ b/crates/masticsill_control/src/quorum/storage.rs
@@ -1,4 +1,4 @@
-//! The storage duty: many writes, one sync.
+//! The storage duty: batches writes so that many share one sync.
 
 use std::collections::VecDeque;
 
@@ -7,31 +7,31 @@
 use masticsill_runtime::Ring;
 use tokio::sync::{oneshot, watch};
 
-/// What the storage duty is told to do, in order.
+/// A job for the storage duty; jobs are carried out in order.
 #[derive(Debug)]
 pub(crate) enum Job {
-    /// Store the founding members and answer once they are durable.
+    /// Store the founding members and reply once they are durable.
     Found(Snapshot, oneshot::Sender<()>),
-    /// Give the founding up and answer with what the folder holds then.
+    /// Give up the founding and reply with the state that the folder holds afterwards.
     GiveUp(oneshot::Sender<StoredState>),
-    /// Write, and report the point once it is synced.
+    /// Write, and report the sync point once the write is synced.
     Write(SyncPoint, Write),
 }
 
-/// How far the storage duty has come.
+/// Progress of the storage duty.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StorageProgress {
-    /// Why nothing more is written.
+    /// The error after which nothing more is written.
     pub(crate) failure: Option<String>,
     /// Every write up to here is durable.
     pub(crate) synced: SyncPoint,
 }
 
-/// The quorum duty's end of the storage duty. It never loses a job: what the ring can't take
-/// waits here.
+/// Queue of jobs for the storage duty. No job is lost: what the ring can't take waits in the
+/// backlog.
 #[derive(Debug)]
 pub(crate) struct StorageQueue {
-    asked: SyncPoint,
+    requested: SyncPoint,
     backlog: VecDeque<Job>,
     jobs: Ring<Job>,
     synced: SyncPoint,
@@ -40,7 +40,7 @@
 impl StorageQueue {
     pub(crate) fn new(jobs: Ring<Job>) -> Self {
         Self {
-            asked: SyncPoint::default(),
+            requested: SyncPoint::default(),
             backlog: VecDeque::new(),
             jobs,
             synced: SyncPoint::default(),
@@ -48,39 +48,41 @@
     }
 
     pub(crate) fn write(&mut self, point: SyncPoint, write: Write) {
-        self.asked = point;
+        self.requested = point;
         self.push(Job::Write(point, write));
     }
 
-    /// Stores the founding members; the order of points begins anew with the next write.
+    /// Queues the founding members for storage; sync points start from the beginning with the next
+    /// write.
     pub(crate) fn found(&mut self, snapshot: Snapshot, done: oneshot::Sender<()>) {
-        self.asked = SyncPoint::default();
+        self.requested = SyncPoint::default();
         self.synced = SyncPoint::default();
         self.push(Job::Found(snapshot, done));
     }
 
-    /// Gives the founding up; the order of points begins anew with the next write.
+    /// Queues giving up the founding; sync points start from the beginning with the next write.
     pub(crate) fn give_up(&mut self, done: oneshot::Sender<StoredState>) {
-        self.asked = SyncPoint::default();
+        self.requested = SyncPoint::default();
         self.synced = SyncPoint::default();
         self.push(Job::GiveUp(done));
     }
 
     /// Whether every write is durable.
     pub(crate) fn is_synced(&self) -> bool {
-        self.asked == self.synced
+        self.requested == self.synced
     }
 
-    /// Notes that writes are durable; returns whether any is newly so.
-    pub(crate) fn note_synced(&mut self, point: SyncPoint) -> bool {
-        let is_news = point > self.synced && point <= self.asked;
-        if is_news {
+    /// Records that writes up to `point` are durable; returns whether this is newer than what was
+    /// known.
+    pub(crate) fn record_synced(&mut self, point: SyncPoint) -> bool {
+        let is_newer = point > self.synced && point <= self.requested;
+        if is_newer {
             self.synced = point;
         }
-        is_news
+        is_newer
     }
 
-    /// Hands over what the ring could not take before.
+    /// Moves jobs from the backlog to the ring as far as the ring has room.
     pub(crate) fn flush(&mut self) {
         while let Some(job) = self.backlog.pop_front() {
             if let Err(full) = self.jobs.push(job) {
@@ -111,7 +113,7 @@
     }
 }
 
-/// Carries out everything that waits, with one sync at the end.
+/// Carries out all queued jobs, with one sync at the end.
 fn take_jobs(
     storage: &mut Storage,
     first: Job,
@@ -148,8 +150,8 @@
     Ok(())
 }
 
-/// Keeps a copy of what storage holds in step with a write.
-pub(crate) fn mirror(stored: &mut StoredState, write: &Write) {
+/// Applies a write to a copy of the stored state.
+pub(crate) fn apply_write(stored: &mut StoredState, write: &Write) {
     match write {
         Write::Append { entries } => stored.entries.extend(entries.iter().cloned()),
         Write::Snapshot { snapshot } => {
--- a/crates/masticsill_control/src/recovery.rs
+++ b/crates/masticsill_control/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What to do when the majority of the replicas is lost for good.
+//! Recovery after the permanent loss of a majority of the replicas.
 
 use std::path::Path;
 
@@ -7,13 +7,13 @@
 
 use crate::error::ControlError;
 
-/// Makes the replica of a data folder the only voter of its cluster. Its process must not run.
+/// Makes the replica of a data folder the sole voter of its cluster. Its process must not run.
 ///
-/// For the loss of a majority that can't be undone, and then on the one surviving replica with the
-/// highest catalogue version only. Changes and claims that were accepted and had not reached this
-/// folder are lost: a call that may not be repeated can run twice, and a catalogue version can be
-/// given a second time. The folders of all other replicas must be destroyed before, or they would
-/// go on as a second cluster; nodes must be restarted after, so that none keeps a lost version.
+/// Use this only after the permanent loss of a majority, and only on the surviving replica with the
+/// highest catalogue version. Changes and claims that were accepted but had not reached this folder
+/// are lost: a call that may not be repeated can run twice, and a catalogue version can be assigned
+/// a second time. Destroy the folders of all other replicas first, or those replicas would continue
+/// as a second cluster; restart the nodes afterwards, so that none keeps a lost version.
 ///
 /// # Errors
 ///
--- a/crates/masticsill_control/src/role.rs
+++ b/crates/masticsill_control/src/role.rs
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 
 use crate::config::ControlConfig;
-use crate::cutting::{CutDocuments, run_cutting};
-use crate::endpoints::{EndpointHub, read_endpoints, run_memory};
+use crate::document_pieces::{DocumentPieces, run_splitting};
+use crate::endpoints::{EndpointHub, read_endpoints, run_persistence};
 use crate::error::ControlError;
 use crate::events;
 use crate::gauges::ControlGauges;
@@ -26,18 +26,18 @@
 use crate::http::{self, HttpEdge};
 use crate::orders::OrdersDuty;
 use crate::quorum::{
-    DutyParts, Job, Machine, PublishedState, QuorumDuty, QuorumHandle, Request, Status,
+    DutyParts, Job, PublishedState, QuorumDuty, QuorumHandle, Request, StateMachine, Status,
     StorageProgress, StorageQueue, run_storage,
 };
 use crate::rpc::{self, RpcParts};
-use crate::unreadable::UnreadableWords;
+use crate::unreadable::UnreadableMessages;
 
-const REQUESTS: usize = 8_192;
-const JOBS: usize = 4_096;
-const MESSAGES: usize = 16_384;
-const CALLS: usize = 1_024;
-/// How long a stop waits for another replica to take leadership over.
-const HANDOVER_BOUND: Duration = Duration::from_secs(2);
+const REQUEST_QUEUE_CAPACITY: usize = 8_192;
+const STORAGE_QUEUE_CAPACITY: usize = 4_096;
+const MESSAGE_QUEUE_CAPACITY: usize = 16_384;
+const CALL_QUEUE_CAPACITY: usize = 1_024;
+/// Longest wait of a stop for the transfer of leadership.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A running control replica.
@@ -50,7 +50,7 @@
     http: HttpEdge,
     jobs: Ring<Job>,
     lease_ms: u64,
-    patience: SpaceWaitCanceller,
+    space_wait_canceller: SpaceWaitCanceller,
     published: PublishedState,
     quorum: QuorumHandle,
 }
@@ -63,24 +63,25 @@
     }
 }
 
-/// The registry of endpoints, with those that were known when this process ended last.
+/// The registry of endpoints, with the records that the former process persisted.
 fn restored_endpoints(
     config: &ControlConfig,
     clock: MonotonicClock,
-    unreadable: &UnreadableWords,
+    unreadable: &UnreadableMessages,
 ) -> EndpointHub {
     let zone = config.zone.clone();
     let endpoints = EndpointHub::new(clock, config.endpoints, zone, unreadable.clone());
-    let remembered = read_endpoints(&config.data_folder);
-    endpoints.restore(&remembered.endpoints);
-    endpoints.suspects().take(&remembered.suspects);
+    let persisted = read_endpoints(&config.data_folder);
+    endpoints.restore(&persisted.endpoints);
+    endpoints.suspects().merge(&persisted.suspects);
     endpoints
 }
 
 impl ControlRole {
-    /// Opens the data folder and starts the replica's duties.
+    /// Opens the data folder and starts the duties of the replica.
     ///
-    /// Gauges are shown by `registry`; `connections` brings the connections to [`ServiceKind::Control`] that the process accepts.
+    /// Gauges are registered with `registry`; `connections` brings the connections to
+    /// [`ServiceKind::Control`] that the process accepts.
     ///
     /// [`ServiceKind::Control`]: masticsill_wire::ServiceKind::Control
     ///
@@ -96,21 +97,21 @@
     ) -> Result<Self, ControlError> {
         let node = config.node.clone();
         let (storage, recovered) = Storage::open(&config.data_folder, &config.cluster, &node)?;
-        let patience = storage.space_wait_canceller();
+        let space_wait_canceller = storage.space_wait_canceller();
         let book = AddressBook::from_settings(config.peers.clone());
         book.add_seeds(config.seeds.iter().copied());
-        let requests = Ring::with_capacity(REQUESTS);
-        let messages = Ring::with_capacity(MESSAGES);
-        let jobs = Ring::with_capacity(JOBS);
-        let outgoing = Ring::with_capacity(MESSAGES);
-        let calls = Ring::with_capacity(CALLS);
+        let requests = Ring::with_capacity(REQUEST_QUEUE_CAPACITY);
+        let messages = Ring::with_capacity(MESSAGE_QUEUE_CAPACITY);
+        let jobs = Ring::with_capacity(STORAGE_QUEUE_CAPACITY);
+        let outgoing = Ring::with_capacity(MESSAGE_QUEUE_CAPACITY);
+        let calls = Ring::with_capacity(CALL_QUEUE_CAPACITY);
         let (status, status_receiver) = watch::channel(Status::default());
         let (progress, progress_receiver) = watch::channel(StorageProgress::default());
         let published = PublishedState::new(clock.now());
         let quorum_duty = QuorumDuty::new(DutyParts {
             book: book.clone(),
             clock,
-            machine: Machine::new(clock.now()),
+            state_machine: StateMachine::new(clock.now()),
             messages: messages.clone(),
             metrics,
             outgoing: outgoing.clone(),
@@ -121,7 +122,7 @@
             status,
             storage: StorageQueue::new(jobs.clone()),
             stored: recovered.state,
-            wanted_voters: config.admission.wanted_voters(),
+            target_voters: config.admission.target_voters(),
         })?;
         let quorum = QuorumHandle {
             messages,
@@ -129,12 +130,12 @@
             status: status_receiver,
         };
         let ended = ShutdownSignal::default();
-        let unreadable = UnreadableWords::new(clock);
+        let unreadable = UnreadableMessages::new(clock);
         unreadable.register(registry);
         let endpoints = restored_endpoints(config, clock, &unreadable);
-        let memory = (config.data_folder.clone(), endpoints.clone(), ended.clone());
-        let documents = CutDocuments::default();
-        let cutting = (documents.clone(), published.clone(), ended.clone());
+        let persistence_parts = (config.data_folder.clone(), endpoints.clone(), ended.clone());
+        let documents = DocumentPieces::default();
+        let splitting_parts = (documents.clone(), published.clone(), ended.clone());
         let parts = RpcParts {
             book: book.clone(),
             calls: calls.clone(),
@@ -151,26 +152,26 @@
         let rpc_config = config.clone();
         let http_state = http::state(config, &quorum, &calls, &endpoints);
         let http = HttpEdge::start(config.http_address, http_state)?;
-        let heartbeats = HeartbeatSink::Here(endpoints);
+        let heartbeats = HeartbeatSink::Local(endpoints);
         let handle = ControlHandle {
             calls,
             heartbeats,
             unreadable,
         };
-        let jobs_taken = jobs.clone();
+        let storage_jobs = jobs.clone();
         let duties = vec![
             spawn_async_duty("control_rpc", || rpc::run(rpc_config, parts))?,
             spawn_async_duty("control_storage", || {
-                run_storage(storage, jobs_taken, progress)
+                run_storage(storage, storage_jobs, progress)
             })?,
             spawn_async_duty("control_quorum", || quorum_duty.run())?,
             spawn_async_duty("control_endpoints", || {
-                let (folder, endpoints, ended) = memory;
-                run_memory(folder, endpoints, ended)
+                let (folder, endpoints, ended) = persistence_parts;
+                run_persistence(folder, endpoints, ended)
             })?,
             spawn_async_duty("control_cutting", || {
-                let (documents, published, ended) = cutting;
-                run_cutting(documents, published, ended)
+                let (documents, published, ended) = splitting_parts;
+                run_splitting(documents, published, ended)
             })?,
         ];
         log_event!(
@@ -189,15 +190,15 @@
             http,
             jobs,
             lease_ms: config.replica.lease_ms,
-            patience,
+            space_wait_canceller,
             published,
             quorum,
         })
     }
 
-    /// Starts to give orders to engines whenever this replica leads.
+    /// Starts the duty that sends orders to engines while this replica leads.
     ///
-    /// `mesh` tells which engines there are; it runs in this process, on the same clock.
+    /// `mesh` lists the engines; it runs in this process, on the same clock.
     ///
     /// # Errors
     ///
@@ -216,12 +217,12 @@
         Ok(())
     }
 
-    /// Takes addresses of control that became known after the start.
+    /// Adds addresses of control that became known after the start.
     pub fn add_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.book.add_seeds(seeds);
     }
 
-    /// What edges of this process use.
+    /// A handle through which this process's servers call control.
     #[must_use]
     pub fn handle(&self) -> ControlHandle {
         self.handle.clone()
@@ -233,26 +234,29 @@
         self.http.address()
     }
 
-    /// Answers renewals of catalogue copies at once, from this replica's state and its proof.
+    /// Returns a function that answers renewals of catalogue copies without waiting, from this
+    /// replica's state and proof of freshness.
     pub fn renewals(&self) -> impl Fn(RenewRequest) -> RenewReply + Send + Sync + 'static {
         let published = self.published.clone();
         let clock = self.clock;
         move |request| published.answer_renewal(clock.now(), request)
     }
 
-    /// Whether storage or state failed: the replica has stopped and the process must end.
+    /// Whether storage failed or the state was unreadable: the replica has stopped and the process
+    /// must end.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.quorum.status().has_failed
     }
 
-    /// Whether this replica leads and has proved it within its lease.
+    /// Whether this replica leads and has confirmed its lease.
     #[must_use]
     pub fn is_leading(&self) -> bool {
         self.quorum.status().is_leading
     }
 
-    /// Ends the replica: hands leadership over, finishes the calls under way, syncs and stops.
+    /// Stops the replica gracefully: transfers leadership, finishes the calls in flight, syncs and
+    /// stops.
     ///
     /// # Errors
     ///
@@ -265,7 +269,8 @@
         self.end(true)
     }
 
-    /// Ends the replica at once, as far as a process can do that to itself.
+    /// Stops the replica without a transfer of leadership and without finishing its calls, as close
+    /// to a crash as a process can bring about itself.
     ///
     /// # Errors
     ///
@@ -281,8 +286,8 @@
         self.quorum.requests.close();
         self.ended.request();
         self.jobs.close();
-        // A write that is given up is never reported as synced, so nothing acknowledged needs it.
-        self.patience.cancel();
+        // A cancelled write is never reported as synced, so nothing acknowledged depends on it.
+        self.space_wait_canceller.cancel();
         for duty in self.duties {
             duty.join()?;
         }
@@ -291,8 +296,8 @@
     }
 
     fn await_handover(&self) {
-        let bound = Instant::now() + HANDOVER_BOUND;
-        while self.is_leading() && Instant::now() < bound {
+        let deadline = Instant::now() + HANDOVER_TIMEOUT;
+        while self.is_leading() && Instant::now() < deadline {
             thread::sleep(POLL_INTERVAL);
         }
     }
--- a/crates/masticsill_control/src/rpc.rs
+++ b/crates/masticsill_control/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The RPC duty: the service to other processes, and this replica's calls to its peers.
+//! The RPC duty: serves other processes, and makes this replica's calls to its peers.
 
 mod duty;
 mod founding;
@@ -8,6 +8,6 @@
 mod service;
 
 pub(crate) use duty::{RpcParts, run, serve_connections};
-pub(crate) use introductions::{Newcomer, attempt_of, note_introduction, run_introductions};
-pub(crate) use router::{FORWARD_BOUND_MS, Forward, ForwardReply};
+pub(crate) use introductions::{ProcessIdentity, attempt_of, note_introduction, run_introductions};
+pub(crate) use router::{FORWARD_TIMEOUT_MS, Forward, ForwardReply};
 pub(crate) use service::ControlServer;
--- a/crates/masticsill_control/src/rpc/duty.rs
+++ b/crates/masticsill_control/src/rpc/duty.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and runs this replica's own calls.
+//! Serves connections and runs the tasks that call other processes.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,26 +11,26 @@
 use tarpc::server::{BaseChannel, Channel};
 use tokio::task::spawn_local;
 
-use super::founding::{found_with_others, run_founding};
-use super::introductions::{Newcomer, run_introductions};
-use super::peers::{Sender, run_outgoing, run_proofs};
+use super::founding::{found_with_discovered, run_founding};
+use super::introductions::{ProcessIdentity, run_introductions};
+use super::peers::{LocalReplica, run_outgoing, run_proofs};
 use super::router::{Forward, run_router};
 use super::service::ControlServer;
-use crate::admission::{run_admission, run_trimming};
+use crate::admission::{run_admission, run_member_removal};
 use crate::config::{AdmissionPolicy, ControlConfig, FoundingPolicy};
-use crate::cutting::CutDocuments;
-use crate::endpoints::{EndpointHub, follow_prompts, run_exchange, run_judging};
+use crate::document_pieces::DocumentPieces;
+use crate::endpoints::{EndpointHub, follow_prompts, run_exchange, run_judgements};
 use crate::gauges::{ControlGauges, run_gauges};
 use crate::quorum::{Outgoing, PublishedState, QuorumHandle};
 
-/// What the RPC duty is built from.
+/// Arguments of [`run`].
 #[derive(Debug)]
 pub(crate) struct RpcParts {
     pub(crate) book: AddressBook,
     pub(crate) calls: Ring<Forward>,
     pub(crate) clock: MonotonicClock,
     pub(crate) connections: Ring<ServiceStream>,
-    pub(crate) documents: CutDocuments,
+    pub(crate) documents: DocumentPieces,
     pub(crate) endpoints: EndpointHub,
     pub(crate) ended: ShutdownSignal,
     pub(crate) gauges: ControlGauges,
@@ -41,13 +41,13 @@
 
 /// Serves until the replica ends.
 pub(crate) async fn run(config: ControlConfig, parts: RpcParts) {
-    let sender = Sender {
+    let local = LocalReplica {
         address: config.rpc_address,
         node: config.node.clone(),
     };
     parts
         .book
-        .record_announced(sender.node.clone(), sender.address);
+        .record_announced(local.node.clone(), local.address);
     let server = ControlServer {
         book: parts.book.clone(),
         client: ControlClient::new(parts.book.clone()),
@@ -60,36 +60,37 @@
         quorum: parts.quorum,
         reservations: Arc::new(Mutex::new(FoundingReservation::new(parts.clock.now()))),
     };
-    start_tasks(&config, &server, &sender);
+    start_tasks(&config, &server, &local);
     spawn_local(run_gauges(server.clone(), parts.gauges));
     spawn_local(run_proofs(server.clone()));
-    spawn_local(run_outgoing(sender, parts.book, parts.outgoing));
+    spawn_local(run_outgoing(local, parts.book, parts.outgoing));
     spawn_local(run_router(server.clone(), parts.calls));
     tokio::select! {
         () = serve_connections(&parts.connections, server) => {}
         () = parts.ended.requested() => {}
     }
-    // What the process still accepts is closed at once, so that peers turn elsewhere.
+    // Connections that the process still accepts are closed at once, so that peers call another
+    // replica.
     parts.connections.close();
     while parts.connections.try_pop().is_some() {}
 }
 
-fn start_tasks(config: &ControlConfig, server: &ControlServer, sender: &Sender) {
-    let newcomer = Newcomer {
-        address: sender.address,
+fn start_tasks(config: &ControlConfig, server: &ControlServer, local: &LocalReplica) {
+    let identity = ProcessIdentity {
+        address: local.address,
         keeps_state: true,
-        node: sender.node.clone(),
+        node: local.node.clone(),
     };
     let status = server.quorum.clone();
     let is_founded = move || status.status().is_founded;
     spawn_local(run_introductions(
         server.client.clone(),
-        newcomer,
+        identity,
         is_founded,
     ));
     match &config.founding {
         FoundingPolicy::Discovered { voters } => {
-            spawn_local(found_with_others(server.clone(), *voters));
+            spawn_local(found_with_discovered(server.clone(), *voters));
         }
         FoundingPolicy::Named(founders) => {
             let node = config.node.clone();
@@ -98,21 +99,21 @@
         FoundingPolicy::Never => {}
     }
     spawn_local(run_exchange(server.clone(), config.node.clone()));
-    spawn_local(run_judging(server.endpoints.suspects().clone()));
-    if let Some(call) = &config.prompt_cache_feed {
-        spawn_local(follow_prompts(server.endpoints.clone(), call.clone()));
+    spawn_local(run_judgements(server.endpoints.suspects().clone()));
+    if let Some(feed) = &config.prompt_cache_feed {
+        spawn_local(follow_prompts(server.endpoints.clone(), feed.clone()));
     }
     match config.admission {
         AdmissionPolicy::Operators => {}
         AdmissionPolicy::Quorum { .. } => {
             let (node, address) = (config.node.clone(), config.rpc_address);
             spawn_local(run_admission(server.clone(), node, address));
-            spawn_local(run_trimming(server.clone()));
+            spawn_local(run_member_removal(server.clone()));
         }
     }
 }
 
-/// Answers the calls of every connection that the process accepts, until there are no more.
+/// Answers the calls of every connection that the process accepts, until the ring is closed.
 pub(crate) async fn serve_connections<S>(connections: &Ring<ServiceStream>, server: S)
 where
     S: ControlService + Clone + 'static,
--- a/crates/masticsill_control/src/rpc/founding.rs
+++ b/crates/masticsill_control/src/rpc/founding.rs
@@ -1,9 +1,10 @@
-//! Founding a cluster out of new folders.
+//! Founding a cluster of replicas with new folders.
 //!
-//! One replica decides, so that no two differ, and its decision is durable before the others hear
-//! of it; it repeats it until each has it. A replica that belongs to a cluster already stops a
-//! second founding. Where the founders are named, the first of them decides once every one is up
-//! with a new folder. Where they are found, the one decides that has reserved them all.
+//! A single replica decides on the members, so that there is only one decision; it stores the
+//! decision durably before it notifies the others, and repeats the notification until every member
+//! has received it. A replica that already belongs to a cluster prevents a second founding. Where
+//! the founders are named, the first of them decides once all of them are up with new folders.
+//! Where they are discovered, the replica decides that has reserved all the members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,9 +19,10 @@
 use crate::events;
 use crate::quorum::Request;
 
-const INTERVAL: Duration = Duration::from_millis(100);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Founds the cluster if that falls to this replica, and ends when nothing is left to do.
+/// Founds the cluster if this replica is the first of the founders; returns when nothing is left to
+/// do.
 pub(crate) async fn run_founding(server: ControlServer, node: NodeId, founders: Vec<NodeId>) {
     let Some((own, _)) = server.quorum.ask_any(Request::Identify).await else {
         return;
@@ -31,43 +33,46 @@
         }
         return;
     }
-    let mut told = IndexSet::from([node]);
+    let mut notified = IndexSet::from([node]);
     loop {
         let Some((own, founding)) = server.quorum.ask_any(Request::Identify).await else {
             return;
         };
         let is_done = if own.is_founded {
-            tell_members(&server, &founding, &mut told).await
+            notify_members(&server, &founding, &mut notified).await
         } else {
             found_if_all_new(&server, own, &founders).await
         };
         if is_done {
             return;
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(ATTEMPT_INTERVAL).await;
     }
 }
 
-/// Gives the founding members to each of them; returns whether every one has them.
-async fn tell_members(
+/// Sends the founding members to each of them; returns whether all have received them.
+async fn notify_members(
     server: &ControlServer,
     founding: &[ReplicaIdentity],
-    told: &mut IndexSet<NodeId>,
+    notified: &mut IndexSet<NodeId>,
 ) -> bool {
     for member in founding {
-        if told.contains(&member.node) {
+        if notified.contains(&member.node) {
             continue;
         }
         if let Some(address) = server.book.get(&member.node)
             && server.client.found(address, founding).await
         {
-            told.insert(member.node.clone());
+            notified.insert(member.node.clone());
         }
     }
-    founding.iter().all(|member| told.contains(&member.node))
+    founding
+        .iter()
+        .all(|member| notified.contains(&member.node))
 }
 
-/// Founds the cluster here once every founder is up with a new folder; returns whether to give up.
+/// Founds the cluster at this replica once every founder is up with a new folder; returns whether
+/// to give up.
 async fn found_if_all_new(
     server: &ControlServer,
     own: ReplicaIdentity,
@@ -86,13 +91,14 @@
             return false;
         };
         if identity.is_founded {
-            // The cluster exists, so this folder was lost and an operator must admit the new one.
+            // The cluster exists, so this replica's folder was lost, and an operator must admit the
+            // new one.
             log_event!(warn, events::WAITS_FOR_ADMISSION, node = own.node);
             return true;
         }
         members.push(identity);
     }
-    if knows_cluster(server).await {
+    if is_cluster_known(server).await {
         log_event!(warn, events::WAITS_FOR_ADMISSION, node = own.node);
         return true;
     }
@@ -101,8 +107,8 @@
     false
 }
 
-/// Whether any replica that answers, founder or not, belongs to a cluster already.
-async fn knows_cluster(server: &ControlServer) -> bool {
+/// Whether any replica that answers, founder or not, already belongs to a cluster.
+async fn is_cluster_known(server: &ControlServer) -> bool {
     for address in server.book.all() {
         let identity = server.client.identify(address).await;
         if identity.is_some_and(|identity| identity.is_founded) {
@@ -112,12 +118,12 @@
     false
 }
 
-/// Founds the cluster with the replicas that are found, unless one of them does it first.
-pub(crate) async fn found_with_others(server: ControlServer, voters: usize) {
+/// Founds the cluster with the discovered replicas, unless one of them does so first.
+pub(crate) async fn found_with_discovered(server: ControlServer, voters: usize) {
     let mut plan = FoundingPlan::new(server.clock.now(), server.node.clone(), voters);
     let mut number = 0;
     loop {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(ATTEMPT_INTERVAL).await;
         if server.quorum.status().is_founded || server.reservations().cluster_exists() {
             break;
         }
@@ -127,7 +133,7 @@
         let Some(members) = plan.members(server.clock.now()) else {
             continue;
         };
-        if knows_cluster(&server).await {
+        if is_cluster_known(&server).await {
             server.reservations().note_cluster_exists();
             break;
         }
@@ -145,22 +151,22 @@
             plan.back_off(server.clock.now());
         }
     }
-    let mut told = IndexSet::from([server.node.clone()]);
+    let mut notified = IndexSet::from([server.node.clone()]);
     loop {
         let Some((own, founding)) = server.quorum.ask_any(Request::Identify).await else {
             return;
         };
-        // Only the proposer tells the members: the others were told by it.
+        // Only the proposer notifies the members; all others were notified by the proposer.
         let is_proposer = number > 0 && own.is_founded;
-        if !is_proposer || tell_members(&server, &founding, &mut told).await {
+        if !is_proposer || notify_members(&server, &founding, &mut notified).await {
             return;
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(ATTEMPT_INTERVAL).await;
     }
 }
 
-/// Founds the cluster here once all members and most seeds are reserved for it; returns whether
-/// it did.
+/// Founds the cluster at this replica if all members and a majority of the seeds are reserved for
+/// the proposal; returns whether the cluster was founded.
 async fn propose(
     server: &ControlServer,
     plan: &mut FoundingPlan,
@@ -191,7 +197,8 @@
     false
 }
 
-/// Reserves every member and a majority of the seeds.
+/// Reserves every member and the seeds; returns whether all members and a majority of the seeds are
+/// reserved.
 async fn reserve(
     server: &ControlServer,
     plan: &mut FoundingPlan,
@@ -225,7 +232,7 @@
     granted * 2 > seeds.len()
 }
 
-/// The members' identities, if all of them answer and none belongs to a cluster.
+/// The members' identities; `None` if a member does not answer or already belongs to a cluster.
 async fn identify_all(server: &ControlServer, members: &[NodeId]) -> Option<Vec<ReplicaIdentity>> {
     let mut identities = Vec::with_capacity(members.len());
     for member in members {
--- a/crates/masticsill_control/src/rpc/introductions.rs
+++ b/crates/masticsill_control/src/rpc/introductions.rs
@@ -1,8 +1,8 @@
-//! How the processes that serve control find each other.
+//! Discovery among the processes that serve control.
 //!
-//! Each introduces itself to the seeds and to every process without state that it knows, and is
-//! told of the replicas known there. A process without state forgets all at a restart, so
-//! introductions go on for good.
+//! Each process introduces itself to the seeds and to every process without state that it knows,
+//! and gets the replicas known there in return. A process without state loses what it knows at a
+//! restart, so introductions are repeated indefinitely.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,47 +14,49 @@
 use masticsill_types::NodeId;
 use masticsill_wire::control::{FoundingProposal, Introduction};
 
-/// Pause until an address has answered for the first time; founding waits for it.
-const FIRST_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause afterwards: a process without state is told again within a second of its restart.
-const INTERVAL: Duration = Duration::from_secs(1);
+/// Pause while any address is unanswered; founding waits for the answers.
+const UNANSWERED_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause once all addresses have answered: a process without state gets the next introduction
+/// within a second of its restart.
+const INTRODUCTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A process that introduces itself.
+/// Identity of a process that introduces itself.
 #[derive(Clone, Debug)]
-pub(crate) struct Newcomer {
+pub(crate) struct ProcessIdentity {
     pub(crate) address: SocketAddr,
     pub(crate) keeps_state: bool,
     pub(crate) node: NodeId,
 }
 
-/// Introduces a process for good.
+/// Introduces a process to the others, repeatedly; never returns.
 pub(crate) async fn run_introductions(
     client: ControlClient,
-    newcomer: Newcomer,
+    identity: ProcessIdentity,
     is_founded: impl Fn() -> bool,
 ) {
-    let mut keeping = IndexSet::new();
+    let mut stateful = IndexSet::new();
     loop {
         let introduction = Introduction {
-            address: newcomer.address,
+            address: identity.address,
             is_founded: is_founded(),
-            keeps_state: newcomer.keeps_state,
-            node: newcomer.node.clone(),
+            keeps_state: identity.keeps_state,
+            node: identity.node.clone(),
         };
         let others = client.book().all().into_iter();
-        // Replicas know each other by the quorum's messages and by what others tell.
-        let is_needless = |address: &SocketAddr| {
-            *address == newcomer.address || (newcomer.keeps_state && keeping.contains(address))
+        // Replicas learn about each other through quorum messages and from the replies to
+        // introductions.
+        let is_skipped = |address: &SocketAddr| {
+            *address == identity.address || (identity.keeps_state && stateful.contains(address))
         };
-        let others: Vec<SocketAddr> = others.filter(|it| !is_needless(it)).collect();
+        let others: Vec<SocketAddr> = others.filter(|it| !is_skipped(it)).collect();
         let asking = others.iter().map(|address| {
             let answer = client.directory(*address, Some(&introduction));
             async { (*address, answer.await) }
         });
-        let mut has_missed = false;
+        let mut is_any_unanswered = false;
         for (address, answer) in join_all(asking).await {
             let Some(directory) = answer else {
-                has_missed = true;
+                is_any_unanswered = true;
                 continue;
             };
             for (node, replica) in directory.replicas {
@@ -62,15 +64,19 @@
             }
             if directory.keeps_state {
                 client.book().record_announced(directory.node, address);
-                keeping.insert(address);
+                stateful.insert(address);
             }
         }
-        let pause = if has_missed { FIRST_INTERVAL } else { INTERVAL };
+        let pause = if is_any_unanswered {
+            UNANSWERED_INTERVAL
+        } else {
+            INTRODUCTION_INTERVAL
+        };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Notes who introduced itself.
+/// Records the address of a process that introduced itself.
 pub(crate) fn note_introduction(book: &AddressBook, introduction: &Introduction) {
     if introduction.keeps_state {
         book.record_announced(introduction.node.clone(), introduction.address);
@@ -79,7 +85,7 @@
     }
 }
 
-/// A founding as the decisions name it.
+/// Converts a proposal to the type that the founding logic uses.
 pub(crate) fn attempt_of(proposal: FoundingProposal) -> FoundingAttempt {
     FoundingAttempt {
         number: proposal.number,
--- a/crates/masticsill_control/src/rpc/peers.rs
+++ b/crates/masticsill_control/src/rpc/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to the other replicas, and the proofs of freshness that the leader gives.
+//! Sends messages to the other replicas, and requests proofs of freshness from the leader.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 const BATCH_TIMEOUT_MS: u64 = 1_000;
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 const PROOF_INTERVAL: Duration = Duration::from_millis(250);
-/// Messages that may wait for one peer; the quorum sends again what is dropped.
-const QUEUE_MESSAGES: usize = 4_096;
-/// Message bytes in one call.
-const BATCH_BYTES: usize = 1024 * 1024;
+/// Most messages queued for one peer; the quorum resends what is dropped.
+const PEER_QUEUE_CAPACITY: usize = 4_096;
+/// Message bytes after which no further message is added to a call.
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
-/// This replica, as it introduces itself.
+/// Name and address of this replica, sent with every batch.
 #[derive(Clone, Debug)]
-pub(crate) struct Sender {
+pub(crate) struct LocalReplica {
     pub(crate) address: SocketAddr,
     pub(crate) node: NodeId,
 }
 
-impl Sender {
+impl LocalReplica {
     fn batch(&self, messages: Vec<Vec<u8>>) -> QuorumBatch {
         QuorumBatch {
             address: self.address,
@@ -37,23 +37,24 @@
     }
 }
 
-/// Gives each peer a queue and a task of its own, so that none waits for another.
-pub(crate) async fn run_outgoing(sender: Sender, book: AddressBook, outgoing: Ring<Outgoing>) {
+/// Sends messages through a queue and a task for each peer, so that a slow peer does not delay
+/// others.
+pub(crate) async fn run_outgoing(local: LocalReplica, book: AddressBook, outgoing: Ring<Outgoing>) {
     let mut queues: IndexMap<NodeId, Ring<Vec<u8>>> = IndexMap::new();
     while let Some(Outgoing { message, to }) = outgoing.pop().await {
         let queue = queues.entry(to.clone()).or_insert_with(|| {
-            let queue = Ring::with_capacity(QUEUE_MESSAGES);
+            let queue = Ring::with_capacity(PEER_QUEUE_CAPACITY);
             let peer = Peer {
                 book: book.clone(),
                 connection: None,
                 node: to,
                 queue: queue.clone(),
-                sender: sender.clone(),
+                local: local.clone(),
             };
             tokio::task::spawn_local(peer.run());
             queue
         });
-        // What doesn't fit is lost, as on a network.
+        // A message that doesn't fit is dropped, as a network may do.
         let _ = queue.push(message);
     }
 }
@@ -63,16 +64,16 @@
     connection: Option<(SocketAddr, ControlServiceClient)>,
     node: NodeId,
     queue: Ring<Vec<u8>>,
-    sender: Sender,
+    local: LocalReplica,
 }
 
 impl Peer {
     async fn run(mut self) {
         while let Some(first) = self.queue.pop().await {
-            let batch = self.sender.batch(self.take_batch(first));
+            let batch = self.local.batch(self.take_batch(first));
             if !self.send(batch).await {
                 self.connection = None;
-                // Old messages are of no use to a peer that was away.
+                // Messages queued meanwhile are outdated for a peer that was unreachable.
                 while self.queue.try_pop().is_some() {}
                 tokio::time::sleep(RECONNECT_PAUSE).await;
             }
@@ -82,7 +83,7 @@
     fn take_batch(&self, first: Vec<u8>) -> Vec<Vec<u8>> {
         let mut size_bytes = first.len();
         let mut messages = vec![first];
-        while size_bytes < BATCH_BYTES
+        while size_bytes < MAX_BATCH_BYTES
             && let Some(message) = self.queue.try_pop()
         {
             size_bytes += message.len();
@@ -114,7 +115,7 @@
     client.quorum_messages(context, batch).await.is_ok()
 }
 
-/// Asks the leader for proofs of freshness while this replica does not lead.
+/// Requests proofs of freshness from the leader while this replica does not lead.
 pub(crate) async fn run_proofs(server: ControlServer) {
     loop {
         tokio::time::sleep(PROOF_INTERVAL).await;
@@ -126,7 +127,8 @@
         let Some(address) = leader else {
             continue;
         };
-        // The proof counts from here: the network may hold the answer back.
+        // The age is subtracted from the time of sending, as the answer may have been delayed in
+        // the network.
         let sent_at = server.clock.now();
         let have = status.version;
         let Some(reply) = server.client.renew(address, RenewRequest { have }).await else {
--- a/crates/masticsill_control/src/rpc/router.rs
+++ b/crates/masticsill_control/src/rpc/router.rs
@@ -1,4 +1,5 @@
-//! Operators' calls: answered here by the leader, passed on to it by every other replica.
+//! Routes calls of this process: the leader answers them itself, every other replica forwards them
+//! to the leader.
 
 use masticsill_catalogue::{ChangeAnswer, DocumentAnswer};
 use masticsill_control_client::ControlUnavailable;
@@ -12,13 +13,13 @@
 
 use super::service::ControlServer;
 
-/// Time for the whole of a call that is passed on, in milliseconds.
-pub(crate) const FORWARD_BOUND_MS: u64 = 5_000;
+/// Timeout of a forwarded call including its retries, in milliseconds.
+pub(crate) const FORWARD_TIMEOUT_MS: u64 = 5_000;
 
-/// Where the answer to a call goes.
+/// Channel for the answer to a call.
 pub(crate) type ForwardReply<T> = oneshot::Sender<Result<T, ControlUnavailable>>;
 
-/// An operator's call on its way to the leader.
+/// A call of an operator or an endpoint, to be answered here or by the leader.
 #[derive(Debug)]
 pub(crate) enum Forward {
     Announce(Announcement, ForwardReply<()>),
@@ -29,7 +30,7 @@
     Replicas(ReplicaChange, ForwardReply<ReplicaAnswer>),
 }
 
-/// Takes calls until the ring is closed.
+/// Routes calls until the ring is closed.
 pub(crate) async fn run_router(server: ControlServer, calls: Ring<Forward>) {
     while let Some(call) = calls.pop().await {
         tokio::task::spawn_local(route(server.clone(), call));
@@ -37,7 +38,7 @@
 }
 
 async fn route(server: ControlServer, call: Forward) {
-    let bound_ms = FORWARD_BOUND_MS;
+    let timeout_ms = FORWARD_TIMEOUT_MS;
     let client = server.client.clone();
     match call {
         Forward::Announce(announcement, reply_to) => {
@@ -49,35 +50,36 @@
             let _ = reply_to.send(Ok(()));
         }
         Forward::Change(request, reply_to) => {
-            let here = server.change_here(request.clone()).await;
-            let passed_on = client.change(&request, bound_ms);
-            let _ = reply_to.send(done_or(here, passed_on).await);
+            let local_reply = server.change_locally(request.clone()).await;
+            let forwarded = client.change(&request, timeout_ms);
+            let _ = reply_to.send(done_or_forwarded(local_reply, forwarded).await);
         }
         Forward::Document(change, reply_to) => {
-            let here = server.put_document_here(change.clone()).await;
-            let passed_on = client.put_document(&change, bound_ms);
-            let _ = reply_to.send(done_or(here, passed_on).await);
+            let local_reply = server.put_document_locally(change.clone()).await;
+            let forwarded = client.put_document(&change, timeout_ms);
+            let _ = reply_to.send(done_or_forwarded(local_reply, forwarded).await);
         }
         Forward::Read(request, reply_to) => {
-            let here = server.read_here(request.clone()).await;
-            let passed_on = client.read(&request, bound_ms);
-            let _ = reply_to.send(done_or(here, passed_on).await);
+            let local_reply = server.read_locally(request.clone()).await;
+            let forwarded = client.read(&request, timeout_ms);
+            let _ = reply_to.send(done_or_forwarded(local_reply, forwarded).await);
         }
         Forward::Replicas(change, reply_to) => {
-            let here = server.change_replicas_here(change.clone()).await;
-            let passed_on = client.change_replicas(&change, bound_ms);
-            let _ = reply_to.send(done_or(here, passed_on).await);
+            let local_reply = server.change_replicas_locally(change.clone()).await;
+            let forwarded = client.change_replicas(&change, timeout_ms);
+            let _ = reply_to.send(done_or_forwarded(local_reply, forwarded).await);
         }
     }
 }
 
-/// The answer that was had here, or else that of the call passed on, which begins only now.
-async fn done_or<T>(
-    here: ControlReply<T>,
-    passed_on: impl Future<Output = Result<T, ControlUnavailable>>,
+/// Returns the local answer, or else that of the forwarded call. The forwarded call starts only
+/// when the future is awaited.
+async fn done_or_forwarded<T>(
+    local_reply: ControlReply<T>,
+    forwarded: impl Future<Output = Result<T, ControlUnavailable>>,
 ) -> Result<T, ControlUnavailable> {
-    match here {
+    match local_reply {
         ControlReply::Done(answer) => Ok(answer),
-        _ => passed_on.await,
+        _ => forwarded.await,
     }
 }
