--- a/crates/masticsill_control/src/rpc/service.rs
+++ b/crates/masticsill_control/src/rpc/service.rs
@@ -1,4 +1,4 @@
-//! The service that this replica offers to other processes.
+//! The control service as implemented by a replica.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,20 +23,22 @@
 use tarpc::context::Context;
 
 use super::introductions::{attempt_of, note_introduction};
-use crate::cutting::CutDocuments;
+use crate::document_pieces::DocumentPieces;
 use crate::endpoints::EndpointHub;
 use crate::events;
-use crate::quorum::{JoiningReplica, PublishedState, QuorumHandle, ReplicaOrder, Request, voter};
+use crate::quorum::{
+    JoiningReplica, MembershipRequest, PublishedState, QuorumHandle, Request, voter,
+};
 
-/// Answers other processes. Each connection has a clone.
+/// Answers calls of other processes. Each connection has a clone.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlServer {
     pub(crate) book: AddressBook,
     pub(crate) client: ControlClient,
     pub(crate) clock: MonotonicClock,
-    pub(crate) documents: CutDocuments,
+    pub(crate) documents: DocumentPieces,
     pub(crate) endpoints: EndpointHub,
-    /// The addresses of control that every process of a first start is told alike.
+    /// The configured seeds, which are the same in every process when the cluster is first started.
     pub(crate) first_seeds: Arc<[SocketAddr]>,
     pub(crate) node: NodeId,
     pub(crate) published: PublishedState,
@@ -47,7 +49,7 @@
 impl ControlServer {
     async fn act(&self, action: Action) -> ControlReply<CommandAnswer> {
         self.quorum
-            .ask(|reply_to| Request::Act(action, reply_to))
+            .ask(|reply_to| Request::Command(action, reply_to))
             .await
     }
 
@@ -59,7 +61,10 @@
         })
     }
 
-    pub(crate) async fn change_here(&self, request: ChangeRequest) -> ControlReply<ChangeAnswer> {
+    pub(crate) async fn change_locally(
+        &self,
+        request: ChangeRequest,
+    ) -> ControlReply<ChangeAnswer> {
         let reply = self
             .act(Action::Change(request.change, request.scope))
             .await;
@@ -69,9 +74,9 @@
         })
     }
 
-    /// Puts a document in force. One that is as old as what is applied here changes nothing, so
-    /// any replica can say so.
-    pub(crate) async fn put_document_here(
+    /// Puts a document in force. A document that is not newer than the one applied here changes
+    /// nothing, so any replica can answer that it is superseded.
+    pub(crate) async fn put_document_locally(
         &self,
         change: DocumentChange,
     ) -> ControlReply<DocumentAnswer> {
@@ -87,46 +92,50 @@
         })
     }
 
-    pub(crate) async fn read_here(&self, request: ReadRequest) -> ControlReply<ReadAnswer> {
+    pub(crate) async fn read_locally(&self, request: ReadRequest) -> ControlReply<ReadAnswer> {
         self.quorum
             .ask(|reply_to| Request::Read(request, reply_to))
             .await
     }
 
-    pub(crate) async fn change_replicas_here(
+    pub(crate) async fn change_replicas_locally(
         &self,
         change: ReplicaChange,
     ) -> ControlReply<ReplicaAnswer> {
         let operator = change.operator;
-        let order = match change.action {
+        let membership_request = match change.action {
             ReplicaAction::Join {
                 address,
                 node,
                 replaces,
             } => {
                 if !self.quorum.status().is_leading {
-                    // The leader looks the new replica up itself.
+                    // The leader resolves the identity of the new replica itself.
                     return self.refuse_as_follower().await;
                 }
-                let id = match self.look_up(&node, address).await {
+                let id = match self.resolve_identity(&node, address).await {
                     Ok(id) => id,
                     Err(text) => return ControlReply::Done(ReplicaAnswer::Refused(text)),
                 };
-                ReplicaOrder::Join {
+                MembershipRequest::Join {
                     replica: JoiningReplica { address, id },
                     operator,
                     replaces,
                 }
             }
-            ReplicaAction::Remove { node } => ReplicaOrder::Remove { node, operator },
+            ReplicaAction::Remove { node } => MembershipRequest::Remove { node, operator },
         };
         self.quorum
-            .ask(|reply_to| Request::ChangeReplicas(order, reply_to))
+            .ask(|reply_to| Request::ChangeReplicas(membership_request, reply_to))
             .await
     }
 
-    /// The identity of a running replica, or why it can't be had and what to do.
-    async fn look_up(&self, node: &NodeId, address: Option<SocketAddr>) -> Result<VoterId, String> {
+    /// The identity of a running replica, or a text that says why it is unknown and what to do.
+    async fn resolve_identity(
+        &self,
+        node: &NodeId,
+        address: Option<SocketAddr>,
+    ) -> Result<VoterId, String> {
         let own = self.quorum.ask_any(Request::Identify).await;
         if let Some((own, _)) = own
             && own.node == *node
@@ -152,7 +161,7 @@
     }
 
     async fn refuse_as_follower<T>(&self) -> ControlReply<T> {
-        let probe = self.read_here(ReadRequest::Replicas).await;
+        let probe = self.read_locally(ReadRequest::Replicas).await;
         match probe {
             ControlReply::NotLeader(hint) => ControlReply::NotLeader(hint),
             _ => ControlReply::NotLeader(None),
@@ -160,13 +169,14 @@
     }
 }
 
-/// Takes the answer that a command of its kind gets.
+/// Extracts the answer of the expected kind; an answer of another kind counts as an unknown
+/// outcome.
 fn map_done<T, U>(reply: ControlReply<T>, map: impl FnOnce(T) -> Option<U>) -> ControlReply<U> {
     reply.and_then(|answer| map(answer).map_or(ControlReply::OutcomeUnknown, ControlReply::Done))
 }
 
 impl ControlServer {
-    /// What this process grants to foundings.
+    /// The founding reservation that this process has granted.
     pub(crate) fn reservations(&self) -> MutexGuard<'_, FoundingReservation> {
         let reservations = self.reservations.lock();
         let mut reservations = reservations.unwrap_or_else(PoisonError::into_inner);
@@ -182,7 +192,7 @@
         self.book.record_announced(batch.node, batch.address);
         for bytes in batch.messages {
             match decode_message(&bytes) {
-                // A full ring loses the message, which the quorum bears.
+                // A full ring drops the message; the quorum tolerates lost messages.
                 Ok(envelope) => drop(self.quorum.messages.push(envelope)),
                 Err(error) => log_event!(warn, events::MESSAGE_UNREADABLE, cause = error),
             }
@@ -236,7 +246,7 @@
     }
 
     async fn change(self, _: Context, request: ChangeRequest) -> ControlReply<ChangeAnswer> {
-        self.change_here(request).await
+        self.change_locally(request).await
     }
 
     async fn claim(self, _: Context, claim: Claim) -> ControlReply<ClaimAnswer> {
@@ -253,7 +263,7 @@
     }
 
     async fn read(self, _: Context, request: ReadRequest) -> ControlReply<ReadAnswer> {
-        self.read_here(request).await
+        self.read_locally(request).await
     }
 
     async fn change_replicas(
@@ -261,7 +271,7 @@
         _: Context,
         change: ReplicaChange,
     ) -> ControlReply<ReplicaAnswer> {
-        self.change_replicas_here(change).await
+        self.change_replicas_locally(change).await
     }
 
     async fn renew(self, _: Context, request: RenewRequest) -> RenewReply {
@@ -273,7 +283,7 @@
         _: Context,
         change: DocumentChange,
     ) -> ControlReply<DocumentAnswer> {
-        self.put_document_here(change).await
+        self.put_document_locally(change).await
     }
 
     async fn watch(self, _: Context, request: WatchRequest) -> WatchReply {
@@ -284,15 +294,15 @@
     }
 
     async fn tell_loads(self, _: Context, watcher: Watcher, loads: Vec<EndpointLoad>) {
-        self.endpoints.take_loads(&watcher, &loads);
+        self.endpoints.record_loads(&watcher, &loads);
     }
 
     async fn tell_crashes(self, _: Context, records: Vec<RequestRecord>) {
-        self.endpoints.suspects().take(&records);
+        self.endpoints.suspects().merge(&records);
     }
 
     async fn find_kept(self, _: Context, prompt: Vec<PromptPart>) -> Vec<CachedTokens> {
-        self.endpoints.find_kept(&prompt)
+        self.endpoints.find_cached(&prompt)
     }
 
     async fn take_place(
@@ -300,7 +310,7 @@
         _: Context,
         request: EngineReservationRequest,
     ) -> Option<EndpointLoad> {
-        self.endpoints.take_place(&request)
+        self.endpoints.reserve_engine(&request)
     }
 
     async fn document_pieces(self, _: Context, version: u64) -> Option<PieceList> {
--- a/crates/masticsill_control/src/unreadable.rs
+++ b/crates/masticsill_control/src/unreadable.rs
@@ -1,7 +1,7 @@
-//! What endpoints say and nobody can read: counted, and logged within a bound.
+//! Counts the messages of endpoints that can't be parsed, and logs them at a bounded rate.
 //!
-//! Other writers than the endpoints of today may call, with fields that are missing or of another
-//! type. What they say names no endpoint to use, and must not hide that they say it.
+//! Clients other than the present endpoints may call, with fields that are missing or of another
+//! type. Such messages name no usable endpoint, but the operator must see that they arrive.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -15,46 +15,46 @@
 
 use crate::events;
 
-/// Characters of a foreign text that go into a log line.
+/// Longest untrusted text in a log line.
 const MAX_LOGGED_CHARS: usize = 160;
 
-/// What could not be read.
+/// Kind of the message that could not be parsed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub(crate) enum UnreadableWord {
-    /// A heartbeat or a deregistration; it is refused.
+pub(crate) enum UnreadableMessage {
+    /// A heartbeat or a deregistration; the request is refused.
     Heartbeat,
-    /// Entries of an engine's news of prompts; they are passed over.
-    PromptNews,
+    /// Entries of an engine's prompt cache update; these entries are skipped.
+    PromptCacheUpdate,
 }
 
-impl UnreadableWord {
+impl UnreadableMessage {
     fn name(self) -> &'static str {
         match self {
             Self::Heartbeat => "heartbeat",
-            Self::PromptNews => "prompt_news",
+            Self::PromptCacheUpdate => "prompt_news",
         }
     }
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct WordLabel {
+struct MessageLabel {
     word: &'static str,
 }
 
 #[derive(Debug)]
 struct Shared {
     clock: MonotonicClock,
-    counts: Family<WordLabel, Counter>,
+    counts: Family<MessageLabel, Counter>,
     pacer: Mutex<LogPacer>,
 }
 
-/// The unreadable words of one process. Clones share them.
+/// Counters of the unreadable messages of one process. Clones share them.
 #[derive(Clone, Debug)]
-pub(crate) struct UnreadableWords {
+pub(crate) struct UnreadableMessages {
     shared: Arc<Shared>,
 }
 
-impl UnreadableWords {
+impl UnreadableMessages {
     pub(crate) fn new(clock: MonotonicClock) -> Self {
         let shared = Shared {
             clock,
@@ -72,23 +72,23 @@
         registry.register("masticsill_control_unreadable_words", help, counts);
     }
 
-    /// Notes words of an endpoint that could not be read.
-    pub(crate) fn note(
+    /// Counts messages of an endpoint that could not be parsed, and logs them if the rate allows.
+    pub(crate) fn record(
         &self,
-        word: UnreadableWord,
+        message: UnreadableMessage,
         endpoint: &EndpointId,
         count: u64,
         cause: &str,
     ) {
-        let name = word.name();
-        let label = WordLabel { word: name };
+        let name = message.name();
+        let label = MessageLabel { word: name };
         self.shared.counts.get_or_create(&label).inc_by(count);
         let pacer = self.shared.pacer.lock();
         let mut pacer = pacer.unwrap_or_else(PoisonError::into_inner);
         let passed = pacer.pass(self.shared.clock.now());
         drop(pacer);
         if let Some(held_back) = passed {
-            let (endpoint, cause) = (logged(&endpoint.name), logged(cause));
+            let (endpoint, cause) = (loggable(&endpoint.name), loggable(cause));
             log_event!(
                 warn,
                 events::WORD_UNREADABLE,
@@ -102,8 +102,8 @@
     }
 }
 
-/// A foreign text as it may stand in a log line: short, and without line breaks.
-fn logged(text: &str) -> String {
+/// An untrusted text made safe for a log line: shortened, and with line breaks escaped.
+fn loggable(text: &str) -> String {
     let shown = text.chars().take(MAX_LOGGED_CHARS);
     shown.flat_map(char::escape_debug).collect()
 }
--- a/crates/masticsill_control/tests/admin_api.rs
+++ b/crates/masticsill_control/tests/admin_api.rs
@@ -9,7 +9,7 @@
 use ntex::http::Method;
 use serde_json::{Value, json};
 
-/// One call; the status and the body.
+/// Sends one call; returns the status and the body.
 async fn call(client: &Client, addresses: Addresses, request: Request) -> (u16, Value) {
     let Request(number, token, method, path, body) = request;
     let url = format!("http://{}{path}", addresses[number - 1]);
@@ -25,7 +25,7 @@
     (status, serde_json::from_slice(&body).unwrap())
 }
 
-/// Replica, token, method, path and body.
+/// Number of the replica, token, method, path and body.
 struct Request(usize, &'static str, Method, &'static str, Value);
 
 type Addresses = [SocketAddr; 3];
@@ -48,7 +48,7 @@
     system.block_on(future)
 }
 
-/// Calls in order, each with the status expected and a part of the body.
+/// Calls in order, each with the expected status and an expected part of the body.
 fn operator_calls() -> Vec<(Request, u16, &'static str)> {
     const ENTRY: &str = "/v1/catalogue/shop/orders";
     const OWN: &str = "fliesenwerk";
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn every_replica_serves_operators_and_tells_refusals() {
+fn every_replica_serves_operators_and_explains_refusals() {
     let cluster = Cluster::start(3);
     let addresses = addresses(&cluster);
     block_on(async move {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_watch_ends_with_the_change_it_waited_for() {
+fn a_catalogue_watch_returns_the_change_that_ended_its_wait() {
     let cluster = Cluster::start(3);
     let addresses = addresses(&cluster);
     block_on(async move {
--- a/crates/masticsill_control/tests/common/mod.rs
+++ b/crates/masticsill_control/tests/common/mod.rs
@@ -20,21 +20,21 @@
 use prometheus_client::registry::Registry;
 use tempfile::TempDir;
 
-/// Patience of every wait; no verdict depends on it unless the condition never comes.
-const PATIENCE: Duration = Duration::from_secs(30);
-pub const BOUND_MS: u64 = 20_000;
+/// Timeout of every wait; a test's result depends on it only if the condition is never met.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+pub const CALL_TIMEOUT_MS: u64 = 20_000;
 
 pub struct Cluster {
     pub clock: MonotonicClock,
     folders: TempDir,
     founders: Vec<NodeId>,
-    /// The way from one replica to another.
+    /// Proxies by the numbers of the replicas that they connect, from and to.
     links: IndexMap<(usize, usize), FaultProxy>,
     pub replica_settings: ReplicaSettings,
     replicas: IndexMap<NodeId, Replica>,
 }
 
-/// A replica and the listener of its process.
+/// A replica and the listener that accepts its connections.
 struct Replica {
     address: SocketAddr,
     listener: DutyHandle,
@@ -59,9 +59,9 @@
 }
 
 pub fn await_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let bound = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < bound, "waited in vain for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -172,7 +172,7 @@
         std::fs::remove_dir_all(self.folder(number)).unwrap();
     }
 
-    /// Changes what the links from or to a replica do, in one direction or both.
+    /// Sets the mode of all links from and to a replica.
     pub fn set_links(&self, name: &NodeId, mode: ProxyMode) {
         for ((from, to), link) in &self.links {
             if node(*from) == *name || node(*to) == *name {
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Lets nothing that this replica sends arrive, while it still hears the others.
-    pub fn mute(&self, name: &NodeId) {
+    /// Drops everything that this replica sends, while it still receives from the others.
+    pub fn block_outgoing(&self, name: &NodeId) {
         for ((from, to), link) in &self.links {
             if node(*from) == *name {
                 link.set_mode(ProxyMode::BlackHole(Some(Direction::ToUpstream)));
@@ -198,7 +198,7 @@
         replica.is_some_and(|replica| replica.role.as_ref().unwrap().is_leading())
     }
 
-    /// Administration APIs of the replicas that run.
+    /// Addresses of the administration APIs of the running replicas.
     pub fn http_addresses(&self) -> Vec<SocketAddr> {
         let roles = self.replicas.values().map(|replica| replica.role.as_ref());
         roles.map(|role| role.unwrap().http_address()).collect()
@@ -219,13 +219,13 @@
         leader.unwrap()
     }
 
-    /// A client that knows every running replica's own address.
+    /// A client that knows the address of every running replica.
     pub fn client(&self) -> ControlClient {
         let addresses = self.replicas.values().map(|replica| replica.address);
         ControlClient::new(AddressBook::from_seeds(addresses))
     }
 
-    /// A client of one replica, which does not follow it to others.
+    /// A client that knows the address of one replica only.
     pub fn client_of(&self, name: &NodeId) -> ControlClient {
         ControlClient::new(AddressBook::from_seeds([self.address(name)]))
     }
@@ -248,7 +248,8 @@
     }
 }
 
-/// An operator of everything with token `all`, and one of `fliesenwerk` with token `one`.
+/// An operator of all workspaces with token `all`, and one of the workspace `fliesenwerk` with
+/// token `one`.
 fn operators() -> Vec<OperatorConfig> {
     let own = IndexSet::from(["fliesenwerk".parse().unwrap()]);
     let operator = |name: &str, token, scope| OperatorConfig {
@@ -293,11 +294,11 @@
     }
 }
 
-/// Asks again and again until the answer is `true`.
+/// Repeats the check until it returns `true`.
 pub async fn poll(what: &str, mut ask: impl AsyncFnMut() -> bool) {
-    let bound = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !ask().await {
-        assert!(Instant::now() < bound, "waited in vain for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/masticsill_control/tests/control_isolation.rs
+++ b/crates/masticsill_control/tests/control_isolation.rs
@@ -1,11 +1,11 @@
-//! A replica that is cut off, in both directions or in one.
+//! A leader that is partitioned, in both directions or in one.
 
 mod common;
 
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use common::{BOUND_MS, Cluster, accepted, await_until, block_on, poll, put};
+use common::{CALL_TIMEOUT_MS, Cluster, accepted, await_until, block_on, poll, put};
 use masticsill_catalogue::ChangeAnswer;
 use masticsill_control::ControlUnavailable;
 use masticsill_testkit::ProxyMode;
@@ -21,11 +21,12 @@
     reply.unwrap().age_ms.unwrap()
 }
 
-/// Checks a leader that was cut off while another was elected and accepted a change.
+/// Checks that a partitioned leader refuses calls and renews no proof, while another leader accepts
+/// a change.
 async fn check_isolated(cluster: &Cluster, former: &NodeId) {
     let next = cluster.leader_other_than(Some(former));
     let client = cluster.client_of(&next);
-    let answer = client.change(&put("c2", "e", 1), BOUND_MS).await;
+    let answer = client.change(&put("c2", "e", 1), CALL_TIMEOUT_MS).await;
     assert_eq!(answer, Ok(accepted(2)));
     let isolated = cluster.client_of(former);
     let refused = isolated.change(&put("c3", "f", 0), 1_500).await;
@@ -37,11 +38,11 @@
     assert!(proof_age_ms(cluster, former).await >= age_ms + 300);
 }
 
-/// Checks that a replica that was cut off has stepped into line.
-async fn check_in_line(cluster: &Cluster, former: &NodeId) {
+/// Restores the links and checks that the former leader follows the new one.
+async fn check_rejoined(cluster: &Cluster, former: &NodeId) {
     cluster.set_links(former, ProxyMode::Pass);
     let client = cluster.client();
-    let answer = client.change(&put("c4", "g", 0), BOUND_MS).await;
+    let answer = client.change(&put("c4", "g", 0), CALL_TIMEOUT_MS).await;
     assert_matches!(answer, Ok(ChangeAnswer::Accepted { version }) => {
         poll("the former leader to follow", async || {
             let have = CatalogueVersion(0);
@@ -54,31 +55,37 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_gives_nothing_and_returns_to_the_ranks() {
+fn a_partitioned_leader_serves_no_calls_and_rejoins_as_follower() {
     for mode in [ProxyMode::BlackHole(None), ProxyMode::Cut] {
         let cluster = Cluster::start(3);
         block_on(async {
-            let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+            let answer = cluster
+                .client()
+                .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+                .await;
             assert_eq!(answer, Ok(accepted(1)));
             let former = cluster.leader();
             cluster.set_links(&former, mode);
             await_until("the leader to step down", || !cluster.is_leading(&former));
             check_isolated(&cluster, &former).await;
-            check_in_line(&cluster, &former).await;
+            check_rejoined(&cluster, &former).await;
         });
     }
 }
 
 #[test]
-fn a_leader_that_hears_but_is_not_heard_steps_down() {
+fn a_leader_that_receives_but_cannot_send_steps_down() {
     let cluster = Cluster::start(3);
     block_on(async {
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
         let former = cluster.leader();
-        cluster.mute(&former);
+        cluster.block_outgoing(&former);
         await_until("the leader to step down", || !cluster.is_leading(&former));
         check_isolated(&cluster, &former).await;
-        check_in_line(&cluster, &former).await;
+        check_rejoined(&cluster, &former).await;
     });
 }
--- a/crates/masticsill_control/tests/control_quorum.rs
+++ b/crates/masticsill_control/tests/control_quorum.rs
@@ -1,9 +1,9 @@
-//! Three replicas and what they promise when some are lost.
+//! The guarantees of three replicas when some of them are lost or restarted.
 
 mod common;
 
 use assert_matches::assert_matches;
-use common::{BOUND_MS, Cluster, accepted, await_until, block_on, node, poll, put};
+use common::{CALL_TIMEOUT_MS, Cluster, accepted, await_until, block_on, node, poll, put};
 use masticsill_catalogue::{
     AgentIncarnation, ChangeAnswer, ChangeRefusal, Claim, ClaimAnswer, Follower,
 };
@@ -12,35 +12,35 @@
 use masticsill_wire::control::{ReadAnswer, ReadRequest, RenewRequest};
 
 #[test]
-fn a_resend_after_the_leaders_death_gets_the_first_answer() {
+fn a_change_resent_after_leader_loss_gets_its_first_answer() {
     let mut cluster = Cluster::start(3);
     block_on(async {
         let client = cluster.client();
         assert_eq!(
-            client.change(&put("c1", "e", 0), BOUND_MS).await,
+            client.change(&put("c1", "e", 0), CALL_TIMEOUT_MS).await,
             Ok(accepted(1))
         );
         let leader = cluster.leader();
         cluster.abort(&leader);
         assert_eq!(
-            client.change(&put("c1", "e", 0), BOUND_MS).await,
+            client.change(&put("c1", "e", 0), CALL_TIMEOUT_MS).await,
             Ok(accepted(1))
         );
         assert_eq!(
-            client.change(&put("c2", "e", 1), BOUND_MS).await,
+            client.change(&put("c2", "e", 1), CALL_TIMEOUT_MS).await,
             Ok(accepted(2))
         );
     });
 }
 
 #[test]
-fn of_racing_operators_one_wins() {
+fn of_concurrent_changes_to_one_entry_exactly_one_is_accepted() {
     let cluster = Cluster::start(3);
     let race = |number: usize| {
         let client = cluster.client();
         std::thread::spawn(move || {
             let change = put(&format!("c{number}"), "e", 0);
-            block_on(async move { client.change(&change, BOUND_MS).await.unwrap() })
+            block_on(async move { client.change(&change, CALL_TIMEOUT_MS).await.unwrap() })
         })
     };
     let racers: Vec<_> = (0..8).map(race).collect();
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn what_was_accepted_survives_a_restart_of_every_replica() {
+fn accepted_changes_survive_a_restart_of_every_replica() {
     let mut cluster = Cluster::start(3);
     block_on(async {
         let client = cluster.client();
         for number in 0..20 {
             let change = put(&format!("c{number}"), &format!("e{number}"), 0);
-            client.change(&change, BOUND_MS).await.unwrap();
+            client.change(&change, CALL_TIMEOUT_MS).await.unwrap();
         }
     });
     for number in 1..=3 {
@@ -74,19 +74,19 @@
     }
     block_on(async {
         let client = cluster.client();
-        let answer = client.change(&put("c7", "e7", 0), BOUND_MS).await;
+        let answer = client.change(&put("c7", "e7", 0), CALL_TIMEOUT_MS).await;
         assert_eq!(answer, Ok(accepted(8)));
         let read = ReadRequest::Audit {
             after: 0,
             limit: 100,
         };
-        let audit = client.read(&read, BOUND_MS).await.unwrap();
+        let audit = client.read(&read, CALL_TIMEOUT_MS).await.unwrap();
         assert_matches!(audit, ReadAnswer::Audit(page) if page.records.len() == 20);
     });
 }
 
 #[test]
-fn a_replica_without_majority_accepts_nothing_and_proves_nothing() {
+fn a_replica_without_majority_accepts_no_change_and_gives_no_fresh_proof() {
     let mut cluster = Cluster::start(3);
     let leader = cluster.leader();
     let others = (1..=3).map(node).filter(|name| *name != leader);
@@ -113,11 +113,14 @@
 }
 
 #[test]
-fn every_replica_renews_a_nodes_copy() {
+fn every_replica_renews_catalogue_copies() {
     let cluster = Cluster::start(3);
     block_on(async {
         let client = cluster.client();
-        client.change(&put("c1", "e", 0), BOUND_MS).await.unwrap();
+        client
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await
+            .unwrap();
         for number in 1..=3 {
             let mut copy = Follower::new(cluster.clock.now());
             poll("a fresh copy", async || {
@@ -139,10 +142,10 @@
 }
 
 #[test]
-fn a_stop_hands_leadership_over_first() {
+fn a_graceful_stop_transfers_leadership_first() {
     let mut cluster = Cluster::start(3);
     let leader = cluster.leader();
-    // With this patience the others lead only if they are asked to.
+    // With these election timeouts another replica leads only after a transfer of leadership.
     cluster.replica_settings.election_min_ms = 10 * 60 * 1_000;
     cluster.replica_settings.election_max_ms = 20 * 60 * 1_000;
     for other in (1..=3).filter(|number| node(*number) != leader) {
@@ -150,13 +153,19 @@
         cluster.run(other);
     }
     block_on(async {
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
     });
     cluster.stop(&leader);
     assert_ne!(cluster.leader(), leader);
     block_on(async {
-        let answer = cluster.client().change(&put("c2", "e", 1), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c2", "e", 1), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(2)));
     });
 }
@@ -178,11 +187,17 @@
     block_on(async {
         let client = cluster.client();
         let granted = Ok(ClaimAnswer::Granted { version: 1 });
-        assert_eq!(client.claim(&claim("entry-a", 1), BOUND_MS).await, granted);
+        assert_eq!(
+            client.claim(&claim("entry-a", 1), CALL_TIMEOUT_MS).await,
+            granted
+        );
         let leader = cluster.leader();
         cluster.abort(&leader);
-        assert_eq!(client.claim(&claim("entry-a", 1), BOUND_MS).await, granted);
-        let other = client.claim(&claim("entry-b", 2), BOUND_MS).await;
+        assert_eq!(
+            client.claim(&claim("entry-a", 1), CALL_TIMEOUT_MS).await,
+            granted
+        );
+        let other = client.claim(&claim("entry-b", 2), CALL_TIMEOUT_MS).await;
         assert_matches!(other, Ok(ClaimAnswer::Existing(_)));
     });
 }
--- a/crates/masticsill_control/tests/control_repair.rs
+++ b/crates/masticsill_control/tests/control_repair.rs
@@ -1,11 +1,11 @@
-//! Snapshots, lost folders, new replicas and founding.
+//! Snapshots, lost folders, replaced replicas and founding.
 
 mod common;
 
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use common::{BOUND_MS, Cluster, accepted, block_on, node, poll, put};
+use common::{CALL_TIMEOUT_MS, Cluster, accepted, block_on, node, poll, put};
 use masticsill_catalogue::ChangeAnswer;
 use masticsill_control::{ControlUnavailable, recover_as_sole_voter};
 use masticsill_quorum::ReplicaSettings;
@@ -20,7 +20,7 @@
 async fn replicas(cluster: &Cluster) -> ReplicasView {
     let answer = cluster
         .client()
-        .read(&ReadRequest::Replicas, BOUND_MS)
+        .read(&ReadRequest::Replicas, CALL_TIMEOUT_MS)
         .await;
     assert_matches!(answer.unwrap(), ReadAnswer::Replicas(view) => view)
 }
@@ -35,7 +35,7 @@
 
 async fn is_founded(cluster: &Cluster, number: usize) -> bool {
     let address = cluster.address(&node(number));
-    let transport = connect_transport(address, ServiceKind::Control, BOUND_MS).await;
+    let transport = connect_transport(address, ServiceKind::Control, CALL_TIMEOUT_MS).await;
     let config = tarpc::client::Config::default();
     let client = ControlServiceClient::new(config, transport.unwrap()).spawn();
     let identity = client.identify(tarpc::context::current()).await;
@@ -57,11 +57,14 @@
         },
         operator: "anna".parse().unwrap(),
     };
-    let answer = cluster.client().change_replicas(&change, BOUND_MS).await;
+    let answer = cluster
+        .client()
+        .change_replicas(&change, CALL_TIMEOUT_MS)
+        .await;
     assert_eq!(answer.unwrap(), ReplicaAnswer::Accepted);
 }
 
-/// Waits until the replica on the old folder has left and the new one votes.
+/// Waits until the replica on the old folder is no longer a member and the new one is a voter.
 async fn await_replacement(cluster: &Cluster, old_folder: u64, new: usize) {
     poll("the replacement", async || {
         let view = replicas(cluster).await;
@@ -78,15 +81,18 @@
 }
 
 #[test]
-fn a_lost_folder_never_votes_until_it_is_admitted_and_then_bears_a_second_loss() {
+fn a_replica_with_a_lost_folder_votes_only_after_admission_and_a_second_loss_is_survived() {
     let mut cluster = Cluster::start(3);
     block_on(async {
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
         cluster.abort(&node(3));
         cluster.lose_folder(3);
         cluster.run(3);
-        // The empty replica does not count: with one more lost there is no majority.
+        // The replica without state is no voter: with one more lost there is no majority.
         cluster.abort(&node(2));
         let unavailable = cluster.client().change(&put("c2", "e", 1), 2_000).await;
         assert_matches!(unavailable, Err(ControlUnavailable { .. }));
@@ -94,18 +100,21 @@
         replace(&cluster, 3, 3).await;
         let all = [node(1), node(2), node(3)];
         assert_eq!(voters(&replicas(&cluster).await), all);
-        // A second loss right after the repair.
+        // A second loss right after the replacement.
         cluster.abort(&node(2));
         let client = cluster.client();
-        let answer = client.change(&put("c3", "f", 0), BOUND_MS).await.unwrap();
+        let answer = client
+            .change(&put("c3", "f", 0), CALL_TIMEOUT_MS)
+            .await
+            .unwrap();
         assert_matches!(answer, ChangeAnswer::Accepted { .. });
-        let first = client.change(&put("c1", "e", 0), BOUND_MS).await;
+        let first = client.change(&put("c1", "e", 0), CALL_TIMEOUT_MS).await;
         assert_eq!(first, Ok(accepted(1)));
     });
 }
 
 #[test]
-fn a_second_loss_during_a_repair_only_delays_it() {
+fn a_leader_loss_during_a_replacement_only_delays_it() {
     let mut cluster = Cluster::start(5);
     block_on(async {
         let old_folder = folder_of(&cluster, 5).await;
@@ -117,7 +126,10 @@
         cluster.abort(&leader);
         begin_replacement(&cluster, 5, 5).await;
         await_replacement(&cluster, old_folder, 5).await;
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
         assert_eq!(voters(&replicas(&cluster).await).len(), 5);
     });
@@ -127,7 +139,10 @@
 fn a_founder_that_lost_its_folder_founds_no_second_cluster() {
     let mut cluster = Cluster::start(3);
     block_on(async {
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
         cluster.abort(&node(1));
         cluster.lose_folder(1);
@@ -139,16 +154,22 @@
         }
         assert_ne!(cluster.leader(), node(1));
         replace(&cluster, 1, 1).await;
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
     });
 }
 
 #[test]
-fn a_replica_on_a_new_machine_takes_an_old_ones_place() {
+fn a_replica_on_a_new_machine_replaces_a_lost_one() {
     let mut cluster = Cluster::start(3);
     block_on(async {
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
         cluster.abort(&node(2));
         cluster.run(4);
@@ -156,13 +177,16 @@
         let all = [node(1), node(3), node(4)];
         assert_eq!(voters(&replicas(&cluster).await), all);
         cluster.abort(&node(1));
-        let answer = cluster.client().change(&put("c2", "e", 1), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c2", "e", 1), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(2)));
     });
 }
 
 #[test]
-fn answers_survive_snapshots_and_reach_replicas_that_missed_hundreds_of_changes() {
+fn change_answers_survive_snapshots_and_reach_lagging_replicas() {
     let settings = ReplicaSettings {
         snapshot_interval_entries: 50,
         retained_entries: 10,
@@ -174,7 +198,7 @@
         let client = cluster.client();
         for number in 0..300 {
             let change = put(&format!("c{number}"), &format!("e{number}"), 0);
-            client.change(&change, BOUND_MS).await.unwrap();
+            client.change(&change, CALL_TIMEOUT_MS).await.unwrap();
         }
         cluster.run(3);
         let have = CatalogueVersion(0);
@@ -188,20 +212,26 @@
     for number in 1..=3 {
         cluster.abort(&node(number));
     }
-    // One of the two that run now has its state from the leader's snapshot.
+    // Replica 3, one of the two that run now, got its state from the leader's snapshot.
     cluster.run(2);
     cluster.run(3);
     block_on(async {
-        let answer = cluster.client().change(&put("c7", "e7", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c7", "e7", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(8)));
     });
 }
 
 #[test]
-fn the_last_replica_can_be_made_the_only_voter() {
+fn the_surviving_replica_can_be_made_the_sole_voter() {
     let mut cluster = Cluster::start(3);
     block_on(async {
-        let answer = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let answer = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(answer, Ok(accepted(1)));
         let survivor = cluster.leader();
         for number in 1..=3 {
@@ -211,7 +241,10 @@
         let folder = cluster.folder(number);
         recover_as_sole_voter(&folder, "test", &survivor).unwrap();
         cluster.run(number);
-        let first = cluster.client().change(&put("c1", "e", 0), BOUND_MS).await;
+        let first = cluster
+            .client()
+            .change(&put("c1", "e", 0), CALL_TIMEOUT_MS)
+            .await;
         assert_eq!(first, Ok(accepted(1)));
         assert_eq!(voters(&replicas(&cluster).await), [survivor]);
     });
--- a/crates/masticsill_control/tests/watch_news.rs
+++ b/crates/masticsill_control/tests/watch_news.rs
@@ -1,4 +1,4 @@
-//! What watchers hear of endpoints, how soon and in how many answers.
+//! Which updates of endpoints watchers receive, how soon and in how many answers.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use masticsill_types::{NodeId, ZoneId};
 use masticsill_wire::control::{WatchReply, WatchRequest};
 
-/// Watchers: with 2 ms for each, news that can wait are told after 200 ms.
+/// With a delay of 2 ms for each watcher, updates that are not urgent are sent after 200 ms.
 const WATCHERS: usize = 100;
 const ENDPOINTS: u16 = 40;
-/// Far longer than any pause.
+/// Far longer than the delay of any update.
 const WAIT_MS: u64 = 1_500;
 
 fn zone() -> ZoneId {
@@ -51,7 +51,7 @@
     }
 }
 
-/// A replica with many watchers, and the first answer to one of them.
+/// Registers many watchers at a replica; returns the first answer to one of them.
 async fn watched(client: &ControlClient, address: SocketAddr) -> WatchReply {
     for number in 1..WATCHERS {
         client.watch(address, &request(number, None, 0)).await;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn endpoints_that_begin_at_once_share_an_answer() {
+fn simultaneous_endpoint_registrations_share_watch_replies() {
     let cluster = Cluster::start(1);
     let address = cluster.address(&node(1));
     block_on(async {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_is_told_at_once() {
+fn an_endpoint_departure_is_reported_without_delay() {
     let cluster = Cluster::start(1);
     let address = cluster.address(&node(1));
     block_on(async {
--- a/crates/masticsill_control_client/src/book.rs
+++ b/crates/masticsill_control_client/src/address_book.rs
@@ -1,4 +1,4 @@
-//! Where control replicas can be reached.
+//! Addresses of the control replicas.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,26 +8,27 @@
 
 #[derive(Debug, Default)]
 struct Addresses {
-    /// Named by operators when they admitted a replica.
+    /// Given by operators when they admitted a replica.
     admitted: IndexMap<NodeId, SocketAddr>,
-    /// From the settings.
+    /// From the settings, by node.
     configured: IndexMap<NodeId, SocketAddr>,
-    /// Told by the replicas themselves.
+    /// Announced by the replicas themselves.
     learned: IndexMap<NodeId, SocketAddr>,
-    /// From the settings, without a name.
+    /// Addresses whose nodes are unknown, from the settings or added later.
     seeds: Vec<SocketAddr>,
 }
 
 /// Addresses of control replicas. Clones share one book.
 ///
-/// What an operator named goes before the settings, and those go before what was learned.
+/// For one node, an address given by an operator takes precedence over the settings, and the
+/// settings over an announced address.
 #[derive(Clone, Debug, Default)]
 pub struct AddressBook {
     addresses: Arc<Mutex<Addresses>>,
 }
 
 impl AddressBook {
-    /// A book of addresses whose nodes are not known.
+    /// Creates a book of addresses whose nodes are unknown.
     #[must_use]
     pub fn from_seeds(seeds: impl IntoIterator<Item = SocketAddr>) -> Self {
         let book = Self::default();
@@ -35,7 +36,7 @@
         book
     }
 
-    /// A book of nodes from the settings.
+    /// Creates a book of nodes and their addresses from the settings.
     #[must_use]
     pub fn from_settings(configured: IndexMap<NodeId, SocketAddr>) -> Self {
         let book = Self::default();
@@ -43,7 +44,7 @@
         book
     }
 
-    /// Adds addresses whose nodes are not known.
+    /// Adds addresses whose nodes are unknown.
     pub fn add_seeds(&self, seeds: impl IntoIterator<Item = SocketAddr>) {
         let mut addresses = self.lock();
         for seed in seeds {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A node's address.
+    /// The address of a node, if known.
     #[must_use]
     pub fn get(&self, node: &NodeId) -> Option<SocketAddr> {
         let addresses = self.lock();
@@ -68,7 +69,7 @@
             .copied()
     }
 
-    /// Every node whose address is known.
+    /// Every node with a known address, and that address.
     #[must_use]
     pub fn named(&self) -> Vec<(NodeId, SocketAddr)> {
         let nodes = {
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// Every address, each once.
+    /// Every address, with or without a known node, without duplicates.
     #[must_use]
     pub fn all(&self) -> Vec<SocketAddr> {
         let named = self.named().into_iter().map(|(_, address)| address);
@@ -93,12 +94,12 @@
         all.into_iter().collect()
     }
 
-    /// Notes what a node told of itself.
+    /// Records the address that a node announced.
     pub fn record_announced(&self, node: NodeId, address: SocketAddr) {
         self.lock().learned.insert(node, address);
     }
 
-    /// Replaces what operators named.
+    /// Replaces the addresses given by operators.
     pub fn set_admitted(&self, admitted: &IndexMap<NodeId, SocketAddr>) {
         self.lock().admitted.clone_from(admitted);
     }
--- a/crates/masticsill_control_client/src/attempts.rs
+++ b/crates/masticsill_control_client/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a call: whom to ask, and when to ask again.
+//! Attempts of a call: which replica to call, and when to retry.
 
 use std::net::SocketAddr;
 use std::sync::{MutexGuard, PoisonError};
@@ -13,13 +13,13 @@
 
 use crate::client::{ControlClient, ControlUnavailable};
 
-/// Longest wait for a connection: twice a pause of 100 ms and the way between regions. A machine
-/// without power answers nothing, and once it is back only a new attempt finds it soon.
+/// Connect timeout: twice a pause of 100 ms plus the latency between regions. A machine that has
+/// lost power answers nothing, and once it is back only a new attempt finds it soon.
 const CONNECT_TIMEOUT_MS: u64 = 250;
 pub(crate) const ATTEMPT_TIMEOUT_MS: u64 = 1_000;
 const RETRY_PAUSE_MS: u64 = 40;
 
-/// Open connections and whom to ask next.
+/// Open connections, and the replica to call next.
 #[derive(Debug, Default)]
 pub(crate) struct Connections {
     by_address: IndexMap<SocketAddr, ControlServiceClient>,
@@ -27,7 +27,7 @@
     next_seed: usize,
 }
 
-/// What became of one attempt.
+/// Outcome of one attempt.
 enum Attempt<T> {
     Done(T),
     Lost,
@@ -43,14 +43,15 @@
         self.call_within(address, ATTEMPT_TIMEOUT_MS, send).await
     }
 
-    /// Calls the replica at an address, each attempt within a time.
+    /// Calls the replica at an address, with a timeout for each attempt. Retries once if the call
+    /// used an open connection.
     pub(crate) async fn call_within<T>(
         &self,
         address: SocketAddr,
         timeout_ms: u64,
         send: impl AsyncFn(ControlServiceClient, Context) -> Result<T, RpcError>,
     ) -> Option<T> {
-        // A connection from before may lead to a process that has ended since.
+        // An open connection may lead to a process that has ended since.
         let attempts = if self.is_connected(address) { 2 } else { 1 };
         for _ in 0..attempts {
             if let Some(reply) = self.try_within(address, timeout_ms, &send).await {
@@ -60,7 +61,7 @@
         None
     }
 
-    /// Calls the replica at an address once, within a time.
+    /// Calls the replica at an address once, with a timeout.
     pub(crate) async fn try_within<T>(
         &self,
         address: SocketAddr,
@@ -81,17 +82,17 @@
 
     pub(crate) async fn call_leader<T>(
         &self,
-        bound_ms: u64,
+        total_timeout_ms: u64,
         send: impl AsyncFn(ControlServiceClient, Context) -> Result<ControlReply<T>, RpcError>,
     ) -> Result<T, ControlUnavailable> {
-        let bound = Instant::now() + Duration::from_millis(bound_ms);
+        let deadline = Instant::now() + Duration::from_millis(total_timeout_ms);
         let mut is_outcome_unknown = false;
         loop {
-            let left_ms = duration_ms(bound.saturating_duration_since(Instant::now()));
-            if left_ms == 0 {
+            let remaining_ms = duration_ms(deadline.saturating_duration_since(Instant::now()));
+            if remaining_ms == 0 {
                 return Err(ControlUnavailable { is_outcome_unknown });
             }
-            let timeout_ms = left_ms.min(ATTEMPT_TIMEOUT_MS);
+            let timeout_ms = remaining_ms.min(ATTEMPT_TIMEOUT_MS);
             let pause_ms = match self.attempt(timeout_ms, &send).await {
                 Attempt::Done(answer) => return Ok(answer),
                 Attempt::Lost => {
@@ -100,7 +101,7 @@
                 }
                 Attempt::Refused { pause_ms } => pause_ms,
             };
-            tokio::time::sleep(Duration::from_millis(pause_ms.min(left_ms))).await;
+            tokio::time::sleep(Duration::from_millis(pause_ms.min(remaining_ms))).await;
         }
     }
 
@@ -143,9 +144,9 @@
         }
     }
 
-    /// The leader if it is known, else the next replica in turn.
+    /// The leader if it is known, else the next replica in round-robin order.
     fn choose(&self) -> Option<SocketAddr> {
-        // Behind an address without a name there may be a process that only passes calls on.
+        // At an address without a known node there may be a process that only forwards calls.
         let named = self.book.named().into_iter().map(|(_, address)| address);
         let mut all: Vec<SocketAddr> = named.collect();
         if all.is_empty() {
@@ -160,7 +161,8 @@
         all.get(position).copied()
     }
 
-    /// Turns to the leader that a replica named; returns the pause before, in milliseconds.
+    /// Sets the leader to the one that a replica named; returns the pause before the next attempt,
+    /// in milliseconds.
     fn follow(&self, asked: SocketAddr, hint: Option<LeaderHint>) -> u64 {
         let address = hint.and_then(|hint| self.book.get(&hint.node).or(hint.address));
         let leader = address.filter(|leader| *leader != asked);
@@ -196,7 +198,7 @@
     }
 }
 
-/// Connects to the control replica at an address; `None` when it can't be reached.
+/// Connects to the control replica at an address; `None` when the replica can't be reached in time.
 pub async fn connect(address: SocketAddr) -> Option<ControlServiceClient> {
     let transport = connect_transport(address, ServiceKind::Control, CONNECT_TIMEOUT_MS);
     let transport = transport.await.ok()?;
--- a/crates/masticsill_control_client/src/client.rs
+++ b/crates/masticsill_control_client/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that finds the leader and sends again what may be sent again.
+//! A client that finds the leader and retries calls that are safe to repeat.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,13 +20,13 @@
     ReplicaIdentity, WatchReply, WatchRequest,
 };
 
+use crate::address_book::AddressBook;
 use crate::attempts::{ATTEMPT_TIMEOUT_MS, Connections};
-use crate::book::AddressBook;
 
 /// No leader answered within the time allowed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ControlUnavailable {
-    /// Whether the call may have been carried out; sending it again is safe.
+    /// Whether the call may have been carried out; retrying is safe.
     pub is_outcome_unknown: bool,
 }
 
@@ -49,7 +49,8 @@
 /// Calls the control replicas. Clones share their connections.
 ///
 /// Every call is safe to repeat (changes carry an id, claims a nonce, the rest is idempotent), so
-/// a lost answer is asked for again until the bound. Needs a `tokio` runtime.
+/// calls to the leader are retried after a lost answer until the timeout. Requires a `tokio`
+/// runtime.
 #[derive(Clone, Debug)]
 pub struct ControlClient {
     pub(crate) book: AddressBook,
@@ -57,7 +58,7 @@
 }
 
 impl ControlClient {
-    /// A client for the replicas of a book.
+    /// Creates a client for the replicas of an address book.
     #[must_use]
     pub fn new(book: AddressBook) -> Self {
         Self {
@@ -66,13 +67,13 @@
         }
     }
 
-    /// The addresses that this client calls.
+    /// The address book of this client.
     #[must_use]
     pub fn book(&self) -> &AddressBook {
         &self.book
     }
 
-    /// Replicas whose address is known.
+    /// The replicas with a known address, and that address.
     #[must_use]
     pub fn replicas(&self) -> Vec<(NodeId, SocketAddr)> {
         self.book.named()
@@ -82,123 +83,125 @@
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn change(
         &self,
         request: &ChangeRequest,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ChangeAnswer, ControlUnavailable> {
         let send = async |client: ControlServiceClient, context| {
             client.change(context, request.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Claims a call that may not be repeated.
+    /// Claims a call that must not be executed twice.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn claim(
         &self,
         claim: &Claim,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ClaimAnswer, ControlUnavailable> {
         let send = async |client: ControlServiceClient, context| {
             client.claim(context, claim.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Moves a claim.
+    /// Reassigns a claim to another agent.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn reassign(
         &self,
         reassign: &Reassign,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ClaimAnswer, ControlUnavailable> {
         let send = async |client: ControlServiceClient, context| {
             client.reassign(context, reassign.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Settles a claim. Bodies too large to keep are cut to their digests before they are sent.
+    /// Settles a claim. Bodies that are too large to store are replaced by their digests before
+    /// sending.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn settle(
         &self,
         settle: Settle,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ClaimAnswer, ControlUnavailable> {
         let settle = settle.with_bounded_body();
         let send = async |client: ControlServiceClient, context| {
             client.settle(context, settle.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Reads the state as it is now.
+    /// Reads the current state.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn read(
         &self,
         request: &ReadRequest,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ReadAnswer, ControlUnavailable> {
         let send = async |client: ControlServiceClient, context| {
             client.read(context, request.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Changes the control replicas.
+    /// Changes the members of the control quorum.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn change_replicas(
         &self,
         change: &ReplicaChange,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ReplicaAnswer, ControlUnavailable> {
         let send = async |client: ControlServiceClient, context| {
             client.change_replicas(context, change.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Puts the catalogue as one document in force.
+    /// Puts a catalogue document in force.
     ///
     /// # Errors
     ///
-    /// [`ControlUnavailable`] after `bound_ms`.
+    /// [`ControlUnavailable`] if no leader answered within `timeout_ms`.
     pub async fn put_document(
         &self,
         change: &DocumentChange,
-        bound_ms: u64,
+        timeout_ms: u64,
     ) -> Result<DocumentAnswer, ControlUnavailable> {
         let send = async |client: ControlServiceClient, context| {
             client.put_document(context, change.clone()).await
         };
-        self.call_leader(bound_ms, send).await
+        self.call_leader(timeout_ms, send).await
     }
 
-    /// Asks the replica at an address for a proof of freshness; `None` when it does not answer.
+    /// Requests a proof of freshness from the replica at an address; `None` when it does not
+    /// answer.
     pub async fn renew(&self, address: SocketAddr, request: RenewRequest) -> Option<RenewReply> {
         let send =
             async |client: ControlServiceClient, context| client.renew(context, request).await;
         self.call_once(address, send).await
     }
 
-    /// Waits at the replica at an address for news; `None` when it does not answer.
+    /// Waits for updates from the replica at an address; `None` when it does not answer.
     pub async fn watch(&self, address: SocketAddr, request: &WatchRequest) -> Option<WatchReply> {
         let timeout_ms = request.wait_ms + ATTEMPT_TIMEOUT_MS;
         let send = async |client: ControlServiceClient, context| {
@@ -207,8 +210,8 @@
         self.call_within(address, timeout_ms, send).await
     }
 
-    /// Tells the replica at an address what a watcher has at the endpoints of its zone; returns
-    /// whether it heard.
+    /// Sends the replica at an address the load that a watcher causes at the endpoints of its zone;
+    /// returns whether the replica received it.
     pub async fn tell_loads(
         &self,
         address: SocketAddr,
@@ -223,8 +226,8 @@
         self.call_once(address, send).await.is_some()
     }
 
-    /// Tells the replica at an address what was noted of requests under which endpoints crashed;
-    /// returns whether it heard.
+    /// Sends the replica at an address the records of requests during which endpoints crashed;
+    /// returns whether the replica received them.
     pub async fn tell_crashes(&self, address: SocketAddr, records: &[RequestRecord]) -> bool {
         let send = async |client: ControlServiceClient, context| {
             client.tell_crashes(context, records.to_vec()).await
@@ -232,8 +235,8 @@
         self.call_once(address, send).await.is_some()
     }
 
-    /// Asks the replica at an address which engines of its zone keep the beginning of a prompt;
-    /// `None` when it does not answer.
+    /// Asks the replica at an address which engines of its zone have a prefix of a prompt in their
+    /// cache; `None` when it does not answer.
     pub async fn find_kept(
         &self,
         address: SocketAddr,
@@ -245,8 +248,8 @@
         self.call_once(address, send).await
     }
 
-    /// Asks the replica at an address for a place at an engine of its zone; `None` when it does not
-    /// answer or has none.
+    /// Reserves a slot at an engine of the zone of the replica at an address; `None` when the
+    /// replica does not answer or has no engine to reserve.
     pub async fn take_place(
         &self,
         address: SocketAddr,
@@ -258,8 +261,8 @@
         self.call_once(address, send).await.flatten()
     }
 
-    /// Asks the replica at an address what its document consists of, which is `version` or newer;
-    /// `None` when it does not answer within `timeout_ms` or has no such document.
+    /// Asks the replica at an address for the list of pieces of its document, of version `version`
+    /// or newer; `None` when it does not answer within `timeout_ms` or has no such document.
     pub async fn document_pieces(
         &self,
         address: SocketAddr,
@@ -272,7 +275,7 @@
         self.try_within(address, timeout_ms, &send).await.flatten()
     }
 
-    /// Asks the replica at an address for pieces of a document; `None` when it does not answer
+    /// Fetches pieces of a document from the replica at an address; `None` when it does not answer
     /// within `timeout_ms`.
     pub async fn find_pieces(
         &self,
@@ -286,13 +289,14 @@
         self.try_within(address, timeout_ms, &send).await
     }
 
-    /// Asks the replica at an address who it is; `None` when it does not answer.
+    /// Asks the replica at an address for its identity; `None` when it does not answer.
     pub async fn identify(&self, address: SocketAddr) -> Option<ReplicaIdentity> {
         let send = async |client: ControlServiceClient, context| client.identify(context).await;
         self.call_once(address, send).await.flatten()
     }
 
-    /// Asks the process at an address who serves control; `None` when it does not answer.
+    /// Asks the process at an address which replicas it knows, and introduces this process if
+    /// `introduction` is given; `None` when it does not answer.
     pub async fn directory(
         &self,
         address: SocketAddr,
@@ -304,7 +308,8 @@
         self.call_once(address, send).await
     }
 
-    /// Reserves the process at an address for a founding; returns whether it is.
+    /// Reserves the process at an address for a founding; returns whether the reservation was
+    /// granted.
     pub async fn reserve_founding(&self, address: SocketAddr, proposal: &FoundingProposal) -> bool {
         let send = async |client: ControlServiceClient, context| {
             client.reserve_founding(context, proposal.clone()).await
@@ -312,16 +317,17 @@
         self.call_once(address, send).await == Some(true)
     }
 
-    /// Gives a reservation at an address up.
+    /// Releases the reservation of the process at an address.
     pub async fn release_founding(&self, address: SocketAddr, proposal: &FoundingProposal) {
         let send = async |client: ControlServiceClient, context| {
             client.release_founding(context, proposal.clone()).await
         };
-        // One that can't be reached forgets the reservation by itself.
+        // The reservation of an unreachable process expires by itself.
         let _ = self.call_once(address, send).await;
     }
 
-    /// Passes an endpoint's heartbeat to the replica at an address; returns whether it took it.
+    /// Forwards an endpoint's heartbeat to the replica at an address; returns whether the replica
+    /// accepted it.
     pub async fn announce(
         &self,
         address: SocketAddr,
@@ -334,14 +340,15 @@
         self.call_within(address, timeout_ms, send).await == Some(true)
     }
 
-    /// Passes an endpoint's deregistration on, as [`Self::announce`].
+    /// Forwards an endpoint's deregistration, as [`Self::announce`] does for a heartbeat.
     pub async fn depart(&self, address: SocketAddr, id: &EndpointId, timeout_ms: u64) -> bool {
         let send =
             async |client: ControlServiceClient, context| client.depart(context, id.clone()).await;
         self.call_within(address, timeout_ms, send).await == Some(true)
     }
 
-    /// Gives the founding members to the replica at an address.
+    /// Sends the founding members to the replica at an address; returns whether the replica belongs
+    /// to a cluster afterwards.
     pub async fn found(&self, address: SocketAddr, members: &[ReplicaIdentity]) -> bool {
         let send = async |client: ControlServiceClient, context| {
             client.found(context, members.to_vec()).await
--- a/crates/masticsill_control_client/src/lib.rs
+++ b/crates/masticsill_control_client/src/lib.rs
@@ -1,9 +1,9 @@
-//! Calls the control replicas: finds the leader and sends again what may be sent again.
+//! Client of the control replicas: finds the leader and retries calls that are safe to repeat.
 
+mod address_book;
 mod attempts;
-mod book;
 mod client;
 
+pub use address_book::AddressBook;
 pub use attempts::connect;
-pub use book::AddressBook;
 pub use client::{ControlClient, ControlUnavailable};
