--- a/crates/masticsill_control/src/admission.rs
+++ b/crates/masticsill_control/src/admission.rs
@@ -93,7 +93,11 @@
     loop {
         tokio::time::sleep(REMOVAL_INTERVAL).await;
         let status = server.quorum.status();
-        let Some(id) = status.spare_members.first().filter(|_| status.is_leading) else {
+        let Some(id) = status
+            .removable_members
+            .first()
+            .filter(|_| status.is_leading)
+        else {
             continue;
         };
         let membership_request = MembershipRequest::RemoveExact {
--- a/crates/masticsill_control/src/forwarder/service.rs
+++ b/crates/masticsill_control/src/forwarder/service.rs
@@ -22,7 +22,7 @@
 use tarpc::context::Context;
 
 use super::role::ForwarderConfig;
-use crate::rpc::{attempt_of, note_introduction};
+use crate::rpc::{attempt_of, record_introduction};
 
 /// Answers calls of other processes. Each connection has a clone.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
 
     async fn directory(self, _: Context, introduction: Option<Introduction>) -> Directory {
         if let Some(introduction) = introduction {
-            note_introduction(self.client.book(), &introduction);
+            record_introduction(self.client.book(), &introduction);
             if introduction.is_founded {
                 self.reservations().note_cluster_exists();
             }
--- a/crates/masticsill_control/src/http/catalogue.rs
+++ b/crates/masticsill_control/src/http/catalogue.rs
@@ -108,11 +108,11 @@
 ) -> Result<WatchJson, ControlUnavailable> {
     let until = Instant::now() + Duration::from_millis(wait_ms);
     let mut status = state.quorum.status.clone();
-    let news = status.wait_for(|status| status.version > from);
+    let changed = status.wait_for(|status| status.version > from);
     let stopped = state.stopping.requested();
     let _ = timeout_at(until, async {
         tokio::select! {
-            _ = news => {}
+            _ = changed => {}
             () = stopped => {}
         }
     })
--- a/crates/masticsill_control/src/orders/calls.rs
+++ b/crates/masticsill_control/src/orders/calls.rs
@@ -100,9 +100,9 @@
             }
             Err(_) => return FenceOutcome::Silent,
         };
-        let asking = client.fence(call_context(FENCE_TIMEOUT_MS), fencing);
-        let bound = Duration::from_millis(FENCE_TIMEOUT_MS);
-        match timeout(bound, asking).await {
+        let fence_call = client.fence(call_context(FENCE_TIMEOUT_MS), fencing);
+        let fence_timeout = Duration::from_millis(FENCE_TIMEOUT_MS);
+        match timeout(fence_timeout, fence_call).await {
             Ok(Ok(reply)) => FenceOutcome::Fenced(reply),
             Ok(Err(_)) | Err(_) => FenceOutcome::Silent,
         }
--- a/crates/masticsill_control/src/quorum/duty.rs
+++ b/crates/masticsill_control/src/quorum/duty.rs
@@ -146,15 +146,15 @@
             let result = tokio::select! {
                 _ = ticks.tick() => self.step(Input::Tick),
                 changed = progress.changed() => match changed {
-                    Ok(()) => self.take_progress(),
+                    Ok(()) => self.handle_progress(),
                     Err(_) => break,
                 },
                 message = messages.pop() => match message {
-                    Some(message) => self.take_messages(message),
+                    Some(message) => self.handle_messages(message),
                     None => break,
                 },
                 request = requests.pop() => match request {
-                    Some(request) => self.take_requests(request).await,
+                    Some(request) => self.handle_requests(request).await,
                     None => break,
                 },
             };
@@ -181,7 +181,7 @@
         });
     }
 
-    fn take_progress(&mut self) -> Result<(), StateError> {
+    fn handle_progress(&mut self) -> Result<(), StateError> {
         let progress = self.progress.borrow_and_update().clone();
         if let Some(failure) = progress.failure {
             // Nothing may be acknowledged from here on: the data folder no longer accepts writes.
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    fn take_messages(&mut self, first: Envelope) -> Result<(), StateError> {
+    fn handle_messages(&mut self, first: Envelope) -> Result<(), StateError> {
         let mut next = Some(first);
         let mut taken = 0;
         while let Some(message) = next {
@@ -209,11 +209,11 @@
         Ok(())
     }
 
-    async fn take_requests(&mut self, first: Request) -> Result<(), StateError> {
+    async fn handle_requests(&mut self, first: Request) -> Result<(), StateError> {
         let mut next = Some(first);
         let mut taken = 0;
         while let Some(request) = next {
-            self.take_request(request).await?;
+            self.handle_request(request).await?;
             taken += 1;
             next = (taken < MAX_BATCH_REQUESTS)
                 .then(|| self.requests.try_pop())
@@ -226,15 +226,15 @@
         self.step(Input::Propose { proposals })
     }
 
-    async fn take_request(&mut self, request: Request) -> Result<(), StateError> {
+    async fn handle_request(&mut self, request: Request) -> Result<(), StateError> {
         match request {
             Request::Command(action, reply_to) => {
                 self.propose(action, PendingCall::Command(reply_to));
             }
             Request::ChangeReplicas(change, reply_to) => self.change_replicas(change, reply_to),
             Request::Found(members, reply_to) => {
-                let is_taken = self.found(&members).await?;
-                let _ = reply_to.send(is_taken);
+                let is_founded = self.found(&members).await?;
+                let _ = reply_to.send(is_founded);
             }
             Request::GiveUpFounding(reply_to) => {
                 let _ = reply_to.send(self.give_up_founding().await);
@@ -298,7 +298,7 @@
         }
     }
 
-    fn spare_members(&self, now: ClockMs) -> Vec<VoterId> {
+    fn removable_members(&self, now: ClockMs) -> Vec<VoterId> {
         let Some(target) = self.target_voters else {
             return Vec::new();
         };
@@ -326,7 +326,7 @@
             is_leading: leadership.is_some(),
             last_index: self.replica.last_index(),
             leader: self.replica.leader().map(|id| id.name.clone()),
-            spare_members: self.spare_members(now),
+            removable_members: self.removable_members(now),
             term: self.replica.term(),
             version: self.state_machine.state().catalogue().version(),
             voters: self.replica.membership().voters.len(),
--- a/crates/masticsill_control/src/quorum/request.rs
+++ b/crates/masticsill_control/src/quorum/request.rs
@@ -91,7 +91,7 @@
     /// The leader, if known.
     pub(crate) leader: Option<NodeId>,
     /// Silent members that the quorum may remove by itself; only known while this replica leads.
-    pub(crate) spare_members: Vec<VoterId>,
+    pub(crate) removable_members: Vec<VoterId>,
     /// The current term.
     pub(crate) term: Term,
     /// The version of the applied catalogue.
--- a/crates/masticsill_control/src/rpc.rs
+++ b/crates/masticsill_control/src/rpc.rs
@@ -8,6 +8,8 @@
 mod service;
 
 pub(crate) use duty::{RpcParts, run, serve_connections};
-pub(crate) use introductions::{ProcessIdentity, attempt_of, note_introduction, run_introductions};
+pub(crate) use introductions::{
+    ProcessIdentity, attempt_of, record_introduction, run_introductions,
+};
 pub(crate) use router::{FORWARD_TIMEOUT_MS, Forward, ForwardReply};
 pub(crate) use service::ControlServer;
--- a/crates/masticsill_control/src/rpc/introductions.rs
+++ b/crates/masticsill_control/src/rpc/introductions.rs
@@ -77,7 +77,7 @@
 }
 
 /// Records the address of a process that introduced itself.
-pub(crate) fn note_introduction(book: &AddressBook, introduction: &Introduction) {
+pub(crate) fn record_introduction(book: &AddressBook, introduction: &Introduction) {
     if introduction.keeps_state {
         book.record_announced(introduction.node.clone(), introduction.address);
     } else {
--- a/crates/masticsill_control/src/rpc/service.rs
+++ b/crates/masticsill_control/src/rpc/service.rs
@@ -22,7 +22,7 @@
 };
 use tarpc::context::Context;
 
-use super::introductions::{attempt_of, note_introduction};
+use super::introductions::{attempt_of, record_introduction};
 use crate::document_pieces::DocumentPieces;
 use crate::endpoints::EndpointHub;
 use crate::events;
@@ -214,7 +214,7 @@
 
     async fn directory(self, _: Context, introduction: Option<Introduction>) -> Directory {
         if let Some(introduction) = introduction {
-            note_introduction(&self.book, &introduction);
+            record_introduction(&self.book, &introduction);
             if introduction.is_founded {
                 self.reservations().note_cluster_exists();
             }
--- a/crates/masticsill_control/tests/admin_api.rs
+++ b/crates/masticsill_control/tests/admin_api.rs
@@ -178,10 +178,10 @@
         let change = Request(2, "all", Method::PUT, "/v1/catalogue/shop/orders", put);
         let watched = call(&client, addresses, watch);
         let changed = call(&client, addresses, change);
-        let ((_, news), (status, _)) = futures::future::join(watched, changed).await;
+        let ((_, update), (status, _)) = futures::future::join(watched, changed).await;
         assert_eq!(status, 200);
-        assert_eq!(news["version"], 1);
-        assert_eq!(news["entries"][0]["entry"]["id"], "shop/orders");
+        assert_eq!(update["version"], 1);
+        assert_eq!(update["entries"][0]["entry"]["id"], "shop/orders");
     });
 }
 
--- a/crates/masticsill_control/tests/watch_news.rs
+++ b/crates/masticsill_control/tests/watch_news.rs
@@ -52,7 +52,7 @@
 }
 
 /// Registers many watchers at a replica; returns the first answer to one of them.
-async fn watched(client: &ControlClient, address: SocketAddr) -> WatchReply {
+async fn register_watchers(client: &ControlClient, address: SocketAddr) -> WatchReply {
     for number in 1..WATCHERS {
         client.watch(address, &request(number, None, 0)).await;
     }
@@ -66,7 +66,7 @@
     let address = cluster.address(&node(1));
     block_on(async {
         let client = cluster.client();
-        let mut reply = watched(&client, address).await;
+        let mut reply = register_watchers(&client, address).await;
         let announcing = cluster.client();
         let announced = async {
             for number in 0..ENDPOINTS {
@@ -76,17 +76,17 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        let listened = async {
-            let (mut answers, mut heard) = (0, 0);
-            while heard < usize::from(ENDPOINTS) {
-                let asked = request(0, Some(&reply), WAIT_MS);
-                reply = client.watch(address, &asked).await.unwrap();
+        let collected = async {
+            let (mut answers, mut received) = (0, 0);
+            while received < usize::from(ENDPOINTS) {
+                let watch_request = request(0, Some(&reply), WAIT_MS);
+                reply = client.watch(address, &watch_request).await.unwrap();
                 answers += 1;
-                heard += reply.endpoints.len();
+                received += reply.endpoints.len();
             }
             answers
         };
-        let ((), answers) = tokio::join!(announced, listened);
+        let ((), answers) = tokio::join!(announced, collected);
         assert!(answers <= 5, "{answers} answers");
     });
 }
@@ -98,20 +98,20 @@
     block_on(async {
         let client = cluster.client();
         client.announce(address, &endpoint(0), WAIT_MS).await;
-        let reply = watched(&client, address).await;
+        let reply = register_watchers(&client, address).await;
         let leaving = cluster.client();
         let began = Instant::now();
-        let left = async {
+        let departed = async {
             let id = endpoint(0).id;
             leaving.depart(address, &id, WAIT_MS).await
         };
-        let told = async {
-            let asked = request(0, Some(&reply), WAIT_MS);
-            let told = client.watch(address, &asked).await.unwrap();
-            assert_eq!(told.endpoints.len(), 1);
+        let notified = async {
+            let watch_request = request(0, Some(&reply), WAIT_MS);
+            let notified = client.watch(address, &watch_request).await.unwrap();
+            assert_eq!(notified.endpoints.len(), 1);
             began.elapsed()
         };
-        let (_, told_after) = tokio::join!(left, told);
-        assert!(told_after < Duration::from_millis(150), "{told_after:?}");
+        let (_, elapsed) = tokio::join!(departed, notified);
+        assert!(elapsed < Duration::from_millis(150), "{elapsed:?}");
     });
 }
--- a/crates/masticsill_control_client/src/attempts.rs
+++ b/crates/masticsill_control_client/src/attempts.rs
@@ -124,7 +124,7 @@
                 Attempt::Done(answer)
             }
             Ok(ControlReply::NotLeader(hint)) => Attempt::Refused {
-                pause_ms: self.follow(address, hint),
+                pause_ms: self.follow_leader_hint(address, hint),
             },
             Ok(ControlReply::OutcomeUnknown) => {
                 self.forget_leader();
@@ -163,9 +163,9 @@
 
     /// Sets the leader to the one that a replica named; returns the pause before the next attempt,
     /// in milliseconds.
-    fn follow(&self, asked: SocketAddr, hint: Option<LeaderHint>) -> u64 {
+    fn follow_leader_hint(&self, called: SocketAddr, hint: Option<LeaderHint>) -> u64 {
         let address = hint.and_then(|hint| self.book.get(&hint.node).or(hint.address));
-        let leader = address.filter(|leader| *leader != asked);
+        let leader = address.filter(|leader| *leader != called);
         self.lock().leader = leader;
         if leader.is_some() { 1 } else { RETRY_PAUSE_MS }
     }
