--- a/crates/masticsill_control/src/quorum/pending.rs
+++ b/crates/masticsill_control/src/quorum/pending.rs
@@ -12,7 +12,7 @@
 pub(crate) enum PendingCall {
     /// The answer to a committed command.
     Command(ReplyTo<CommandAnswer>),
-    /// The commitment of a membership change.
+    /// The commit of a membership change.
     Membership(ReplyTo<ReplicaAnswer>),
     /// The commit of a membership change's audit record, after which the change is started.
     AuditRecord(MembershipChange, ReplyTo<ReplicaAnswer>),
