--- a/crates/masticsill_membership/examples/membership_bytes.rs
+++ b/crates/masticsill_membership/examples/membership_bytes.rs
@@ -1,28 +1,28 @@
-//! Measures what membership costs a node, at several sizes.
+//! Measures the network traffic that membership causes per node, for several member counts.
 //!
-//! Each size is run on a virtual clock; the bodies are encoded as on the wire. Printed for each
-//! size: bytes and calls a second of a node without changes, the same with one changing member a
-//! second, and the difference, which is the cost of one change. Sizes not run follow from the
-//! slope over the logarithm of the size.
+//! Each member count is simulated on a virtual clock, with bodies encoded as on the wire. Printed
+//! for each are the bytes and calls per second of a node while no member changes, and the extra
+//! bytes while one member per second changes, which are the cost of one change. The cost for
+//! [`TARGET_MEMBERS`] is extrapolated from the slope over the logarithm of the member count.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
 
 use masticsill_membership::{Input, Role};
-use support::{Net, gathered, node, profile};
+use support::{Net, joined_net, node, profile};
 
 const SIZES: [usize; 5] = [40, 80, 160, 320, 640];
 const MEASURED_SECONDS: u64 = 120;
-/// Virtual time for the news of the start to die out, for each member.
-const SETTLE_MS_A_MEMBER: u64 = 1_500;
+/// Virtual time per member after which the updates of the start are no longer sent.
+const SETTLE_MS_PER_MEMBER: u64 = 1_500;
 /// Length prefix and `tarpc` envelope of a message.
 const ENVELOPE_BYTES: f64 = 48.0;
-/// Headers of the 11 segments that a call on a connection of its own takes.
-const CALL_SEGMENTS_BYTES: f64 = 11.0 * 52.0;
-/// The size of letter 1: nodes and the agents of all replicas.
-const LETTER_SIZE: f64 = 2_150.0;
+/// IP and TCP headers of the 11 segments of a call that opens its own connection.
+const CALL_HEADER_BYTES: f64 = 11.0 * 52.0;
+/// The member count that the system is designed for: nodes and the agents of all replicas.
+const TARGET_MEMBERS: f64 = 2_150.0;
 
-/// Body bytes and messages a second, of the average and of the busiest node.
+/// Body bytes and messages per second of the average node, and body bytes of the busiest node.
 #[derive(Clone, Copy)]
 struct Rates {
     bytes: f64,
@@ -31,7 +31,7 @@
 }
 
 impl Rates {
-    /// With envelopes and headers, when each call opens a connection.
+    /// Computes the rates from the traffic counted since the last reset.
     #[expect(clippy::cast_precision_loss, reason = "figures are far below 2^52")]
     fn of(net: &Net) -> Self {
         let seconds = MEASURED_SECONDS as f64;
@@ -47,8 +47,9 @@
         }
     }
 
+    /// Bytes per second with envelopes and headers, if each call opens a connection.
     fn on_wire(&self) -> f64 {
-        self.bytes + self.messages * (ENVELOPE_BYTES + CALL_SEGMENTS_BYTES / 2.0)
+        self.bytes + self.messages * (ENVELOPE_BYTES + CALL_HEADER_BYTES / 2.0)
     }
 }
 
@@ -74,26 +75,26 @@
     let mut points = Vec::new();
     for size in SIZES {
         let entries = size / 8;
-        let mut net = gathered(entries, 3, size - entries - 3);
-        net.run(SETTLE_MS_A_MEMBER * size as u64);
+        let mut net = joined_net(entries, 3, size - entries - 3);
+        net.run(SETTLE_MS_PER_MEMBER * size as u64);
         let quiet = measure(&mut net, false);
         let changing = measure(&mut net, true);
-        let a_change = changing.on_wire() - quiet.on_wire();
+        let per_change = changing.on_wire() - quiet.on_wire();
         println!(
-            "{size:7}  {:7.2}  {:8.0}  {:8.0}  {:16.0}  {a_change:24.0}",
+            "{size:7}  {:7.2}  {:8.0}  {:8.0}  {:16.0}  {per_change:24.0}",
             quiet.messages / 2.0,
             quiet.bytes,
             quiet.on_wire(),
             quiet.busiest_bytes,
         );
-        points.push(((size as f64).log2(), quiet.on_wire(), a_change));
+        points.push(((size as f64).log2(), quiet.on_wire(), per_change));
     }
     let (first, last) = (points[0], points[points.len() - 1]);
     let steps = last.0 - first.0;
-    let left = LETTER_SIZE.log2() - last.0;
+    let left = TARGET_MEMBERS.log2() - last.0;
     let quiet = last.1 + (last.1 - first.1) / steps * left;
-    let a_change = last.2 + (last.2 - first.2) / steps * left;
+    let per_change = last.2 + (last.2 - first.2) / steps * left;
     println!(
-        "worked out for {LETTER_SIZE} members: {quiet:.0} B/s quiet, {a_change:.0} B a change"
+        "worked out for {TARGET_MEMBERS} members: {quiet:.0} B/s quiet, {per_change:.0} B a change"
     );
 }
--- a/crates/masticsill_membership/examples/membership_cost.rs
+++ b/crates/masticsill_membership/examples/membership_cost.rs
@@ -1,4 +1,4 @@
-//! Measures the time of a node's steps and the memory of its view at several sizes.
+//! Measures the CPU time of a node's steps and the memory of its view, for several member counts.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -13,7 +13,7 @@
 
 const SIZES: [usize; 4] = [300, 600, 1_200, 2_150];
 const TICKS: u64 = 20_000;
-const TICKS_A_SECOND: u128 = 10;
+const TICKS_PER_SECOND: u128 = 10;
 
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -35,7 +35,7 @@
     }
 }
 
-fn tell(membership: &mut Membership, now: ClockMs, record: Record) {
+fn deliver_record(membership: &mut Membership, now: ClockMs, record: Record) {
     let request = Request {
         body: RequestBody::Probe,
         from: node("agent-1"),
@@ -57,22 +57,22 @@
         let mut now = ClockMs(0);
         let mut membership = Membership::new(now, description, Vec::new(), Periods::default(), 1);
         for index in 1..size {
-            tell(&mut membership, now, record(index, 0));
+            deliver_record(&mut membership, now, record(index, 0));
         }
         let resident_kib = resident_kib();
         let begun = Instant::now();
         for _ in 0..TICKS {
             now = now + 100;
-            // Calls that get no answer are never told as failed, so that nobody is suspected.
+            // Unanswered calls are never reported as failed, so that no member is suspected.
             membership.step(now, Input::Tick);
         }
         let tick_ns = begun.elapsed().as_nanos() / u128::from(TICKS);
         let begun = Instant::now();
         for index in 1..size {
-            tell(&mut membership, now, record(index, 1));
+            deliver_record(&mut membership, now, record(index, 1));
         }
         let change_us = begun.elapsed().as_micros() / size as u128;
-        let core_permille = tick_ns * TICKS_A_SECOND / 1_000_000;
+        let core_permille = tick_ns * TICKS_PER_SECOND / 1_000_000;
         println!(
             "{size:7}  {resident_kib:5}  {:9}  {:9}.{}  {change_us:11}",
             tick_ns / 1_000,
--- a/crates/masticsill_membership/examples/membership_times.rs
+++ b/crates/masticsill_membership/examples/membership_times.rs
@@ -1,14 +1,14 @@
-//! Measures, on a virtual clock with ticks of 100 ms, how long it takes until a leaving member is
-//! out of every entry's view and until a silent one is gone from every view.
+//! Measures, on a virtual clock with ticks of 100 ms, the time until every entry sees that a member
+//! is leaving, and the time until a silent member is gone from every view.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
 
 use masticsill_membership::{Input, Member, MemberState};
-use support::{Net, gathered, node};
+use support::{Net, joined_net, node};
 
 const ROUNDS: usize = 10;
-const BOUND_MS: u64 = 120_000;
+const TIMEOUT_MS: u64 = 120_000;
 
 fn all_entries(net: &Net, is_met: impl Fn(Option<&Member>) -> bool, name: &str) -> bool {
     let mut entries = net
@@ -29,7 +29,7 @@
 fn main() {
     println!("entries  agents  leaving ms (least, most)  silent ms (least, most)");
     for (entries, agents) in [(3, 40), (20, 80), (60, 140), (150, 250)] {
-        let mut net = gathered(entries, 3, agents);
+        let mut net = joined_net(entries, 3, agents);
         net.run(20_000);
         let (mut leaving, mut silent) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS {
@@ -38,11 +38,11 @@
             let is_out = |member: Option<&Member>| {
                 member.is_none_or(|member| member.state == MemberState::Leaving)
             };
-            let took = net.run_until(BOUND_MS, |net| all_entries(net, is_out, &name));
+            let took = net.run_until(TIMEOUT_MS, |net| all_entries(net, is_out, &name));
             leaving.push(took.expect("within the bound"));
             let name = format!("agent-{}", 2 * round + 1);
             net.hosts[&node(&name)].is_down = true;
-            let took = net.run_until(BOUND_MS, |net| all_views(net, &name));
+            let took = net.run_until(TIMEOUT_MS, |net| all_views(net, &name));
             silent.push(took.expect("within the bound"));
         }
         println!(
--- a/crates/masticsill_membership/src/change_log.rs
+++ b/crates/masticsill_membership/src/change_log.rs
@@ -1,21 +1,21 @@
-//! Which members changed since when, so that views follow cheaply.
+//! A bounded log of member changes, from which views update without reading all members.
 
 use std::collections::VecDeque;
 
 use masticsill_types::NodeId;
 
-const KEPT_CHANGES: usize = 4_096;
+const MAX_KEPT_CHANGES: usize = 4_096;
 
-/// What changed since a cursor.
+/// The members that changed since a cursor.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ChangesSince {
-    /// The cursor is too old: read all members.
+    /// The log no longer reaches back to the cursor, so the caller must read all members.
     All,
-    /// Members that changed, each at least once.
+    /// The members that changed; a member that changed several times may be listed several times.
     Members(Vec<NodeId>),
 }
 
-/// The latest changes, numbered.
+/// The latest changes, numbered consecutively.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeLog {
     changes: VecDeque<NodeId>,
@@ -24,7 +24,7 @@
 
 impl ChangeLog {
     pub(crate) fn push(&mut self, node: &NodeId) {
-        if self.changes.len() == KEPT_CHANGES {
+        if self.changes.len() == MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(node.clone());
--- a/crates/masticsill_membership/src/config.rs
+++ b/crates/masticsill_membership/src/config.rs
@@ -1,23 +1,23 @@
-//! Periods and timeouts.
+//! Periods and timeouts of membership.
 
-/// Periods and timeouts of membership, in milliseconds.
+/// Periods and timeouts of membership. All values are in milliseconds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Periods {
-    /// Between two comparisons with a random peer.
+    /// Period of digest comparisons with a random peer.
     pub compare_ms: u64,
-    /// After which a direct probe or another call counts as failed.
+    /// Timeout of a direct probe and of every other call to a peer, except indirect probes.
     pub call_timeout_ms: u64,
-    /// After which an indirect probe counts as failed.
+    /// Timeout of an indirect probe.
     pub indirect_timeout_ms: u64,
-    /// Between two probes.
+    /// Period of probes.
     pub probe_ms: u64,
-    /// Between two tries to reach a seed or a lost member while others are known.
+    /// Period of attempts to reach a seed or a failed member while other members are known.
     pub reconnect_ms: u64,
-    /// Between two tries to reach a seed while nobody is known.
+    /// Period of attempts to reach a seed while no other member is known.
     pub join_ms: u64,
-    /// How long a suspected member may take to refute before it counts as gone.
+    /// Time that a suspected member has to refute the suspicion before it counts as gone.
     pub suspicion_ms: u64,
-    /// How long a gone member is remembered.
+    /// Time that the tombstone of a gone member is kept.
     pub tombstone_ms: u64,
 }
 
--- a/crates/masticsill_membership/src/detector.rs
+++ b/crates/masticsill_membership/src/detector.rs
@@ -1,4 +1,4 @@
-//! Whom to probe next, and through whom when that fails.
+//! Chooses the next member to probe, and the helpers for an indirect probe when that fails.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,14 @@
 use crate::member::{Member, Record};
 use crate::table::MemberTable;
 
-/// Helpers asked when a direct probe fails.
-const HELPERS: usize = 3;
+/// Maximum number of helpers asked to probe a target whose direct probe failed.
+const MAX_HELPERS: usize = 3;
 
-/// Probes members round robin in an order that is shuffled anew each round.
+/// Probes members round-robin, in an order that is shuffled at the start of each round.
 #[derive(Clone, Debug)]
 pub(crate) struct Detector {
-    /// Helpers still out, for each target.
-    groups: IndexMap<NodeId, usize>,
+    /// The number of helpers that have not answered yet, by target.
+    indirect_probes: IndexMap<NodeId, usize>,
     next: ClockMs,
     order: Vec<NodeId>,
     period_ms: u64,
@@ -26,14 +26,14 @@
 impl Detector {
     pub(crate) fn new(now: ClockMs, period_ms: u64) -> Self {
         Self {
-            groups: IndexMap::new(),
+            indirect_probes: IndexMap::new(),
             next: now,
             order: Vec::new(),
             period_ms,
         }
     }
 
-    /// The next member to probe, when it is time.
+    /// Returns the next member to probe, or `None` until the probe period is over.
     pub(crate) fn next(
         &mut self,
         now: ClockMs,
@@ -50,14 +50,14 @@
             self.order.shuffle(rng);
         }
         while let Some(node) = self.order.pop() {
-            if table.member(&node).is_some() && !self.groups.contains_key(&node) {
+            if table.member(&node).is_some() && !self.indirect_probes.contains_key(&node) {
                 return table.record(&node).cloned();
             }
         }
         None
     }
 
-    /// Helpers for an indirect probe of a target.
+    /// Chooses random helpers for an indirect probe of a target, and returns their addresses.
     pub(crate) fn helpers(
         &mut self,
         target: &Record,
@@ -68,29 +68,31 @@
         let others = peers(own, table).filter(|peer| peer.node != target.node);
         let mut addresses: Vec<SocketAddr> = others.map(|peer| peer.address).collect();
         addresses.shuffle(rng);
-        addresses.truncate(HELPERS);
+        addresses.truncate(MAX_HELPERS);
         if !addresses.is_empty() {
-            self.groups.insert(target.node.clone(), addresses.len());
+            self.indirect_probes
+                .insert(target.node.clone(), addresses.len());
         }
         addresses
     }
 
-    /// Notes a helper's answer. Returns whether every helper failed to reach the target.
-    pub(crate) fn end_helper(&mut self, target: &Record, is_reached: bool) -> bool {
-        let Some(left) = self.groups.get_mut(&target.node) else {
+    /// Records the result of one helper. Returns whether all helpers failed to reach the target.
+    pub(crate) fn record_helper_result(&mut self, target: &Record, is_reached: bool) -> bool {
+        let Some(left) = self.indirect_probes.get_mut(&target.node) else {
             return false;
         };
         *left -= 1;
         let is_last = *left == 0;
         if is_reached || is_last {
-            self.groups.swap_remove(&target.node);
+            self.indirect_probes.swap_remove(&target.node);
         }
         is_last && !is_reached
     }
 
-    /// Drops running indirect probes, whose helpers' answers went stale.
-    pub(crate) fn forget_groups(&mut self) {
-        self.groups.clear();
+    /// Drops the indirect probes in flight. Called after a pause of this process, which makes the
+    /// answers of their helpers stale.
+    pub(crate) fn clear_indirect_probes(&mut self) {
+        self.indirect_probes.clear();
     }
 }
 
--- a/crates/masticsill_membership/src/lib.rs
+++ b/crates/masticsill_membership/src/lib.rs
@@ -1,13 +1,15 @@
-//! Membership without a list: incarnations, suspicion, deltas and digests.
+//! Gossip membership without a configured member list.
 //!
-//! Each node keeps a view of all members and drives it with [`Membership::step`]. News spreads in
-//! three ways: at once to entries and the control quorum, on the back of probes, and by comparing
-//! hashes with a random peer now and then. Words about a member are [`Record`]s, merged by a join:
-//! a paused or restarted node's old word never wins.
+//! Each node keeps a view of all members and drives it with [`Membership::step`]. Updates spread in
+//! three ways: pushed at once to the entries and the control quorum, piggybacked on probes, and by
+//! periodic anti-entropy, in which a node compares digests with a random peer. The state of a
+//! member is a [`Record`]. Records are merged by a join, so an outdated record from a paused or
+//! restarted node never replaces a newer one.
 //!
-//! A member counts as gone when it says so, or when a probe of it failed directly and through
-//! helpers and it did not refute within the suspicion timeout. Only suspicion travels: each node
-//! runs the timeout itself, so that two halves of a healed partition don't bury each other.
+//! A member counts as gone when it announced its end, or when a direct probe and the indirect
+//! probes through helpers failed and the member did not refute the suspicion within the suspicion
+//! timeout. Only suspicions are gossiped, never the verdict that a member is gone: each node runs
+//! the timeout itself, so that the two halves of a healed partition don't declare each other gone.
 
 mod change_log;
 mod config;
--- a/crates/masticsill_membership/src/member.rs
+++ b/crates/masticsill_membership/src/member.rs
@@ -1,70 +1,73 @@
-//! What is known of one member, and which of two words about it wins.
+//! The state of one member, and the order by which the newer of two records is found.
 
 use std::net::SocketAddr;
 
 use masticsill_types::{ClockMs, EndpointProfile, Incarnation, NodeId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// What a member does.
+/// The role of a member.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
-    /// Stands beside one endpoint.
+    /// Serves one endpoint, which this profile describes.
     Agent(EndpointProfile),
     /// Belongs to the control quorum.
     Control,
-    /// Takes callers' requests.
+    /// Accepts the requests of callers.
     Entry,
 }
 
-/// Where a member says it stands. Only its owner changes this.
+/// The lifecycle phase that a member announces. Only the member itself changes it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Phase {
-    /// Takes work.
+    /// Accepts new work.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its running work and accepts no new work.
     Leaving,
-    /// Has ended.
+    /// Has stopped.
     Left,
 }
 
-/// A word about a member, as it travels.
+/// The state of a member as nodes exchange it.
 ///
-/// Records of one member are totally ordered by incarnation, revision and suspicion, so that
-/// keeping the greater one is a join: order and repetition of messages don't matter.
+/// The records of one member are totally ordered by incarnation, revision and suspicion. Keeping
+/// the greater of two records is therefore a join: messages may be reordered and repeated without
+/// changing the result.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
     /// Address of the RPC listener.
     pub address: SocketAddr,
-    /// The life that the word is about.
+    /// The incarnation that this record describes.
     pub incarnation: Incarnation,
-    /// Whether somebody failed to reach this very revision. The owner refutes by a higher one.
+    /// Whether a node failed to reach the member at this revision. The member refutes the
+    /// suspicion by announcing a higher revision.
     pub is_suspected: bool,
-    /// The member.
+    /// Id of the member.
     pub node: NodeId,
-    /// What the owner says of its stage of life.
+    /// The lifecycle phase that the member announces.
     pub phase: Phase,
-    /// Raised by the owner with each change of its own description.
+    /// Incremented by the member with each change of its own record.
     pub revision: u32,
-    /// What the member does.
+    /// Role of the member.
     pub role: Role,
-    /// Its availability zone.
+    /// Availability zone of the member.
     pub zone: ZoneId,
 }
 
 impl Record {
-    /// The place of this word among all words about the member; the greatest wins.
+    /// Returns the position of this record in the total order of the records of a member. The
+    /// greatest record wins.
     #[must_use]
     pub fn rank(&self) -> (Incarnation, u32, bool) {
         (self.incarnation, self.revision, self.is_suspected)
     }
 
-    /// Whether this word wins over another about the same member.
+    /// Returns whether this record replaces another record of the same member.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
 
-    /// Whether the owner says that it takes nothing new.
+    /// Returns whether the member announces that it accepts no new work.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let is_profile_leaving = match &self.role {
@@ -75,42 +78,43 @@
     }
 }
 
-/// How a member is seen from here.
+/// The state of a member in the view of this node.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum MemberState {
-    /// Reachable as far as is known.
+    /// Assumed to be reachable.
     Alive,
-    /// A probe failed and the owner has not refuted yet.
+    /// A probe failed and the member has not refuted the suspicion yet.
     Suspect,
-    /// The owner takes nothing new.
+    /// The member accepts no new work.
     Leaving,
-    /// It ended, or stayed silent for the suspicion timeout.
+    /// The member announced its end, or did not refute a suspicion within the suspicion timeout.
     Gone,
 }
 
-/// A member as seen from here.
+/// A member in the view of this node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
     /// Address of the RPC listener.
     pub address: SocketAddr,
-    /// Held back until then, because it died often lately.
+    /// End of the hold-down, during which a member that failed repeatedly gets no new work.
     pub held_until: ClockMs,
-    /// Its life.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// Its id.
+    /// Id of the member.
     pub node: NodeId,
-    /// The owner's count of its own changes in this life.
+    /// Number of changes that the member made to its own record in this incarnation.
     pub revision: u32,
-    /// What it does.
+    /// Role of the member.
     pub role: Role,
-    /// How it is seen.
+    /// State of the member in the view of this node.
     pub state: MemberState,
-    /// Its availability zone.
+    /// Availability zone of the member.
     pub zone: ZoneId,
 }
 
 impl Member {
-    /// Whether the member may be given new work.
+    /// Returns whether the member may be given new work: it is reachable, it is not leaving and no
+    /// hold-down is in force.
     #[must_use]
     pub fn takes_work(&self, now: ClockMs) -> bool {
         let is_reachable = match self.state {
@@ -120,13 +124,13 @@
         is_reachable && self.held_until <= now
     }
 
-    /// Whether it belongs to the control quorum.
+    /// Returns whether the member is a control replica.
     #[must_use]
     pub fn is_control(&self) -> bool {
         self.role == Role::Control
     }
 
-    /// The endpoint that the member stands beside, for agents.
+    /// Returns the profile of the endpoint that the member serves, or `None` if it is no agent.
     #[must_use]
     pub fn endpoint(&self) -> Option<&EndpointProfile> {
         match &self.role {
--- a/crates/masticsill_membership/src/membership.rs
+++ b/crates/masticsill_membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of one node, driven by its host.
+//! The membership state machine of one node, driven by its host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,28 +17,30 @@
 use crate::rumors::Rumors;
 use crate::table::MemberTable;
 
-/// A gap between ticks that is taken for a pause of this process.
-const PAUSE_MS: u64 = 1_500;
-/// How long after the first contact a node takes its peers' members without spreading them.
-const JOINING_MS: u64 = 2_000;
-/// Buckets reconciled in one call.
-const BUCKETS_AT_ONCE: usize = 64;
+/// A longer gap between two ticks counts as a pause of this process.
+const PAUSE_THRESHOLD_MS: u64 = 1_500;
+/// Time after the first contact in which a node takes over the records of its peers without
+/// spreading them.
+const JOIN_WINDOW_MS: u64 = 2_000;
+/// Maximum number of buckets reconciled in one call.
+const MAX_BUCKETS_PER_CALL: usize = 64;
 
-/// How a node describes itself when it starts.
+/// The initial description of a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Description {
-    /// Address of its RPC listener.
+    /// Address of the RPC listener.
     pub address: SocketAddr,
-    /// Its life, higher than each earlier one of the same node.
+    /// Incarnation, which must be higher than every earlier one of the same node.
     pub incarnation: Incarnation,
-    /// Its id.
+    /// Id of the node.
     pub node: NodeId,
-    /// What it does.
+    /// Role of the node.
     pub role: Role,
-    /// Its availability zone.
+    /// Availability zone of the node.
     pub zone: ZoneId,
 }
 
+/// The purpose of a call in flight.
 #[derive(Clone, Debug)]
 enum Pending {
     Compare { address: SocketAddr },
@@ -50,8 +52,9 @@
 
 /// The membership of one node.
 ///
-/// The host gives a [`Input::Tick`] a few times a second, answers peers through
-/// [`Membership::answer`], and carries each [`Output`] out, telling the end of every call.
+/// The host gives an [`Input::Tick`] several times per second, answers the requests of peers
+/// through [`Membership::answer`], carries out each [`Output`] and reports the result of every
+/// call.
 #[derive(Clone, Debug)]
 pub struct Membership {
     detector: Detector,
@@ -73,7 +76,8 @@
 }
 
 impl Membership {
-    /// A node that knows itself and the addresses of its seeds. `seed` is its randomness.
+    /// Creates the membership of a node that knows only itself and the addresses of its seeds.
+    /// `seed` seeds the random number generator.
     #[must_use]
     pub fn new(
         now: ClockMs,
@@ -114,47 +118,48 @@
         }
     }
 
-    /// Members that are not gone, this node included.
+    /// Returns the members that are not gone, this node included.
     pub fn members(&self) -> impl Iterator<Item = &Arc<Member>> {
         self.table.members()
     }
 
-    /// One member, unless it is gone.
+    /// Returns a member, or `None` if it is unknown or gone.
     #[must_use]
     pub fn member(&self, node: &NodeId) -> Option<&Arc<Member>> {
         self.table.member(node)
     }
 
-    /// The cursor after the latest change.
+    /// Returns the cursor after the latest change.
     #[must_use]
     pub fn cursor(&self) -> u64 {
         self.table.log().cursor()
     }
 
-    /// Which members changed after a cursor.
+    /// Returns the members that changed after a cursor.
     #[must_use]
     pub fn changes_since(&self, cursor: u64) -> ChangesSince {
         self.table.log().since(cursor)
     }
 
-    /// Takes what happened and tells what to do.
+    /// Handles an input and returns the actions that the host must carry out.
     pub fn step(&mut self, now: ClockMs, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
             Input::Answered { call, reply } => self.on_answer(now, call, reply),
             Input::ProbedVia { call, is_reached } => self.on_probed_via(now, call, is_reached),
             Input::Failed { call } => self.on_failure(now, call),
-            Input::Described(role) => self.describe(now, |own| own.role = role),
-            Input::Leaving => self.describe(now, |own| own.phase = Phase::Leaving),
-            Input::Left => self.describe(now, |own| own.phase = Phase::Left),
+            Input::Described(role) => self.update_own_record(now, |own| own.role = role),
+            Input::Leaving => self.update_own_record(now, |own| own.phase = Phase::Leaving),
+            Input::Left => self.update_own_record(now, |own| own.phase = Phase::Left),
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// Answers a peer. What follows from its news is done at the next tick.
+    /// Answers the request of a peer. Its updates are merged at once; the calls that follow from
+    /// them are made at the next tick.
     pub fn answer(&mut self, now: ClockMs, request: Request) -> Reply {
         for rumor in request.rumors {
-            self.absorb(now, rumor);
+            self.merge_and_spread(now, rumor);
         }
         let body = match request.body {
             RequestBody::Probe => ReplyBody::Here,
@@ -183,7 +188,7 @@
             known.is_none_or(|their| own.supersedes(their))
         });
         for record in records {
-            self.absorb(now, record);
+            self.merge_and_spread(now, record);
         }
         answer
     }
@@ -191,22 +196,22 @@
     fn tick(&mut self, now: ClockMs) {
         let gap_ms = now.since(self.last_tick);
         self.last_tick = now;
-        if gap_ms > PAUSE_MS {
-            self.table.postpone(gap_ms);
+        if gap_ms > PAUSE_THRESHOLD_MS {
+            self.table.postpone_suspicions(gap_ms);
             self.pending.clear();
-            self.detector.forget_groups();
+            self.detector.clear_indirect_probes();
         }
         self.table.expire(now);
         if self.is_superseded {
             return;
         }
-        self.push_news(now);
+        self.push_updates(now);
         self.probe_next(now);
         self.compare_next(now);
         self.reconnect_next(now);
     }
 
-    fn push_news(&mut self, now: ClockMs) {
+    fn push_updates(&mut self, now: ClockMs) {
         let Some(push) = self.push.next(now, &self.own, &self.table, &mut self.rng) else {
             return;
         };
@@ -244,21 +249,21 @@
         }
     }
 
-    /// Looks for seeds and lost members, which heals a partition.
+    /// Tries to reach seeds and failed members that are not in the view, which heals a partition.
     fn reconnect_next(&mut self, now: ClockMs) {
         if now < self.next_reconnect {
             return;
         }
         let known: Vec<SocketAddr> = self.table.members().map(|peer| peer.address).collect();
-        let is_alone = known.len() < 2;
-        let period_ms = if is_alone {
+        let knows_no_peers = known.len() < 2;
+        let period_ms = if knows_no_peers {
             self.periods.join_ms
         } else {
             self.periods.reconnect_ms
         };
         self.next_reconnect = now + self.jittered(period_ms);
-        let lost = self.table.lost().map(|record| record.address);
-        let candidates = self.seeds.iter().copied().chain(lost);
+        let failed_members = self.table.failed_members().map(|record| record.address);
+        let candidates = self.seeds.iter().copied().chain(failed_members);
         let absent: Vec<SocketAddr> = candidates
             .filter(|address| !known.contains(address))
             .collect();
@@ -280,7 +285,7 @@
     fn on_answer(&mut self, now: ClockMs, call: CallId, reply: Reply) {
         let pending = self.pending.swap_remove(&call);
         for rumor in reply.rumors {
-            self.absorb(now, rumor);
+            self.merge_and_spread(now, rumor);
         }
         match (pending, reply.body) {
             (Some(Pending::Probe { target }), _) => {
@@ -301,29 +306,30 @@
         }
     }
 
-    /// Takes what a peer holds. A node that just joined does not spread it: its peers know it.
+    /// Merges the records that a peer holds. A node that just joined does not spread them, because
+    /// its peers know them already.
     fn take_records(&mut self, now: ClockMs, records: Vec<Record>) {
-        let is_joining = now.since(self.joined_at) < JOINING_MS;
-        let was_alone = self.table.len() < 2;
-        if was_alone {
+        let is_joining = now.since(self.joined_at) < JOIN_WINDOW_MS;
+        let knew_no_peers = self.table.len() < 2;
+        if knew_no_peers {
             self.joined_at = now;
         }
         for record in records {
-            if was_alone || is_joining {
-                self.learn(now, record);
+            if knew_no_peers || is_joining {
+                self.merge_unspread(now, record);
             } else {
-                self.absorb(now, record);
+                self.merge_and_spread(now, record);
             }
         }
-        if was_alone {
+        if knew_no_peers {
             self.rumors.start(&self.own.node);
-            self.push.add_arisen(self.own.node.clone());
+            self.push.add_local(self.own.node.clone());
         }
     }
 
-    fn learn(&mut self, now: ClockMs, record: Record) {
+    fn merge_unspread(&mut self, now: ClockMs, record: Record) {
         if record.node == self.own.node {
-            self.hear_of_self(now, &record);
+            self.handle_own_record(now, &record);
         } else {
             self.table.merge(now, record);
         }
@@ -333,7 +339,7 @@
         if buckets.is_empty() {
             return;
         }
-        let rest = buckets.split_off(buckets.len().min(BUCKETS_AT_ONCE));
+        let rest = buckets.split_off(buckets.len().min(MAX_BUCKETS_PER_CALL));
         let records = self.table.bucket_records(&buckets);
         let request = Request {
             body: RequestBody::Reconcile { buckets, records },
@@ -346,14 +352,14 @@
     fn on_failure(&mut self, now: ClockMs, call: CallId) {
         match self.pending.swap_remove(&call) {
             Some(Pending::Probe { target }) => self.probe_indirectly(now, &target),
-            Some(Pending::ProbeVia { target }) => self.end_indirect(now, &target, false),
+            Some(Pending::ProbeVia { target }) => self.record_indirect_result(now, &target, false),
             Some(Pending::Compare { .. } | Pending::Push | Pending::Reconcile { .. }) | None => {}
         }
     }
 
     fn on_probed_via(&mut self, now: ClockMs, call: CallId, is_reached: bool) {
         if let Some(Pending::ProbeVia { target }) = self.pending.swap_remove(&call) {
-            self.end_indirect(now, &target, is_reached);
+            self.record_indirect_result(now, &target, is_reached);
         }
     }
 
@@ -382,8 +388,8 @@
         }
     }
 
-    fn end_indirect(&mut self, now: ClockMs, target: &Record, is_reached: bool) {
-        if self.detector.end_helper(target, is_reached) {
+    fn record_indirect_result(&mut self, now: ClockMs, target: &Record, is_reached: bool) {
+        if self.detector.record_helper_result(target, is_reached) {
             self.suspect(now, target);
         }
     }
@@ -393,23 +399,23 @@
         record.is_suspected = true;
         if self.table.merge(now, record) {
             self.rumors.start(&target.node);
-            self.push.add_arisen(target.node.clone());
+            self.push.add_local(target.node.clone());
         }
     }
 
-    fn absorb(&mut self, now: ClockMs, record: Record) {
+    fn merge_and_spread(&mut self, now: ClockMs, record: Record) {
         if record.node == self.own.node {
-            self.hear_of_self(now, &record);
+            self.handle_own_record(now, &record);
             return;
         }
         let node = record.node.clone();
         if self.table.merge(now, record) {
             self.rumors.start(&node);
-            self.push.add_heard(node);
+            self.push.add_received(node);
         }
     }
 
-    fn hear_of_self(&mut self, now: ClockMs, record: &Record) {
+    fn handle_own_record(&mut self, now: ClockMs, record: &Record) {
         if record.incarnation > self.own.incarnation {
             if !self.is_superseded {
                 self.outputs.push(Output::Superseded(record.incarnation));
@@ -417,19 +423,20 @@
             self.is_superseded = true;
         } else if record.supersedes(&self.own) && !self.is_superseded {
             let revision = record.revision;
-            self.describe(now, |own| own.revision = revision);
+            self.update_own_record(now, |own| own.revision = revision);
         }
     }
 
-    fn describe(&mut self, now: ClockMs, change: impl FnOnce(&mut Record)) {
+    fn update_own_record(&mut self, now: ClockMs, change: impl FnOnce(&mut Record)) {
         change(&mut self.own);
         self.own.revision += 1;
         self.table.merge(now, self.own.clone());
         self.rumors.start(&self.own.node);
-        self.push.add_arisen(self.own.node.clone());
+        self.push.add_local(self.own.node.clone());
     }
 
-    /// News for one peer; a peer that is suspected here is told first, so that it can refute.
+    /// Returns the updates for one peer. If this node suspects the peer, its own record is always
+    /// among them, so that the peer can refute the suspicion.
     fn take_rumors(&mut self, peer: &NodeId) -> Vec<Record> {
         let nodes = self.rumors.take(self.table.len());
         let records = nodes.iter().filter_map(|node| self.table.record(node));
@@ -467,7 +474,7 @@
         CallId(self.next_call)
     }
 
-    /// A period shortened by up to a fifth, so that nodes don't fall into step.
+    /// Shortens a period at random by up to a fifth, so that the nodes don't synchronize.
     fn jittered(&mut self, period_ms: u64) -> u64 {
         period_ms - self.rng.random_range(0..=period_ms / 5)
     }
--- a/crates/masticsill_membership/src/message.rs
+++ b/crates/masticsill_membership/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other, and what a node asks its host to do.
+//! Messages between nodes, and the inputs and outputs of the membership state machine.
 
 use std::net::SocketAddr;
 
@@ -7,74 +7,75 @@
 
 use crate::member::Record;
 
-/// A question to one peer, with news on its back.
+/// A request to one peer, with piggybacked updates.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Request {
-    /// The question.
+    /// The request itself.
     pub body: RequestBody,
-    /// Who asks.
+    /// The requesting node.
     pub from: NodeId,
-    /// News.
+    /// Piggybacked updates.
     pub rumors: Vec<Record>,
 }
 
-/// A question.
+/// The kinds of requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RequestBody {
-    /// Are you there? Also carries urgent news.
+    /// A liveness probe. Also used to push urgent updates.
     Probe,
-    /// Do we hold the same members? Carries the hash over all of them.
+    /// Compares the views of the two nodes. Carries the hash over all members.
     Compare(u64),
-    /// The asker's members of the buckets that differ; the answer brings the peer's.
+    /// Exchanges the records of the buckets that differ. The reply carries the records of the peer.
     Reconcile {
         /// Indices of the buckets.
         buckets: Vec<u16>,
-        /// What the asker holds in them.
+        /// Records that the requesting node holds in these buckets.
         records: Vec<Record>,
     },
 }
 
-/// The answer, with news on its back.
+/// A reply, with piggybacked updates.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reply {
-    /// The answer.
+    /// The reply itself.
     pub body: ReplyBody,
-    /// Who answers.
+    /// The replying node.
     pub from: NodeId,
-    /// The answering life.
+    /// Incarnation of the replying node.
     pub incarnation: Incarnation,
-    /// News.
+    /// Piggybacked updates.
     pub rumors: Vec<Record>,
 }
 
-/// An answer.
+/// The kinds of replies.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReplyBody {
-    /// To a probe, or to a comparison that found no difference.
+    /// Reply to a probe, or to a comparison that found no difference.
     Here,
-    /// A comparison found a difference; the hash of each bucket.
+    /// Reply to a comparison that found a difference: the hash of each bucket.
     Buckets(Vec<u32>),
-    /// What the peer holds in the buckets asked for.
+    /// Reply to a reconciliation: those records of the requested buckets that are newer than the
+    /// ones sent, or that were missing there.
     Records(Vec<Record>),
 }
 
-/// Names a call that the host makes, so that its end can be told.
+/// Identifies a call that the host makes, so that its result can be assigned to it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct CallId(pub u64);
 
-/// What happened.
+/// Inputs of [`Membership::step`](crate::Membership::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time passed; given a few times a second.
+    /// Time has passed. The host gives this input several times per second.
     Tick,
-    /// A [`Output::Call`] was answered.
+    /// An [`Output::Call`] was answered.
     Answered {
         /// The call.
         call: CallId,
-        /// Its answer.
+        /// The reply.
         reply: Reply,
     },
-    /// A [`Output::ProbeVia`] was answered.
+    /// An [`Output::ProbeVia`] was answered.
     ProbedVia {
         /// The call.
         call: CallId,
@@ -86,41 +87,42 @@
         /// The call.
         call: CallId,
     },
-    /// The owner's description changed.
+    /// The role of this node changed, or the profile of its endpoint.
     Described(crate::Role),
-    /// The owner begins to leave.
+    /// This node starts to leave.
     Leaving,
-    /// The owner ends: the last word about it.
+    /// This node stops. Its last announcement is spread.
     Left,
 }
 
-/// What the host is to do.
+/// Actions that the host must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Ask a peer.
+    /// Send a request to a peer.
     Call {
-        /// The peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Names the call in its end.
+        /// Identifies the call in the input that reports its result.
         call: CallId,
-        /// What to send.
+        /// The request to send.
         request: Request,
-        /// When to give up, in milliseconds.
+        /// Timeout of the call, in milliseconds.
         timeout_ms: u64,
     },
     /// Ask a helper to probe a target.
     ProbeVia {
-        /// The helper's address.
+        /// Address of the helper.
         address: SocketAddr,
-        /// Names the call in its end.
+        /// Identifies the call in the input that reports its result.
         call: CallId,
-        /// The address to probe.
+        /// Address of the target.
         target: SocketAddr,
-        /// Who must answer there.
+        /// Id of the node that must answer at this address.
         target_node: NodeId,
-        /// When to give up, in milliseconds.
+        /// Timeout of the call, in milliseconds.
         timeout_ms: u64,
     },
-    /// A later life of this node is known: this one was replaced and stays silent.
+    /// A higher incarnation of this node is known, which replaced this one. From now on this
+    /// node starts no probes, comparisons or pushes, and refutes no suspicions.
     Superseded(Incarnation),
 }
--- a/crates/masticsill_membership/src/push.rs
+++ b/crates/masticsill_membership/src/push.rs
@@ -1,7 +1,8 @@
-//! Fresh news goes to the entries and to the control quorum at once.
+//! Pushes new updates to the entries and to the control quorum at once.
 //!
-//! While they are few, the node where news arises tells all of them. When they are many it tells
-//! some, and each entry that hears news for the first time passes it on to a few others.
+//! While these recipients are few, the node where an update originates sends it to all of them.
+//! When they are many, the node sends it to some of them, and each entry or control replica that
+//! receives an update for the first time forwards it to a few others.
 
 use std::net::SocketAddr;
 
@@ -13,59 +14,63 @@
 use crate::member::{Record, Role};
 use crate::table::MemberTable;
 
-/// Up to this many listeners are told directly.
-const DIRECT_LISTENERS: usize = 32;
-/// Listeners told by the origin when there are more.
+/// Up to this number of recipients, the originating node sends an update to all of them.
+const MAX_DIRECT_RECIPIENTS: usize = 32;
+/// Recipients to which the originating node sends an update when there are more.
 const ORIGIN_FANOUT: usize = 16;
-/// Listeners told by one that passes news on, beside the logarithm of their number.
-const EXTRA_FANOUT: usize = 2;
-/// Records on one push.
-const MAX_RECORDS: usize = 32;
-/// Estimated size of a message without records, and of one record.
-const MESSAGE_BYTES: u64 = 200;
+/// Recipients to which a forwarding node sends an update, in addition to the binary logarithm of
+/// the number of recipients when there are more than [`MAX_DIRECT_RECIPIENTS`].
+const FORWARDER_EXTRA_FANOUT: usize = 2;
+/// Maximum number of records in one push.
+const MAX_RECORDS_PER_PUSH: usize = 32;
+/// Estimated size of a message without records.
+const EMPTY_MESSAGE_BYTES: u64 = 200;
+/// Estimated size of one record.
 const RECORD_BYTES: u64 = 100;
-/// What passing on may cost in the long run, and at once.
-const BYTES_PER_SECOND: u64 = 800;
-const BURST_BYTES: u64 = 64_000;
+/// Rate at which the push budget is refilled.
+const BUDGET_BYTES_PER_S: u64 = 800;
+/// Upper bound of the push budget, and so of what may be pushed in one burst.
+const BUDGET_BURST_BYTES: u64 = 64_000;
 
-/// A message to send to several listeners.
+/// A message to send to several recipients.
 #[derive(Clone, Debug)]
 pub(crate) struct Push {
     pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) records: Vec<Record>,
 }
 
-/// News not yet pushed, and what pushing may still cost.
+/// Updates that were not pushed yet, and a token bucket that limits the bytes spent on pushes.
 #[derive(Clone, Debug)]
 pub(crate) struct PushBudget {
     bytes: u64,
-    /// Members with news, and whether the news arose here.
-    fresh: IndexMap<NodeId, bool>,
+    /// Members with updates that were not pushed yet, and whether the update originated here.
+    unsent: IndexMap<NodeId, bool>,
     refilled_at: ClockMs,
 }
 
 impl Default for PushBudget {
     fn default() -> Self {
         Self {
-            bytes: BURST_BYTES,
-            fresh: IndexMap::new(),
+            bytes: BUDGET_BURST_BYTES,
+            unsent: IndexMap::new(),
             refilled_at: ClockMs::default(),
         }
     }
 }
 
 impl PushBudget {
-    /// Notes news that arose at this node.
-    pub(crate) fn add_arisen(&mut self, node: NodeId) {
-        self.fresh.insert(node, true);
+    /// Adds an update that originated at this node.
+    pub(crate) fn add_local(&mut self, node: NodeId) {
+        self.unsent.insert(node, true);
     }
 
-    /// Notes news that another node told.
-    pub(crate) fn add_heard(&mut self, node: NodeId) {
-        self.fresh.entry(node).or_insert(false);
+    /// Adds an update received from another node.
+    pub(crate) fn add_received(&mut self, node: NodeId) {
+        self.unsent.entry(node).or_insert(false);
     }
 
-    /// Takes the next push. News over the budget travels on other messages only.
+    /// Returns the next push. Updates beyond the budget are only piggybacked on other messages.
+    /// Updates about this node itself are pushed regardless of the budget.
     pub(crate) fn next(
         &mut self,
         now: ClockMs,
@@ -74,20 +79,20 @@
         rng: &mut StdRng,
     ) -> Option<Push> {
         self.refill(now);
-        let count = self.fresh.len().min(MAX_RECORDS);
-        let taken: Vec<(NodeId, bool)> = self.fresh.drain(..count).collect();
-        let has_arisen = taken.iter().any(|(_, has_arisen)| *has_arisen);
-        if !has_arisen && !passes_on(own) {
+        let count = self.unsent.len().min(MAX_RECORDS_PER_PUSH);
+        let taken: Vec<(NodeId, bool)> = self.unsent.drain(..count).collect();
+        let is_local = taken.iter().any(|(_, is_local)| *is_local);
+        if !is_local && !forwards_updates(own) {
             return None;
         }
-        let mut addresses = listeners(own, table);
+        let mut addresses = recipients(own, table);
         addresses.shuffle(rng);
-        addresses.truncate(fanout(addresses.len(), has_arisen));
+        addresses.truncate(fanout(addresses.len(), is_local));
         if addresses.is_empty() || taken.is_empty() {
             return None;
         }
-        let is_own_word = taken.iter().any(|(node, _)| *node == own.node);
-        if !is_own_word && !self.pay(addresses.len(), taken.len()) {
+        let includes_own = taken.iter().any(|(node, _)| *node == own.node);
+        if !includes_own && !self.spend(addresses.len(), taken.len()) {
             return None;
         }
         let records = taken.iter().filter_map(|(node, _)| table.record(node));
@@ -98,15 +103,15 @@
     }
 
     fn refill(&mut self, now: ClockMs) {
-        let earned = now.since(self.refilled_at) * BYTES_PER_SECOND / 1_000;
+        let earned = now.since(self.refilled_at) * BUDGET_BYTES_PER_S / 1_000;
         if earned > 0 {
-            self.bytes = (self.bytes + earned).min(BURST_BYTES);
+            self.bytes = (self.bytes + earned).min(BUDGET_BURST_BYTES);
             self.refilled_at = now;
         }
     }
 
-    fn pay(&mut self, messages: usize, records: usize) -> bool {
-        let size = MESSAGE_BYTES + RECORD_BYTES * records as u64;
+    fn spend(&mut self, messages: usize, records: usize) -> bool {
+        let size = EMPTY_MESSAGE_BYTES + RECORD_BYTES * records as u64;
         let cost = size * messages as u64;
         let Some(left) = self.bytes.checked_sub(cost) else {
             return false;
@@ -116,33 +121,35 @@
     }
 }
 
-fn is_listener(role: &Role) -> bool {
+fn receives_pushes(role: &Role) -> bool {
     match role {
         Role::Entry | Role::Control => true,
         Role::Agent(_) => false,
     }
 }
 
-fn passes_on(own: &Record) -> bool {
-    is_listener(&own.role)
+fn forwards_updates(own: &Record) -> bool {
+    receives_pushes(&own.role)
 }
 
-fn listeners(own: &Record, table: &MemberTable) -> Vec<SocketAddr> {
-    let members = table.members().filter(|member| is_listener(&member.role));
+fn recipients(own: &Record, table: &MemberTable) -> Vec<SocketAddr> {
+    let members = table
+        .members()
+        .filter(|member| receives_pushes(&member.role));
     let others = members.filter(|member| member.node != own.node);
     others.map(|member| member.address).collect()
 }
 
-fn fanout(listeners: usize, has_arisen: bool) -> usize {
-    if has_arisen && listeners <= DIRECT_LISTENERS {
-        return listeners;
+fn fanout(recipients: usize, is_local: bool) -> usize {
+    if is_local && recipients <= MAX_DIRECT_RECIPIENTS {
+        return recipients;
     }
-    if has_arisen {
+    if is_local {
         return ORIGIN_FANOUT;
     }
-    if listeners <= DIRECT_LISTENERS {
-        return EXTRA_FANOUT;
+    if recipients <= MAX_DIRECT_RECIPIENTS {
+        return FORWARDER_EXTRA_FANOUT;
     }
-    let logarithm = usize::BITS - listeners.leading_zeros();
-    logarithm as usize + EXTRA_FANOUT
+    let logarithm = usize::BITS - recipients.leading_zeros();
+    logarithm as usize + FORWARDER_EXTRA_FANOUT
 }
--- a/crates/masticsill_membership/src/table.rs
+++ b/crates/masticsill_membership/src/table.rs
@@ -1,4 +1,4 @@
-//! All members as seen from here, and how words about them are merged.
+//! The view of all members, into which received records are merged.
 
 use std::sync::Arc;
 
@@ -11,10 +11,11 @@
 use crate::hold_down::HoldDown;
 use crate::member::{Member, MemberState, Phase, Record};
 
-/// A loss of this share of all members at once is taken for a cut of the network.
-const CUT_SHARE: usize = 4;
-/// Deaths this close to a cut don't count towards hold-down.
-const CUT_WINDOW_MS: u64 = 30_000;
+/// If at least one in this many of all known members has failed and is not forgotten yet, the
+/// network counts as partitioned.
+const PARTITION_LOSS_DIVISOR: usize = 4;
+/// A member that failed this close to a partition gets no hold-down when it returns.
+const PARTITION_WINDOW_MS: u64 = 30_000;
 
 #[derive(Clone, Debug)]
 struct Slot {
@@ -52,13 +53,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct MemberTable {
     digest: Digest,
-    last_cut: Option<ClockMs>,
+    last_partition: Option<ClockMs>,
     log: ChangeLog,
     periods: Periods,
     slots: IndexMap<NodeId, Slot>,
-    /// When each suspected member counts as gone.
+    /// The time at which each suspected member counts as gone.
     suspects: IndexMap<NodeId, ClockMs>,
-    /// When each gone member is forgotten.
+    /// The time at which the tombstone of each gone member is removed.
     tombstones: IndexMap<NodeId, ClockMs>,
 }
 
@@ -66,7 +67,7 @@
     pub(crate) fn new(periods: Periods) -> Self {
         Self {
             digest: Digest::new(),
-            last_cut: None,
+            last_partition: None,
             log: ChangeLog::default(),
             periods,
             slots: IndexMap::new(),
@@ -83,7 +84,7 @@
         &self.log
     }
 
-    /// Members that are not gone.
+    /// Returns the members that are not gone.
     pub(crate) fn members(&self) -> impl Iterator<Item = &Arc<Member>> {
         let present = self.slots.values().filter(|slot| !slot.is_gone());
         present.map(|slot| &slot.member)
@@ -98,20 +99,21 @@
         self.slots.len() - self.tombstones.len()
     }
 
-    /// The latest word about a member, tombstones included.
+    /// Returns the latest record of a member, tombstones included.
     pub(crate) fn record(&self, node: &NodeId) -> Option<&Record> {
         self.slots.get(node).map(|slot| &slot.record)
     }
 
-    /// Words about all members of some buckets, tombstones included.
+    /// Returns the records of all members of these buckets, tombstones included.
     pub(crate) fn bucket_records(&self, buckets: &[u16]) -> Vec<Record> {
         let records = self.slots.values().map(|slot| &slot.record);
         let wanted = records.filter(|record| buckets.contains(&bucket_of(&record.node)));
         wanted.cloned().collect()
     }
 
-    /// Members lost by silence, which may come back at their old address.
-    pub(crate) fn lost(&self) -> impl Iterator<Item = &Record> {
+    /// Returns the members that are gone without having announced their end. They may return at
+    /// their former address.
+    pub(crate) fn failed_members(&self) -> impl Iterator<Item = &Record> {
         let slots = self
             .tombstones
             .keys()
@@ -120,7 +122,7 @@
         silent.map(|slot| &slot.record)
     }
 
-    /// Takes a word in. Returns whether it was news.
+    /// Merges a record. Returns whether it changed the table.
     pub(crate) fn merge(&mut self, now: ClockMs, record: Record) -> bool {
         let Some(slot) = self.slots.get_mut(&record.node) else {
             self.insert(now, record);
@@ -133,23 +135,24 @@
         if !was_gone {
             self.digest.toggle(&slot.record);
         }
-        let is_new_life = record.incarnation > slot.record.incarnation;
-        let is_replaced = is_new_life && !was_gone && !slot.record.is_leaving();
-        if is_replaced {
-            slot.hold_down.record_death(now);
+        let is_new_incarnation = record.incarnation > slot.record.incarnation;
+        let was_replaced = is_new_incarnation && !was_gone && !slot.record.is_leaving();
+        if was_replaced {
+            slot.hold_down.record_failure(now);
         }
-        let is_same_word = !is_new_life && record.revision == slot.record.revision;
-        slot.is_expired = slot.is_expired && is_same_word;
+        let is_same_revision = !is_new_incarnation && record.revision == slot.record.revision;
+        slot.is_expired = slot.is_expired && is_same_revision;
         slot.record = record;
-        let is_back = (was_gone || is_new_life) && !slot.is_gone() && !slot.record.is_suspected;
-        let is_cut_over = self
-            .last_cut
-            .is_some_and(|cut| slot.hold_down.died_within(cut, CUT_WINDOW_MS));
-        if is_back && !is_cut_over {
+        let has_returned =
+            (was_gone || is_new_incarnation) && !slot.is_gone() && !slot.record.is_suspected;
+        let is_partition_loss = self
+            .last_partition
+            .is_some_and(|partition| slot.hold_down.failed_within(partition, PARTITION_WINDOW_MS));
+        if has_returned && !is_partition_loss {
             slot.hold_down.record_return(now);
         }
         let node = slot.record.node.clone();
-        self.settle(now, &node);
+        self.update_indexes(now, &node);
         true
     }
 
@@ -163,11 +166,12 @@
             record,
         };
         self.slots.insert(node.clone(), slot);
-        self.settle(now, &node);
+        self.update_indexes(now, &node);
     }
 
-    /// Brings digest, timers and log up to a slot that changed and is out of the digest.
-    fn settle(&mut self, now: ClockMs, node: &NodeId) {
+    /// Updates the digest, the timers and the change log after a slot has changed. The former
+    /// record of the slot must already be removed from the digest.
+    fn update_indexes(&mut self, now: ClockMs, node: &NodeId) {
         let slot = &mut self.slots[node];
         slot.refresh();
         if slot.is_gone() {
@@ -187,19 +191,20 @@
         self.log.push(node);
     }
 
-    /// Ends suspicions and tombstones that are due.
+    /// Turns suspected members whose timeout is over into gone ones, and removes tombstones that
+    /// are due.
     pub(crate) fn expire(&mut self, now: ClockMs) {
         for node in due(&self.suspects, now) {
             let slot = &mut self.slots[&node];
             self.digest.toggle(&slot.record);
             slot.is_expired = true;
             if !slot.record.is_leaving() {
-                slot.hold_down.record_death(now);
+                slot.hold_down.record_failure(now);
             }
-            self.settle(now, &node);
+            self.update_indexes(now, &node);
         }
-        if self.lost().count() * CUT_SHARE >= self.slots.len() {
-            self.last_cut = Some(now);
+        if self.failed_members().count() * PARTITION_LOSS_DIVISOR >= self.slots.len() {
+            self.last_partition = Some(now);
         }
         for node in due(&self.tombstones, now) {
             self.tombstones.swap_remove(&node);
@@ -207,8 +212,9 @@
         }
     }
 
-    /// Gives suspected members more time, after this process itself was paused.
-    pub(crate) fn postpone(&mut self, pause_ms: u64) {
+    /// Extends the timeouts of suspected members by a pause of this process, during which it could
+    /// not receive their refutations.
+    pub(crate) fn postpone_suspicions(&mut self, pause_ms: u64) {
         for deadline in self.suspects.values_mut() {
             *deadline = *deadline + pause_ms;
         }
--- a/crates/masticsill_membership/tests/member_loss.rs
+++ b/crates/masticsill_membership/tests/member_loss.rs
@@ -1,4 +1,4 @@
-//! Members leave, die, pause, return and flap.
+//! Members that leave, fail, pause, return and flap, on a simulated network.
 
 mod support;
 
@@ -6,31 +6,31 @@
 use masticsill_types::NodeId;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use support::{Net, TICK_MS, gathered, node, profile};
+use support::{Net, TICK_MS, joined_net, node, profile};
 
-/// Stated in the operators' pages: silence is noticed everywhere within this time.
-const SILENCE_BOUND_MS: u64 = 20_000;
+/// Documented to operators: within this time, every node notices that a member is silent.
+const SILENCE_DETECTION_BOUND_MS: u64 = 20_000;
 
-fn everywhere(net: &Net, is_met: impl Fn(&Net, &str) -> bool) -> bool {
+fn in_every_view(net: &Net, is_met: impl Fn(&Net, &str) -> bool) -> bool {
     let running = net.hosts.iter().filter(|(_, host)| !host.is_down);
     running
         .map(|(name, _)| name)
         .all(|name: &NodeId| is_met(net, name.as_str()))
 }
 
-fn at_entries(net: &Net, is_met: impl Fn(&Net, &str) -> bool) -> bool {
-    everywhere(net, |net, name| {
+fn in_every_entry_view(net: &Net, is_met: impl Fn(&Net, &str) -> bool) -> bool {
+    in_every_view(net, |net, name| {
         !name.starts_with("entry") || is_met(net, name)
     })
 }
 
 #[test]
-fn leaving_is_out_of_every_entrys_view_within_two_seconds() {
+fn every_entry_sees_a_leaving_agent_within_two_seconds() {
     for entries in [3, 60] {
-        let mut net = gathered(entries, 3, 20);
+        let mut net = joined_net(entries, 3, 20);
         net.input("agent-7", Input::Leaving);
         let took = net.run_until(2_000, |net| {
-            at_entries(net, |net, name| {
+            in_every_entry_view(net, |net, name| {
                 let state = net.sees(name, "agent-7").map(|member| member.state);
                 state == Some(MemberState::Leaving)
             })
@@ -40,11 +40,11 @@
 }
 
 #[test]
-fn a_change_of_the_profile_reaches_the_entries_too() {
-    let mut net = gathered(3, 3, 20);
+fn a_changed_endpoint_profile_reaches_every_entry() {
+    let mut net = joined_net(3, 3, 20);
     net.input("agent-7", Input::Described(Role::Agent(profile(true))));
     let took = net.run_until(2_000, |net| {
-        at_entries(net, |net, name| {
+        in_every_entry_view(net, |net, name| {
             !net.sees(name, "agent-7").unwrap().takes_work(net.now)
         })
     });
@@ -52,21 +52,21 @@
 }
 
 #[test]
-fn a_silent_member_is_gone_everywhere_within_the_stated_time() {
-    let mut net = gathered(4, 3, 60);
+fn a_silent_member_is_gone_in_every_view_within_the_documented_bound() {
+    let mut net = joined_net(4, 3, 60);
     net.hosts[&node("agent-9")].is_down = true;
-    let took = net.run_until(SILENCE_BOUND_MS, |net| {
-        everywhere(net, |net, name| net.sees(name, "agent-9").is_none())
+    let took = net.run_until(SILENCE_DETECTION_BOUND_MS, |net| {
+        in_every_view(net, |net, name| net.sees(name, "agent-9").is_none())
     });
     assert!(took.is_some());
 }
 
 #[test]
 fn a_live_member_is_not_declared_gone() {
-    let mut net = gathered(3, 3, 20);
+    let mut net = joined_net(3, 3, 20);
     for _ in 0..300 {
         net.run(200);
-        assert!(everywhere(&net, |net, name| net
+        assert!(in_every_view(&net, |net, name| net
             .view(name)
             .members()
             .count()
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_false_suspicion_is_refuted() {
-    let mut net = gathered(3, 3, 20);
+    let mut net = joined_net(3, 3, 20);
     net.hosts[&node("agent-3")].is_paused = true;
     let suspected = net.run_until(10_000, |net| {
         let state = net.sees("entry-0", "agent-3").map(|member| member.state);
@@ -85,7 +85,7 @@
     assert!(suspected.is_some());
     net.hosts[&node("agent-3")].is_paused = false;
     let refuted = net.run_until(10_000, |net| {
-        everywhere(net, |net, name| {
+        in_every_view(net, |net, name| {
             let member = net.sees(name, "agent-3");
             member.is_some_and(|member| member.state == MemberState::Alive && member.revision > 0)
         })
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn a_paused_former_life_never_wins() {
-    let mut net = gathered(3, 3, 20);
+fn a_resumed_former_incarnation_never_replaces_the_current_one() {
+    let mut net = joined_net(3, 3, 20);
     let mut old = net.hosts.swap_remove(&node("agent-3")).unwrap();
     net.start("agent-3", 9, 2, Role::Agent(profile(false)));
     net.run(30_000);
@@ -105,7 +105,7 @@
     net.run(30_000);
     assert!(
         net.superseded.contains(&node("agent-3")),
-        "the old life is told"
+        "the former incarnation must learn that it was replaced"
     );
     net.hosts.insert(node("agent-3"), new);
     net.run(30_000);
@@ -113,12 +113,12 @@
         let member = net.sees(name, "agent-3");
         member.is_some_and(|member| member.incarnation.0 == 2)
     };
-    assert!(everywhere(&net, is_new));
+    assert!(in_every_view(&net, is_new));
 }
 
 #[test]
-fn a_process_that_was_paused_does_not_bury_the_others() {
-    let mut net = gathered(3, 3, 20);
+fn a_process_that_was_paused_does_not_declare_others_gone() {
+    let mut net = joined_net(3, 3, 20);
     net.hosts[&node("entry-1")].is_paused = true;
     net.run(60_000);
     net.hosts[&node("entry-1")].is_paused = false;
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn a_paused_process_gives_suspected_members_their_time_to_refute() {
-    let mut net = gathered(3, 3, 20);
+fn a_pause_does_not_shorten_the_suspicion_timeout() {
+    let mut net = joined_net(3, 3, 20);
     net.hosts[&node("agent-3")].is_paused = true;
     let suspected = net.run_until(10_000, |net| {
         let state = net.sees("entry-1", "agent-3").map(|member| member.state);
@@ -140,10 +140,10 @@
     net.hosts[&node("entry-1")].is_paused = true;
     net.hosts[&node("agent-3")].is_paused = false;
     net.run(60_000);
-    // Its first step, before any peer answers.
-    let mut woken = net.view("entry-1").clone();
-    woken.step(net.now, Input::Tick);
-    assert!(woken.member(&node("agent-3")).is_some());
+    // The first step after the pause, before any peer answers.
+    let mut resumed = net.view("entry-1").clone();
+    resumed.step(net.now, Input::Tick);
+    assert!(resumed.member(&node("agent-3")).is_some());
     net.hosts[&node("entry-1")].is_paused = false;
     for _ in 0..100 {
         net.run(TICK_MS);
@@ -151,8 +151,9 @@
     }
 }
 
-/// Waits until everybody sees everybody; meanwhile nobody loses sight of anybody.
-fn heal(net: &mut Net, total: usize) {
+/// Heals the partition and waits until every node sees all members. Fails if the smallest view
+/// shrinks meanwhile.
+fn heal_partition(net: &mut Net, total: usize) {
     let healed_at = net.now;
     for host in net.hosts.values_mut() {
         host.side = 0;
@@ -165,57 +166,57 @@
     while before != Some(total) {
         assert!(
             net.now < healed_at + 60_000,
-            "the halves did not find each other"
+            "the halves did not rejoin within 60 s"
         );
         net.run(TICK_MS);
         let now = least(net);
-        assert!(now >= before, "a member that was known was buried");
+        assert!(now >= before, "a known member was declared gone");
         before = now;
     }
 }
 
 #[test]
-fn halves_of_a_healed_partition_find_each_other_without_burials() {
-    let mut net = gathered(4, 3, 20);
+fn halves_of_a_healed_partition_rejoin_without_declaring_members_gone() {
+    let mut net = joined_net(4, 3, 20);
     let names: Vec<NodeId> = net.hosts.keys().cloned().collect();
     for _ in 0..3 {
         for (index, name) in names.iter().enumerate() {
             net.hosts[name].side = u8::from(index % 2 == 1);
         }
-        // 14 on the even side and 13 on the odd one; nobody is under suspicion any more.
+        // 14 nodes are on the even side and 13 on the odd one; no suspicion is pending any more.
         let apart = net.run_until(40_000, |net| {
             net.hosts
                 .values()
                 .all(|host| host.membership.members().count() == 14 - usize::from(host.side))
         });
         assert!(apart.is_some());
-        heal(&mut net, 27);
+        heal_partition(&mut net, 27);
         let is_held = |net: &Net, name: &str| {
             let mut members = net.view(name).members();
             members.any(|member| member.held_until > net.now)
         };
         assert!(
-            everywhere(&net, |net, name| !is_held(net, name)),
-            "a cut is no flapping"
+            in_every_view(&net, |net, name| !is_held(net, name)),
+            "a partition must not start a hold-down"
         );
     }
 }
 
 #[test]
-fn a_flapping_endpoint_is_held_back_longer_each_time() {
-    let mut net = gathered(3, 3, 20);
+fn a_flapping_endpoint_gets_a_longer_hold_down_each_time() {
+    let mut net = joined_net(3, 3, 20);
     let mut last_hold_ms = 0;
-    for life in 2..7 {
-        net.start("agent-3", 9, life, Role::Agent(profile(false)));
+    for incarnation in 2..7 {
+        net.start("agent-3", 9, incarnation, Role::Agent(profile(false)));
         let seen = net.run_until(20_000, |net| {
             let member = net.sees("entry-0", "agent-3");
-            member.is_some_and(|member| member.incarnation.0 == life)
+            member.is_some_and(|member| member.incarnation.0 == incarnation)
         });
         assert!(seen.is_some());
         let member = net.sees("entry-0", "agent-3").unwrap();
         let hold_ms = member.held_until.since(net.now);
-        if life == 2 {
-            assert_eq!(hold_ms, 0, "one restart is no flapping");
+        if incarnation == 2 {
+            assert_eq!(hold_ms, 0, "a single restart must not start a hold-down");
         } else {
             assert!(!member.takes_work(net.now));
             assert!(hold_ms > last_hold_ms);
@@ -226,24 +227,24 @@
 }
 
 #[test]
-fn a_restart_after_leaving_is_not_held_back() {
-    let mut net = gathered(3, 3, 20);
-    for life in 2..7 {
+fn a_restart_after_leaving_gets_no_hold_down() {
+    let mut net = joined_net(3, 3, 20);
+    for incarnation in 2..7 {
         net.input("agent-3", Input::Leaving);
         net.run(2_000);
-        net.start("agent-3", 9, life, Role::Agent(profile(false)));
+        net.start("agent-3", 9, incarnation, Role::Agent(profile(false)));
         net.run(5_000);
         let member = net.sees("entry-0", "agent-3").unwrap();
-        assert!(member.takes_work(net.now), "life {life}");
+        assert!(member.takes_work(net.now), "incarnation {incarnation}");
     }
 }
 
 #[test]
-fn lost_messages_and_restarts_end_in_equal_views() {
+fn views_converge_after_lost_messages_and_restarts() {
     for seed in 0..5 {
-        let mut net = gathered(4, 3, 20);
+        let mut net = joined_net(4, 3, 20);
         let mut rng = StdRng::seed_from_u64(seed);
-        net.loss = 0.1;
+        net.loss_rate = 0.1;
         net.rng = Some(StdRng::seed_from_u64(seed + 100));
         for round in 0..60 {
             let index = rng.random_range(0..20);
@@ -259,23 +260,23 @@
             }
             net.run(500);
         }
-        net.loss = 0.0;
+        net.loss_rate = 0.0;
         net.run(60_000);
-        let words = |net: &Net, name: &str| {
+        let summaries = |net: &Net, name: &str| {
             let members = net.view(name).members();
-            let words = members.map(|member| {
+            let summaries = members.map(|member| {
                 let state = (member.incarnation, member.revision, member.state);
                 (member.node.clone(), state)
             });
-            let mut words: Vec<_> = words.collect();
-            words.sort_by(|one, other| one.0.cmp(&other.0));
-            words
+            let mut summaries: Vec<_> = summaries.collect();
+            summaries.sort_by(|one, other| one.0.cmp(&other.0));
+            summaries
         };
-        let expected = words(&net, "entry-0");
+        let expected = summaries(&net, "entry-0");
         let running = net.hosts.values().filter(|host| !host.is_down).count();
         assert_eq!(expected.len(), running, "seed {seed}");
         assert!(
-            everywhere(&net, |net, name| words(net, name) == expected),
+            in_every_view(&net, |net, name| summaries(net, name) == expected),
             "seed {seed}"
         );
     }
--- a/crates/masticsill_membership/tests/record_merge.rs
+++ b/crates/masticsill_membership/tests/record_merge.rs
@@ -1,4 +1,4 @@
-//! Words about a member form a join.
+//! Merging records of a member is a join: order and repetition do not matter.
 
 mod support;
 
@@ -24,14 +24,15 @@
     }
 }
 
-/// What the words say; the hold-down is left out, since it counts the deaths seen from here.
-fn words_say(net: &Net) -> Option<Member> {
+/// Returns the merged member without its hold-down, which depends on the failures that this node
+/// has seen and so on the order of the records.
+fn merged_member(net: &Net) -> Option<Member> {
     let mut member = net.sees("entry-0", "agent-1").cloned()?;
     member.held_until = ClockMs::default();
     Some(member)
 }
 
-fn heard(records: &[Record]) -> Net {
+fn net_after_records(records: &[Record]) -> Net {
     let mut net = Net::default();
     net.start("entry-0", 0, 1, Role::Entry);
     for record in records {
@@ -47,22 +48,22 @@
 }
 
 #[test]
-fn any_order_and_repetition_gives_the_same_member() {
+fn records_merge_to_the_same_member_in_any_order_and_repetition() {
     let mut rng = StdRng::seed_from_u64(6);
     for _ in 0..500 {
-        let mut words: Vec<Record> = (0..rng.random_range(1..8))
+        let mut records: Vec<Record> = (0..rng.random_range(1..8))
             .map(|_| record(rng.random_range(1..4), rng.random_range(0..3), rng.random()))
             .collect();
-        let first = words_say(&heard(&words));
-        let repeated = words.clone();
-        words.extend(repeated);
-        words.shuffle(&mut rng);
-        assert_eq!(words_say(&heard(&words)), first);
+        let first = merged_member(&net_after_records(&records));
+        let repeated = records.clone();
+        records.extend(repeated);
+        records.shuffle(&mut rng);
+        assert_eq!(merged_member(&net_after_records(&records)), first);
     }
 }
 
 #[test]
-fn the_word_that_wins() {
+fn the_greater_record_wins_in_either_order() {
     let cases = [
         (
             "higher incarnation",
@@ -77,13 +78,13 @@
             MemberState::Alive,
         ),
         (
-            "suspicion of the same word",
+            "suspicion of the same revision",
             record(1, 2, true),
             record(1, 2, false),
             MemberState::Suspect,
         ),
         (
-            "old suspicion",
+            "suspicion of an older incarnation",
             record(2, 0, false),
             record(1, 0, true),
             MemberState::Alive,
@@ -96,8 +97,8 @@
         ),
     ];
     for (name, winner, loser, state) in cases {
-        for words in [[winner.clone(), loser.clone()], [loser, winner.clone()]] {
-            let net = heard(&words);
+        for records in [[winner.clone(), loser.clone()], [loser, winner.clone()]] {
+            let net = net_after_records(&records);
             let member = net.sees("entry-0", "agent-1").unwrap();
             assert_eq!(member.state, state, "{name}");
             assert_eq!(member.revision, winner.revision, "{name}");
@@ -106,8 +107,8 @@
 }
 
 #[test]
-fn the_change_log_names_what_changed() {
-    let mut net = heard(&[]);
+fn the_change_log_lists_changed_members_until_it_overflows() {
+    let mut net = net_after_records(&[]);
     let cursor = net.view("entry-0").cursor();
     let host = &mut net.hosts[&node("entry-0")];
     let request = Request {
--- a/crates/masticsill_membership/tests/support/mod.rs
+++ b/crates/masticsill_membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Carries calls between membership instances on a virtual clock.
+//! A simulated network that carries calls between membership instances on a virtual clock.
 #![allow(dead_code, reason = "each test and example uses a part")]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,7 +16,7 @@
 
 pub(crate) const TICK_MS: u64 = 100;
 
-/// The bytes and messages that passed one node, both ways.
+/// Bytes and messages sent and received by one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) bytes: u64,
@@ -37,8 +37,8 @@
     pub(crate) hosts: IndexMap<NodeId, Host>,
     pub(crate) now: ClockMs,
     by_address: IndexMap<SocketAddr, NodeId>,
-    /// Part of the calls that fail, and where the choice comes from.
-    pub(crate) loss: f64,
+    /// Probability that a message is lost, applied only while `rng` is set.
+    pub(crate) loss_rate: f64,
     pub(crate) rng: Option<StdRng>,
     failures: Vec<(ClockMs, NodeId, Input)>,
     pub(crate) superseded: IndexSet<NodeId>,
@@ -74,16 +74,16 @@
 }
 
 impl Net {
-    /// Starts a node whose seed is the node at address zero.
-    pub(crate) fn start(&mut self, name: &str, index: usize, life: u64, role: Role) {
+    /// Starts a node whose only seed address is that of the node with index 0.
+    pub(crate) fn start(&mut self, name: &str, index: usize, incarnation: u64, role: Role) {
         let description = Description {
             address: address(index),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             node: node(name),
             role,
             zone: ZoneId::new(["muc-a", "muc-b", "fs-c"][index % 3]).unwrap(),
         };
-        let seed = life * 1_000_003 + index as u64;
+        let seed = incarnation * 1_000_003 + index as u64;
         let seeds = vec![address(0)];
         let membership = Membership::new(self.now, description, seeds, Periods::default(), seed);
         let host = Host {
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Runs until a condition holds; returns how long that took.
+    /// Runs until a condition holds and returns the time taken, in milliseconds, or `None` if the
+    /// condition does not hold within `bound_ms`.
     pub(crate) fn run_until(
         &mut self,
         bound_ms: u64,
@@ -206,9 +207,9 @@
     }
 
     fn is_lost(&mut self) -> bool {
-        let loss = self.loss;
+        let loss_rate = self.loss_rate;
         let rng = self.rng.as_mut();
-        rng.is_some_and(|rng| rng.random_bool(loss))
+        rng.is_some_and(|rng| rng.random_bool(loss_rate))
     }
 
     fn ask(&mut self, from: &NodeId, to: SocketAddr, request: Request) -> Option<Reply> {
@@ -231,8 +232,8 @@
     }
 }
 
-/// Some entries, control members and agents that have all met.
-pub(crate) fn gathered(entries: usize, controls: usize, agents: usize) -> Net {
+/// Starts entries, control replicas and agents, and runs until every node sees all members.
+pub(crate) fn joined_net(entries: usize, controls: usize, agents: usize) -> Net {
     let mut net = Net::default();
     for index in 0..entries {
         net.start(&format!("entry-{index}"), index, 1, Role::Entry);
@@ -257,6 +258,9 @@
     let total = entries + controls + agents;
     let has_met = |host: &Host| host.membership.members().count() == total;
     let met = net.run_until(120_000, |net| net.hosts.values().all(has_met));
-    assert!(met.is_some(), "the members did not meet");
+    assert!(
+        met.is_some(),
+        "the members did not see each other within 120 s"
+    );
     net
 }
