--- a/crates/masticsill_agent/src/orders/opening.rs
+++ b/crates/masticsill_agent/src/orders/opening.rs
@@ -44,7 +44,7 @@
 
 async fn ask_all(mesh: &MeshHandle) -> Option<FencingNumber> {
     let view = mesh.view();
-    for member in view.controls() {
+    for member in view.control_replicas() {
         if let Some(highest) = ask(member.address).await {
             return Some(highest);
         }
--- a/crates/masticsill_membership/examples/membership_bytes.rs
+++ b/crates/masticsill_membership/examples/membership_bytes.rs
@@ -61,7 +61,7 @@
         if is_changing {
             let name = format!("agent-{}", second % 10);
             let role = Role::Agent(profile(second % 20 >= 10));
-            net.input(&name, Input::Described(role));
+            net.input(&name, Input::RoleChanged(role));
         }
         net.run(1_000);
     }
--- a/crates/masticsill_membership/src/membership.rs
+++ b/crates/masticsill_membership/src/membership.rs
@@ -148,7 +148,7 @@
             Input::Answered { call, reply } => self.on_answer(now, call, reply),
             Input::ProbedVia { call, is_reached } => self.on_probed_via(now, call, is_reached),
             Input::Failed { call } => self.on_failure(now, call),
-            Input::Described(role) => self.update_own_record(now, |own| own.role = role),
+            Input::RoleChanged(role) => self.update_own_record(now, |own| own.role = role),
             Input::Leaving => self.update_own_record(now, |own| own.phase = Phase::Leaving),
             Input::Left => self.update_own_record(now, |own| own.phase = Phase::Left),
         }
--- a/crates/masticsill_membership/src/message.rs
+++ b/crates/masticsill_membership/src/message.rs
@@ -88,7 +88,7 @@
         call: CallId,
     },
     /// The role of this node changed, or the profile of its endpoint.
-    Described(crate::Role),
+    RoleChanged(crate::Role),
     /// This node starts to leave.
     Leaving,
     /// This node stops. Its last announcement is spread.
--- a/crates/masticsill_membership/tests/member_loss.rs
+++ b/crates/masticsill_membership/tests/member_loss.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_changed_endpoint_profile_reaches_every_entry() {
     let mut net = joined_net(3, 3, 20);
-    net.input("agent-7", Input::Described(Role::Agent(profile(true))));
+    net.input("agent-7", Input::RoleChanged(Role::Agent(profile(true))));
     let took = net.run_until(2_000, |net| {
         in_every_entry_view(net, |net, name| {
             !net.sees(name, "agent-7").unwrap().takes_work(net.now)
@@ -254,7 +254,7 @@
                 1 => net.start(&name, 7 + index, 2 + round, Role::Agent(profile(false))),
                 2 => net.input(
                     &name,
-                    Input::Described(Role::Agent(profile(round % 2 == 0))),
+                    Input::RoleChanged(Role::Agent(profile(round % 2 == 0))),
                 ),
                 _ => net.run(3_000),
             }
--- a/crates/masticsill_membership/tests/record_merge.rs
+++ b/crates/masticsill_membership/tests/record_merge.rs
@@ -120,7 +120,7 @@
     let changes = net.view("entry-0").changes_since(cursor);
     assert_eq!(changes, ChangesSince::Members(vec![node("agent-1")]));
     for _ in 0..5_000 {
-        net.input("entry-0", Input::Described(Role::Entry));
+        net.input("entry-0", Input::RoleChanged(Role::Entry));
     }
     assert_eq!(net.view("entry-0").changes_since(cursor), ChangesSince::All);
 }
--- a/crates/masticsill_mesh/src/lib.rs
+++ b/crates/masticsill_mesh/src/lib.rs
@@ -19,5 +19,5 @@
 pub use config::{MeshConfig, RenewSource, RenewalPeriods, ServiceRoutes, new_incarnation};
 pub use handle::MeshHandle;
 pub use mesh::Mesh;
-pub use sources::{Sources, list_sources};
+pub use sources::{RenewalSources, list_renewal_sources};
 pub use view::{CatalogueView, MembershipView};
--- a/crates/masticsill_mesh/src/mesh.rs
+++ b/crates/masticsill_mesh/src/mesh.rs
@@ -111,7 +111,7 @@
     spawn_local(Renewal::new().run(Rc::clone(&node)));
     while let Some(command) = commands.pop().await {
         match command {
-            Command::Announce(profile) => node.step(Input::Described(Role::Agent(profile))),
+            Command::Announce(profile) => node.step(Input::RoleChanged(Role::Agent(profile))),
             Command::Leave => node.step(Input::Leaving),
         }
         node.step(Input::Tick);
--- a/crates/masticsill_mesh/src/renewal.rs
+++ b/crates/masticsill_mesh/src/renewal.rs
@@ -16,7 +16,7 @@
 use crate::events;
 use crate::node::Node;
 use crate::peers::connect;
-use crate::sources::list_sources;
+use crate::sources::list_renewal_sources;
 use crate::view::CatalogueView;
 
 /// How long a source that failed is asked last.
@@ -68,7 +68,7 @@
         let view = node.published.members.borrow().clone();
         let sources = {
             let mut rng = rand::rng();
-            list_sources(&view, &node.config.node, &node.config.seeds, &mut rng)
+            list_renewal_sources(&view, &node.config.node, &node.config.seeds, &mut rng)
         };
         self.is_tree = sources.is_tree;
         let mut sources = sources.addresses;
--- a/crates/masticsill_mesh/src/sources.rs
+++ b/crates/masticsill_mesh/src/sources.rs
@@ -23,7 +23,7 @@
 
 /// Whom to ask.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Sources {
+pub struct RenewalSources {
     /// Addresses, best first.
     pub addresses: Vec<SocketAddr>,
     /// Whether the first is the node's parent in the tree.
@@ -31,12 +31,12 @@
 }
 
 /// Lists whom a node asks for the catalogue and its proof.
-pub fn list_sources(
+pub fn list_renewal_sources(
     view: &MembershipView,
     own: &NodeId,
     seeds: &[SocketAddr],
     rng: &mut impl Rng,
-) -> Sources {
+) -> RenewalSources {
     let others = || view.members().filter(|member| member.node != *own);
     let mut controls: Vec<&Member> = others().filter(|member| member.is_control()).collect();
     let parent = find_parent(view, own, &controls);
@@ -50,7 +50,7 @@
         addresses.extend(seeds);
     }
     addresses.extend(peers);
-    Sources {
+    RenewalSources {
         addresses,
         is_tree: parent.is_some(),
     }
--- a/crates/masticsill_mesh/src/view.rs
+++ b/crates/masticsill_mesh/src/view.rs
@@ -33,7 +33,7 @@
     }
 
     /// The members of the control quorum.
-    pub fn controls(&self) -> impl Iterator<Item = &Member> {
+    pub fn control_replicas(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.is_control())
     }
 
--- a/crates/masticsill_mesh/tests/renewal_sources.rs
+++ b/crates/masticsill_mesh/tests/renewal_sources.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 use masticsill_membership::{Member, MemberState, Role};
-use masticsill_mesh::{MembershipView, list_sources};
+use masticsill_mesh::{MembershipView, list_renewal_sources};
 use masticsill_types::{ClockMs, Incarnation, NodeId, ZoneId};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -41,9 +41,12 @@
     let view = view(3, 60);
     let mut rng = StdRng::seed_from_u64(1);
     let own = NodeId::new("node-30").unwrap();
-    let sources = list_sources(&view, &own, &[], &mut rng);
+    let sources = list_renewal_sources(&view, &own, &[], &mut rng);
     assert!(!sources.is_tree);
-    let controls: Vec<SocketAddr> = view.controls().map(|control| control.address).collect();
+    let controls: Vec<SocketAddr> = view
+        .control_replicas()
+        .map(|control| control.address)
+        .collect();
     assert!(
         sources.addresses[..3]
             .iter()
@@ -59,7 +62,7 @@
     let mut parents: IndexMap<SocketAddr, SocketAddr> = IndexMap::new();
     let mut children: IndexMap<SocketAddr, u32> = IndexMap::new();
     for member in view.members().filter(|member| !member.is_control()) {
-        let sources = list_sources(&view, &member.node, &[], &mut rng);
+        let sources = list_renewal_sources(&view, &member.node, &[], &mut rng);
         assert!(sources.is_tree);
         let parent = sources.addresses[0];
         parents.insert(member.address, parent);
@@ -84,7 +87,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let seed = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 9);
     let own = NodeId::new("node-3").unwrap();
-    let sources = list_sources(&view, &own, &[seed], &mut rng);
+    let sources = list_renewal_sources(&view, &own, &[seed], &mut rng);
     assert_eq!(sources.addresses[0], seed);
     assert_eq!(sources.addresses.len(), 3);
 }
