--- a/crates/masticsill_mesh/examples/relay_bytes.rs
+++ b/crates/masticsill_mesh/examples/relay_bytes.rs
@@ -1,8 +1,10 @@
-//! Works out what the catalogue relay costs a node, from messages encoded as on the wire.
+//! Computes the network traffic of the catalogue relay per node, from messages encoded as on the
+//! wire.
 //!
-//! Printed: the measured size of the messages with their `tarpc` envelope, the bytes a second of
-//! a node that asks a control replica, of a control replica that answers its part of all nodes,
-//! and of a node in the tree; then the steps to the quorum and the age that a proof has at most.
+//! Printed are the size of the messages with their `tarpc` envelope, and for several member counts
+//! the bytes per second of a node and of a control replica. Up to the member count from which nodes
+//! form a tree, each control replica answers its share of all nodes. Beyond it, the number of hops
+//! to the quorum and the maximum age of a proof are printed too.
 
 use masticsill_mesh::RenewalPeriods;
 use masticsill_types::CatalogueVersion;
@@ -11,12 +13,12 @@
 use serde::Serialize;
 use tarpc::{ClientMessage, Request, Response, context};
 
-const CONTROLS: u64 = 7;
-const FANOUT: u64 = 4;
-const DIRECT_MEMBERS: u64 = 24;
+const CONTROL_REPLICAS: u64 = 7;
+const TREE_FANOUT: u64 = 4;
+const MAX_DIRECT_MEMBERS_PER_CONTROL_REPLICA: u64 = 24;
 const LENGTH_PREFIX_BYTES: u64 = 4;
-/// IP and TCP headers of the three segments of a call on a connection that stays.
-const SEGMENTS_BYTES: u64 = 3 * 52;
+/// IP and TCP headers of the three segments of a call on an established connection.
+const CALL_HEADER_BYTES: u64 = 3 * 52;
 
 fn size(message: &impl Serialize) -> u64 {
     let bytes = postcard::to_stdvec(message).expect("wire messages can be encoded");
@@ -42,34 +44,34 @@
         })),
     };
     let (request, reply) = (size(&request), size(&reply));
-    println!("renew: {request} B asked and {reply} B answered, {SEGMENTS_BYTES} B of headers");
-    request + reply + SEGMENTS_BYTES
+    println!("renew: {request} B asked and {reply} B answered, {CALL_HEADER_BYTES} B of headers");
+    request + reply + CALL_HEADER_BYTES
 }
 
 fn main() {
     let call = call_bytes();
     let periods = RenewalPeriods::default();
     for members in [60_u64, 150, 350, 700, 2_150] {
-        if members <= CONTROLS * DIRECT_MEMBERS {
+        if members <= CONTROL_REPLICAS * MAX_DIRECT_MEMBERS_PER_CONTROL_REPLICA {
             let own = call * 1_000 / periods.renew_ms;
-            let control = own * members / CONTROLS;
+            let control = own * members / CONTROL_REPLICAS;
             println!("{members:5} members: node {own} B/s, control replica {control} B/s");
             continue;
         }
-        let mut steps = 1;
-        let mut reached = CONTROLS * FANOUT;
+        let mut hops = 1;
+        let mut reached = CONTROL_REPLICAS * TREE_FANOUT;
         let mut level = reached;
-        while reached < members - CONTROLS {
-            level *= FANOUT;
+        while reached < members - CONTROL_REPLICAS {
+            level *= TREE_FANOUT;
             reached += level;
-            steps += 1;
+            hops += 1;
         }
-        let own = call * (1 + FANOUT) * 1_000 / periods.tree_renew_ms;
-        let control = call * FANOUT * 1_000 / periods.tree_renew_ms;
-        let age_ms = steps * periods.tree_renew_ms;
+        let own = call * (1 + TREE_FANOUT) * 1_000 / periods.tree_renew_ms;
+        let control = call * TREE_FANOUT * 1_000 / periods.tree_renew_ms;
+        let age_ms = hops * periods.tree_renew_ms;
         println!(
             "{members:5} members: node {own} B/s, control replica {control} B/s, \
-             {steps} steps, proofs at most {age_ms} ms old and half of that on average"
+             {hops} steps, proofs at most {age_ms} ms old and half of that on average"
         );
     }
 }
--- a/crates/masticsill_mesh/src/config.rs
+++ b/crates/masticsill_mesh/src/config.rs
@@ -1,4 +1,4 @@
-//! What the mesh needs to know to start.
+//! Configuration of the mesh.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 use masticsill_wire::control::{RenewReply, RenewRequest};
 use rand::Rng;
 
-const RANDOM_BITS: u32 = 10;
+const INCARNATION_RANDOM_BITS: u32 = 10;
 
-/// Periods and timeouts of the catalogue relay, in milliseconds.
+/// Periods and timeouts of the catalogue relay. All values are in milliseconds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RenewalPeriods {
-    /// How long a proof of freshness is good for.
+    /// Lease: the age up to which a proof of freshness is valid.
     pub lease_ms: u64,
-    /// Between two renewals while everybody asks the control quorum.
+    /// Period of renewals while every node asks the control quorum.
     pub renew_ms: u64,
-    /// Between two renewals while nodes are so many that they ask along a tree.
+    /// Period of renewals while there are so many nodes that they renew along a tree.
     pub tree_renew_ms: u64,
-    /// After which a source that does not answer is passed over.
+    /// Timeout after which a source that does not answer is skipped.
     pub timeout_ms: u64,
 }
 
@@ -37,49 +37,52 @@
     }
 }
 
-/// What the mesh needs to know to start.
+/// Configuration of the mesh.
 #[derive(Clone, Debug)]
 pub struct MeshConfig {
-    /// The address that peers reach the process's listener at.
+    /// Address at which peers reach the RPC listener of this process.
     pub address: SocketAddr,
-    /// This life, higher than each earlier one; see [`new_incarnation`].
+    /// Incarnation of this process, higher than every earlier one of this node. See
+    /// [`new_incarnation`].
     pub incarnation: Incarnation,
-    /// Periods of membership.
+    /// Periods and timeouts of membership.
     pub membership: Periods,
-    /// This node.
+    /// Id of this node.
     pub node: NodeId,
-    /// Periods of the catalogue relay.
+    /// Periods and timeouts of the catalogue relay.
     pub renewal: RenewalPeriods,
-    /// What this node does.
+    /// Role of this node.
     pub role: Role,
-    /// Addresses to join by; the control replicas' are best.
+    /// Addresses through which this node joins. Addresses of control replicas are preferable.
     pub seeds: Vec<SocketAddr>,
-    /// This node's availability zone.
+    /// Availability zone of this node.
     pub zone: ZoneId,
 }
 
-/// An incarnation for a process that starts now: wall-clock milliseconds above, random bits below.
+/// Returns an incarnation for a process that starts now. The upper bits are the wall clock in
+/// milliseconds, the lower bits are random.
 ///
-/// A restarted node whose wall clock went back stays silent until the clock has caught up; event
-/// 5003 says so.
+/// If the wall clock went back before a restart, the new incarnation is lower than the former one.
+/// The node is then treated as superseded, logs event 5003 and stays silent until it is restarted
+/// after the clock has caught up.
 #[must_use]
 pub fn new_incarnation() -> Incarnation {
-    let random = rand::rng().random_range(0..1_u64 << RANDOM_BITS);
-    Incarnation((wall_ms() << RANDOM_BITS) | random)
+    let random = rand::rng().random_range(0..1_u64 << INCARNATION_RANDOM_BITS);
+    Incarnation((wall_ms() << INCARNATION_RANDOM_BITS) | random)
 }
 
-type AnswerRenewal = dyn Fn(RenewRequest) -> RenewReply + Send + Sync;
+type AnswerFn = dyn Fn(RenewRequest) -> RenewReply + Send + Sync;
 
-/// Answers renewals from a control replica's own state and its quorum's proof.
+/// Answers renewals from the state of a control replica and the proof of its quorum.
 ///
-/// It is called on the mesh's thread and must not wait.
+/// The function is called on the thread of the mesh and must not block.
 #[derive(Clone)]
 pub struct RenewSource {
-    answer: Arc<AnswerRenewal>,
+    answer: Arc<AnswerFn>,
 }
 
 impl RenewSource {
-    /// A source that answers by a function.
+    /// Creates a source that answers with a function.
     pub fn new(answer: impl Fn(RenewRequest) -> RenewReply + Send + Sync + 'static) -> Self {
         Self {
             answer: Arc::new(answer),
@@ -97,19 +100,20 @@
     }
 }
 
-/// Where the connections of the other services go.
+/// The rings to which the connections of the other services are dispatched.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceRoutes {
-    /// To the agent role.
+    /// Ring of the agent role, if this process runs it.
     pub agent: Option<Ring<ServiceStream>>,
-    /// To the control role.
+    /// Ring of the control role, if this process runs it.
     pub control: Option<Ring<ServiceStream>>,
-    /// To the entry role.
+    /// Ring of the entry role, if this process runs it.
     pub entry: Option<Ring<ServiceStream>>,
 }
 
 impl ServiceRoutes {
-    /// Hands a connection to its role; without that role, or when its ring is full, it is closed.
+    /// Hands a connection to its role. The connection is closed if this process does not run that
+    /// role or if the ring of the role is full.
     pub(crate) fn dispatch(&self, kind: ServiceKind, stream: ServiceStream) {
         let route = match kind {
             ServiceKind::Agent => &self.agent,
--- a/crates/masticsill_mesh/src/events.rs
+++ b/crates/masticsill_mesh/src/events.rs
@@ -4,20 +4,21 @@
 
 /// The mesh started.
 pub const MESH_STARTED: Event = Event::new(5001, "mesh_started");
-/// The mesh ended and said so to its peers.
+/// The mesh stopped after announcing its end to its peers.
 pub const MESH_ENDED: Event = Event::new(5002, "mesh_ended");
-/// A later life of this node is known, so this one stays silent: end it, or correct the clock of a
-/// machine whose wall clock went back, or the settings of two nodes of one name.
+/// A higher incarnation of this node is known, so this process stays silent. Stop this process, set
+/// the clock of the machine if it went back, or correct the settings if two nodes have one name.
 pub const SUPERSEDED: Event = Event::new(5003, "superseded");
-/// A member's state changed as seen from here.
+/// The state, incarnation or description of a member changed in the view of this node.
 pub const MEMBER_CHANGED: Event = Event::new(5004, "member_changed");
-/// A member is gone as seen from here.
+/// A member is gone in the view of this node.
 pub const MEMBER_GONE: Event = Event::new(5005, "member_gone");
-/// The copy of the catalogue reached a version.
+/// The node's copy of the catalogue reached a new version.
 pub const CATALOGUE_CHANGED: Event = Event::new(5006, "catalogue_changed");
-/// The copy of the catalogue can't be proven current: no new work starts here until it can.
+/// The node's copy of the catalogue is not proven current. Until it is, no new work starts on this
+/// node.
 pub const CATALOGUE_STALE: Event = Event::new(5007, "catalogue_stale");
-/// The copy of the catalogue is proven current again.
+/// The node's copy of the catalogue is proven current again.
 pub const CATALOGUE_FRESH: Event = Event::new(5008, "catalogue_fresh");
 
 /// Every event of this crate.
--- a/crates/masticsill_mesh/src/handle.rs
+++ b/crates/masticsill_mesh/src/handle.rs
@@ -1,4 +1,4 @@
-//! How other duties use the mesh.
+//! The handle through which other duties use the mesh.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,20 +10,20 @@
 
 use crate::view::{CatalogueView, MembershipView};
 
-const COMMANDS: usize = 256;
+const COMMAND_RING_CAPACITY: usize = 256;
 
-/// What other duties ask of the mesh.
+/// Commands of other duties to the mesh.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     Announce(EndpointProfile),
     Leave,
 }
 
-/// Snapshots, swapped on change.
+/// Published snapshots, which are replaced on change.
 #[derive(Clone, Debug)]
 pub(crate) struct Published {
     pub(crate) catalogue: watch::Sender<Arc<CatalogueView>>,
-    /// Raised when members or catalogue changed.
+    /// A counter that is incremented when the members or the catalogue changed.
     pub(crate) changes: watch::Sender<u64>,
     pub(crate) members: watch::Sender<Arc<MembershipView>>,
 }
@@ -42,18 +42,19 @@
         }
     }
 
-    pub(crate) fn wake(&self) {
+    pub(crate) fn notify_changed(&self) {
         self.changes.send_modify(|changes| *changes += 1);
     }
 }
 
-/// How other duties use the mesh. Each clone waits for changes on its own.
+/// The handle through which other duties use the mesh. Each clone tracks independently which
+/// changes it has seen.
 #[derive(Debug)]
 pub struct MeshHandle {
     commands: Ring<Command>,
     incarnation: Incarnation,
     published: Published,
-    seen: AtomicU64,
+    seen_changes: AtomicU64,
 }
 
 impl Clone for MeshHandle {
@@ -76,56 +77,57 @@
             commands,
             incarnation,
             published,
-            seen: AtomicU64::new(0),
+            seen_changes: AtomicU64::new(0),
         }
     }
 
     pub(crate) fn command_ring() -> Ring<Command> {
-        Ring::with_capacity(COMMANDS)
+        Ring::with_capacity(COMMAND_RING_CAPACITY)
     }
 
-    /// The members as seen now.
+    /// Returns the current members.
     #[must_use]
     pub fn view(&self) -> Arc<MembershipView> {
         Arc::clone(&self.published.members.borrow())
     }
 
-    /// The node's copy of the catalogue.
+    /// Returns the node's copy of the catalogue.
     #[must_use]
     pub fn catalogue(&self) -> Arc<CatalogueView> {
         Arc::clone(&self.published.catalogue.borrow())
     }
 
-    /// This node's life, as announced.
+    /// Returns the incarnation that this node announces.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Waits until members or catalogue changed after this clone's last wait; at first at once.
+    /// Waits until the members or the catalogue have changed since the last wait of this clone.
+    /// The first wait returns at once.
     ///
-    /// Cancel safe: a change that no wait returned is returned by the next.
+    /// Cancel safe: after a cancelled wait, the next one returns for the same change.
     pub async fn changed(&self) {
         let mut receiver = self.published.changes.subscribe();
-        let seen = self.seen.load(Ordering::Acquire);
-        if let Ok(changes) = receiver.wait_for(|changes| *changes != seen).await {
-            self.seen.store(*changes, Ordering::Release);
+        let seen_changes = self.seen_changes.load(Ordering::Acquire);
+        if let Ok(changes) = receiver.wait_for(|changes| *changes != seen_changes).await {
+            self.seen_changes.store(*changes, Ordering::Release);
         }
     }
 
-    /// Announces the endpoint beside this node; only for agents.
+    /// Announces the profile of the endpoint that this node serves. For agents only.
     ///
-    /// Returns whether the mesh took it; it does not once it is stopped.
+    /// Returns whether the mesh accepted the command, which it does not once it is stopped.
     pub fn announce(&self, profile: EndpointProfile) -> bool {
         self.commands.push(Command::Announce(profile)).is_ok()
     }
 
-    /// Announces that this node takes nothing new.
+    /// Announces that this node accepts no new work.
     pub fn leave(&self) {
         let _ = self.commands.push(Command::Leave);
     }
 
-    /// Ends the mesh: it tells the others that this node has ended, then its duty returns.
+    /// Stops the mesh: it announces to its peers that this node has stopped, then its duty returns.
     pub fn stop(&self) {
         self.commands.close();
     }
--- a/crates/masticsill_mesh/src/lib.rs
+++ b/crates/masticsill_mesh/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every node runs: membership exchange and the catalogue relay.
+//! The part common to all nodes: membership gossip and the catalogue relay.
 //!
-//! [`Mesh::start`] runs one duty. It owns the process's RPC listener, hands the connections of
-//! other services to their roles, keeps the view of all members, and keeps the node's copy of the
-//! catalogue current: every few hundred milliseconds it asks the control quorum, or any peer when
-//! the quorum can't be reached, for what changed and for a proof of freshness. Other duties read
-//! both through [`MeshHandle`] without waiting.
+//! [`Mesh::start`] runs one duty. The duty owns the RPC listener of the process, dispatches the
+//! connections of other services to their roles, maintains the view of all members and keeps the
+//! node's copy of the catalogue current: every few hundred milliseconds it asks the control quorum,
+//! or any peer when the quorum can't be reached, for changes and for a proof of freshness. Other
+//! duties read the members and the catalogue through [`MeshHandle`] without waiting.
 
 mod config;
 pub mod events;
--- a/crates/masticsill_mesh/src/mesh.rs
+++ b/crates/masticsill_mesh/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh's duty.
+//! The duty of the mesh.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -21,23 +21,23 @@
 use crate::renewal::Renewal;
 
 const TICK_MS: u64 = 100;
-/// Time for the last word to reach peers before the duty ends.
-const FAREWELL_MS: u64 = 300;
+/// Time for the announcement that this node has stopped to reach its peers before the duty ends.
+const FINAL_ANNOUNCEMENT_MS: u64 = 300;
 
-/// What every node runs: membership, the catalogue relay and the process's listener.
+/// The part common to all nodes: membership, the catalogue relay and the RPC listener.
 #[derive(Debug)]
 pub struct Mesh;
 
 impl Mesh {
-    /// Starts the mesh on a thread of its own.
+    /// Starts the mesh on its own thread.
     ///
-    /// `listener` is the process's one listener; connections of the other services go by
-    /// `routes`. A control replica gives its `source` of proofs. The duty ends after
-    /// [`MeshHandle::stop`].
+    /// `listener` is the only RPC listener of the process; connections of the other services are
+    /// dispatched by `routes`. A control replica passes the `source` that answers renewals from
+    /// its own state. The duty ends after [`MeshHandle::stop`].
     ///
     /// # Errors
     ///
-    /// The operating system's error when no thread can be started.
+    /// Returns the error of the operating system if the thread can't be started.
     pub fn start(
         config: MeshConfig,
         listener: RpcListener,
@@ -77,7 +77,7 @@
         clock,
         config,
         follower: RefCell::new(Follower::new(now)),
-        hold_ends: Cell::new(None),
+        next_hold_down_end: Cell::new(None),
         membership: RefCell::new(membership),
         published,
         published_cursor: Cell::new(0),
@@ -118,7 +118,7 @@
     }
     node.step(Input::Left);
     node.step(Input::Tick);
-    sleep(Duration::from_millis(FAREWELL_MS)).await;
+    sleep(Duration::from_millis(FINAL_ANNOUNCEMENT_MS)).await;
     log_event!(info, events::MESH_ENDED, node = node.config.node);
 }
 
--- a/crates/masticsill_mesh/src/node.rs
+++ b/crates/masticsill_mesh/src/node.rs
@@ -1,4 +1,4 @@
-//! The state of the mesh's duty, and its service.
+//! The state of the mesh duty and the RPC service that it offers to peers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,23 +23,23 @@
 use crate::renewal::answer_renewal;
 use crate::view::MembershipView;
 
-/// What the tasks of the mesh share.
+/// The state that the tasks of the mesh share.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) clock: MonotonicClock,
     pub(crate) config: MeshConfig,
     pub(crate) follower: RefCell<Follower>,
     pub(crate) membership: RefCell<Membership>,
-    /// The members published last lie before this cursor.
+    /// The cursor up to which member changes are published.
     pub(crate) published_cursor: Cell<u64>,
-    /// When the next hold-down of a member ends.
-    pub(crate) hold_ends: Cell<Option<ClockMs>>,
+    /// The end of the hold-down that ends next, if any.
+    pub(crate) next_hold_down_end: Cell<Option<ClockMs>>,
     pub(crate) published: Published,
     pub(crate) source: Option<RenewSource>,
 }
 
 impl Node {
-    /// Gives an input to membership and carries the outputs out.
+    /// Passes an input to the membership, carries out its outputs and publishes changes.
     pub(crate) fn step(self: &Rc<Self>, input: Input) {
         let now = self.clock.now();
         let outputs = self.membership.borrow_mut().step(now, input);
@@ -93,20 +93,21 @@
         }
     }
 
-    /// Swaps the published view when members changed.
+    /// Replaces the published view if members changed or a hold-down ended.
     pub(crate) fn publish(&self, now: ClockMs) {
         let membership = self.membership.borrow();
         let cursor = membership.cursor();
-        let is_hold_over = self.hold_ends.get().is_some_and(|end| end <= now);
-        if cursor == self.published_cursor.get() && !is_hold_over {
+        let has_hold_down_ended = self.next_hold_down_end.get().is_some_and(|end| end <= now);
+        if cursor == self.published_cursor.get() && !has_hold_down_ended {
             return;
         }
         log_changes(&membership, self.published_cursor.replace(cursor));
-        let holds = membership.members().map(|member| member.held_until);
-        self.hold_ends.set(holds.filter(|end| *end > now).min());
+        let hold_down_ends = membership.members().map(|member| member.held_until);
+        self.next_hold_down_end
+            .set(hold_down_ends.filter(|end| *end > now).min());
         let view = MembershipView::new(membership.members());
         self.published.members.send_replace(view.into());
-        self.published.wake();
+        self.published.notify_changed();
     }
 
     async fn probe_for(&self, request: ProbeViaRequest) -> bool {
@@ -146,7 +147,7 @@
     }
 }
 
-/// Models that an endpoint offers now.
+/// Returns the number of models that an endpoint has loaded.
 fn count_models(profile: Option<&EndpointProfile>) -> usize {
     match profile.map(|profile| &profile.kind) {
         Some(EndpointKind::Engine { loaded, .. }) => loaded.len(),
@@ -154,7 +155,7 @@
     }
 }
 
-/// Serves one connection of a peer until it ends.
+/// Serves a connection of a peer until it is closed.
 pub(crate) fn serve_peer(node: &Rc<Node>, stream: ServiceStream) {
     let Ok(transport) = stream.into_transport() else {
         return;
--- a/crates/masticsill_mesh/src/peers.rs
+++ b/crates/masticsill_mesh/src/peers.rs
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Connects to a node. The connection ends with the client.
+/// Connects to a node. The connection is closed when the last clone of the client is dropped.
 pub(crate) async fn connect(address: SocketAddr, timeout_ms: u64) -> io::Result<NodeServiceClient> {
     let transport = connect_transport(address, ServiceKind::Node, timeout_ms).await?;
     let new = NodeServiceClient::new(Config::default(), transport);
@@ -22,39 +22,40 @@
     Ok(new.client)
 }
 
-/// Exchanges news with a node, on a connection of its own; `None` when that failed.
+/// Sends a membership request to a node on a new connection. Returns `None` on failure or timeout.
 pub(crate) async fn exchange(
     address: SocketAddr,
     request: Request,
     timeout_ms: u64,
 ) -> Option<Reply> {
-    let asking = async {
+    let call = async {
         let client = connect(address, timeout_ms).await.ok()?;
         client
             .exchange(call_context(timeout_ms), request)
             .await
             .ok()
     };
-    within(timeout_ms, asking).await
+    with_timeout(timeout_ms, call).await
 }
 
-/// Asks a helper to probe a target; `None` when the helper did not answer.
+/// Asks a helper to probe a target. Returns whether the helper reached the target, or `None` if the
+/// helper did not answer in time.
 pub(crate) async fn probe_via(
     helper: SocketAddr,
     request: ProbeViaRequest,
     timeout_ms: u64,
 ) -> Option<bool> {
-    let asking = async {
+    let call = async {
         let client = connect(helper, timeout_ms).await.ok()?;
         let answer: Result<bool, RpcError> =
             client.probe_via(call_context(timeout_ms), request).await;
         answer.ok()
     };
-    within(timeout_ms, asking).await
+    with_timeout(timeout_ms, call).await
 }
 
-async fn within<T>(timeout_ms: u64, asking: impl Future<Output = Option<T>>) -> Option<T> {
-    timeout(Duration::from_millis(timeout_ms), asking)
+async fn with_timeout<T>(timeout_ms: u64, call: impl Future<Output = Option<T>>) -> Option<T> {
+    timeout(Duration::from_millis(timeout_ms), call)
         .await
         .ok()
         .flatten()
--- a/crates/masticsill_mesh/src/renewal.rs
+++ b/crates/masticsill_mesh/src/renewal.rs
@@ -1,4 +1,4 @@
-//! Keeping the node's copy of the catalogue current.
+//! Keeps the node's copy of the catalogue current.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,16 +19,16 @@
 use crate::sources::list_renewal_sources;
 use crate::view::CatalogueView;
 
-/// How long a source that failed is asked last.
-const AVOIDED_MS: u64 = 3_000;
-/// Sources tried in one round.
-const TRIES: usize = 4;
+/// Time for which a failed source is tried only after all others.
+const SOURCE_AVOIDANCE_MS: u64 = 3_000;
+/// Maximum number of sources tried in one renewal.
+const MAX_SOURCES_PER_ROUND: usize = 4;
 
-/// The copy and who renews it.
+/// The state of the task that renews the copy of the catalogue.
 #[derive(Debug)]
 pub(crate) struct Renewal {
-    /// Until when a source that failed is asked last.
-    avoided: IndexMap<SocketAddr, ClockMs>,
+    /// The time until which each failed source is tried only after all others.
+    avoided_until: IndexMap<SocketAddr, ClockMs>,
     client: Option<(SocketAddr, NodeServiceClient)>,
     is_fresh: bool,
     is_tree: bool,
@@ -37,18 +37,18 @@
 impl Renewal {
     pub(crate) fn new() -> Self {
         Self {
-            avoided: IndexMap::new(),
+            avoided_until: IndexMap::new(),
             client: None,
             is_fresh: false,
             is_tree: false,
         }
     }
 
-    /// Renews the copy once in each period, for as long as the mesh runs.
+    /// Renews the copy once per period for as long as the mesh runs.
     pub(crate) async fn run(mut self, node: Rc<Node>) {
         loop {
             self.renew_once(&node).await;
-            self.note_freshness(&node);
+            self.record_freshness(&node);
             let periods = &node.config.renewal;
             let period_ms = if self.is_tree {
                 periods.tree_renew_ms
@@ -64,7 +64,7 @@
             return;
         }
         let now = node.clock.now();
-        self.avoided.retain(|_, until| *until > now);
+        self.avoided_until.retain(|_, until| *until > now);
         let view = node.published.members.borrow().clone();
         let sources = {
             let mut rng = rand::rng();
@@ -73,34 +73,34 @@
         self.is_tree = sources.is_tree;
         let mut sources = sources.addresses;
         sources.retain(|address| *address != node.config.address);
-        sources.sort_by_key(|address| self.avoided.contains_key(address));
-        for address in sources.into_iter().take(TRIES) {
+        sources.sort_by_key(|address| self.avoided_until.contains_key(address));
+        for address in sources.into_iter().take(MAX_SOURCES_PER_ROUND) {
             if self.renew_from(node, address).await {
                 return;
             }
-            let until = node.clock.now() + AVOIDED_MS;
-            self.avoided.insert(address, until);
+            let until = node.clock.now() + SOURCE_AVOIDANCE_MS;
+            self.avoided_until.insert(address, until);
         }
     }
 
-    /// Asks one source. Returns whether that was enough.
+    /// Renews the copy from one source. Returns whether the copy is fresh enough afterwards.
     async fn renew_from(&mut self, node: &Node, address: SocketAddr) -> bool {
         let timeout_ms = node.config.renewal.timeout_ms;
-        let Some(client) = self.client_of(address, timeout_ms).await else {
+        let Some(client) = self.connect_to(address, timeout_ms).await else {
             return false;
         };
         let have = node.follower.borrow().version();
         let sent_at = node.clock.now();
-        let asking = client.renew(call_context(timeout_ms), RenewRequest { have });
-        let answer = timeout(Duration::from_millis(timeout_ms), asking).await;
+        let call = client.renew(call_context(timeout_ms), RenewRequest { have });
+        let answer = timeout(Duration::from_millis(timeout_ms), call).await;
         let Ok(Ok(reply)) = answer else {
             self.client = None;
             return false;
         };
-        take_reply(node, sent_at, reply)
+        apply_reply(node, sent_at, reply)
     }
 
-    async fn client_of(
+    async fn connect_to(
         &mut self,
         address: SocketAddr,
         timeout_ms: u64,
@@ -115,7 +115,7 @@
         Some(client)
     }
 
-    fn note_freshness(&mut self, node: &Node) {
+    fn record_freshness(&mut self, node: &Node) {
         let lease_ms = node.config.renewal.lease_ms;
         let is_fresh = node.follower.borrow().is_fresh(node.clock.now(), lease_ms);
         match (self.is_fresh, is_fresh) {
@@ -127,13 +127,14 @@
             (true, true) | (false, false) => {}
         }
         if self.is_fresh != is_fresh {
-            node.published.wake();
+            node.published.notify_changed();
         }
         self.is_fresh = is_fresh;
     }
 }
 
-/// Renews a control replica's copy from its own state. Returns whether that was enough.
+/// Renews the copy of a control replica from the state of that replica. Returns whether the copy is
+/// fresh enough afterwards.
 fn renew_from_quorum(node: &Node) -> bool {
     let Some(source) = &node.source else {
         return false;
@@ -141,14 +142,15 @@
     let sent_at = node.clock.now();
     let have = node.follower.borrow().version();
     let reply = source.answer(RenewRequest { have });
-    take_reply(node, sent_at, reply)
+    apply_reply(node, sent_at, reply)
 }
 
-/// Takes an answer in: the copy's version never goes down, and the proof counts from `sent_at`.
+/// Applies a reply. The version of the copy never decreases. The age of the proof counts from
+/// `sent_at`, the time at which the request was sent.
 ///
-/// Returns whether the copy is fresh enough to leave it at that: a source that was cut off itself
-/// still answers, with a proof that grows old.
-fn take_reply(node: &Node, sent_at: ClockMs, reply: RenewReply) -> bool {
+/// Returns whether the proof is younger than three quarters of the lease. Otherwise the next source
+/// is tried, because a source that is partitioned itself still answers, with an outdated proof.
+fn apply_reply(node: &Node, sent_at: ClockMs, reply: RenewReply) -> bool {
     let mut follower = node.follower.borrow_mut();
     let applied = reply.update.map(|update| follower.apply(update));
     let is_changed = applied == Some(ApplyOutcome::Changed);
@@ -183,25 +185,26 @@
         });
     });
     if is_changed {
-        node.published.wake();
+        node.published.notify_changed();
     }
 }
 
-/// Answers a peer's renewal from the quorum's state, or from the copy when that proves more.
+/// Answers the renewal of a peer from the state of the control replica on this node if that has a
+/// proof, otherwise from the copy of the catalogue.
 pub(crate) fn answer_renewal(node: &Node, request: RenewRequest) -> RenewReply {
     let follower = node.follower.borrow();
-    let from_copy = || RenewReply {
+    let reply_from_copy = || RenewReply {
         age_ms: follower.age_ms(node.clock.now()),
         update: follower.catalogue().update_since(request.have),
         version: follower.version(),
     };
     let Some(source) = &node.source else {
-        return from_copy();
+        return reply_from_copy();
     };
-    let from_quorum = source.answer(request);
-    if from_quorum.age_ms.is_some() {
-        from_quorum
+    let reply_from_quorum = source.answer(request);
+    if reply_from_quorum.age_ms.is_some() {
+        reply_from_quorum
     } else {
-        from_copy()
+        reply_from_copy()
     }
 }
--- a/crates/masticsill_mesh/src/sources.rs
+++ b/crates/masticsill_mesh/src/sources.rs
@@ -1,8 +1,9 @@
-//! Whom to ask for the catalogue and its proof.
+//! Chooses the nodes from which the catalogue and its proof of freshness are renewed.
 //!
-//! While nodes are few, everybody asks the control quorum. When they are many, they form a tree
-//! with the control quorum as its roots, so that no node answers more than a few others. Every
-//! node works the tree out from its own view; views that differ cost balance, never correctness.
+//! While there are few nodes, all of them ask the control quorum. When there are many, they form a
+//! tree whose roots are the control replicas, so that each node answers only a few others. Every
+//! node derives the tree from its own view. If views differ, the load is less balanced, but the
+//! result stays correct.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -14,23 +15,25 @@
 
 use crate::view::MembershipView;
 
-/// Members for each control replica up to which everybody asks the control quorum.
-const DIRECT_MEMBERS: usize = 24;
-/// Nodes that one node answers in the tree.
-const FANOUT: usize = 4;
-/// Random peers tried when all else failed.
-const OTHER_PEERS: usize = 2;
+/// Number of members per control replica up to which every node asks the control quorum.
+const MAX_DIRECT_MEMBERS_PER_CONTROL_REPLICA: usize = 24;
+/// Number of children of each node in the tree.
+const TREE_FANOUT: usize = 4;
+/// Number of random peers that are tried after all other sources failed.
+const FALLBACK_PEERS: usize = 2;
 
-/// Whom to ask.
+/// The sources of a node.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RenewalSources {
-    /// Addresses, best first.
+    /// Addresses in the order in which they are tried.
     pub addresses: Vec<SocketAddr>,
-    /// Whether the first is the node's parent in the tree.
+    /// Whether the first address is that of the parent of the node in the tree.
     pub is_tree: bool,
 }
 
-/// Lists whom a node asks for the catalogue and its proof.
+/// Lists the sources from which a node renews the catalogue and its proof of freshness.
+///
+/// `seeds` are used only while no control replica is known.
 pub fn list_renewal_sources(
     view: &MembershipView,
     own: &NodeId,
@@ -38,15 +41,16 @@
     rng: &mut impl Rng,
 ) -> RenewalSources {
     let others = || view.members().filter(|member| member.node != *own);
-    let mut controls: Vec<&Member> = others().filter(|member| member.is_control()).collect();
-    let parent = find_parent(view, own, &controls);
-    controls.shuffle(rng);
+    let mut control_replicas: Vec<&Member> =
+        others().filter(|member| member.is_control()).collect();
+    let parent = find_parent(view, own, &control_replicas);
+    control_replicas.shuffle(rng);
     let mut peers: Vec<SocketAddr> = others().map(|member| member.address).collect();
     peers.shuffle(rng);
-    peers.truncate(OTHER_PEERS);
+    peers.truncate(FALLBACK_PEERS);
     let mut addresses: Vec<SocketAddr> = parent.into_iter().collect();
-    addresses.extend(controls.iter().map(|member| member.address));
-    if controls.is_empty() {
+    addresses.extend(control_replicas.iter().map(|member| member.address));
+    if control_replicas.is_empty() {
         addresses.extend(seeds);
     }
     addresses.extend(peers);
@@ -56,25 +60,33 @@
     }
 }
 
-/// The node's parent in the tree, when there are enough members for one.
-fn find_parent(view: &MembershipView, own: &NodeId, controls: &[&Member]) -> Option<SocketAddr> {
-    if controls.is_empty() || view.len() <= controls.len() * DIRECT_MEMBERS {
+/// Returns the address of the parent of a node in the tree, or `None` if there are too few members
+/// for a tree.
+fn find_parent(
+    view: &MembershipView,
+    own: &NodeId,
+    control_replicas: &[&Member],
+) -> Option<SocketAddr> {
+    if control_replicas.is_empty()
+        || view.len() <= control_replicas.len() * MAX_DIRECT_MEMBERS_PER_CONTROL_REPLICA
+    {
         return None;
     }
-    let mut roots: Vec<&Member> = controls.to_vec();
+    let mut roots: Vec<&Member> = control_replicas.to_vec();
     roots.sort_by(|one, other| one.node.cmp(&other.node));
     let branches = view.members().filter(|member| !member.is_control());
     let mut order: Vec<&Member> = branches.collect();
-    order.sort_by_cached_key(|member| (spread(&member.node), member.node.clone()));
-    let place = order.iter().position(|member| member.node == *own)?;
-    let parent = place / FANOUT;
+    order.sort_by_cached_key(|member| (tree_order_hash(&member.node), member.node.clone()));
+    let position = order.iter().position(|member| member.node == *own)?;
+    let parent = position / TREE_FANOUT;
     let member = roots
         .get(parent)
         .or_else(|| order.get(parent - roots.len()));
     member.map(|member| member.address)
 }
 
-fn spread(node: &NodeId) -> u64 {
+/// Returns the hash by which the members are ordered in the tree.
+fn tree_order_hash(node: &NodeId) -> u64 {
     let mut hasher = DefaultHasher::new();
     node.hash(&mut hasher);
     hasher.finish()
--- a/crates/masticsill_mesh/tests/catalogue_relay.rs
+++ b/crates/masticsill_mesh/tests/catalogue_relay.rs
@@ -1,11 +1,11 @@
-//! The catalogue and its proof of freshness reach every node.
+//! Spreading of the catalogue and its proof of freshness to every node.
 
 mod support;
 
 use masticsill_membership::Role;
-use support::{Quorum, TestNode, wait_for};
+use support::{Quorum, TestNode, wait_until};
 
-fn control_and_entries(quorum: &Quorum) -> [TestNode; 3] {
+fn start_control_and_entries(quorum: &Quorum) -> [TestNode; 3] {
     let source = Some(quorum.source());
     let control = TestNode::start("control-1", Role::Control, Vec::new(), source);
     let seeds = vec![control.address];
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn a_change_reaches_every_node() {
+fn a_catalogue_change_reaches_every_node() {
     let quorum = Quorum::default();
-    quorum.accept(1);
-    quorum.set_proving(true);
-    let nodes = control_and_entries(&quorum);
+    quorum.set_catalogue_version(1);
+    quorum.set_has_proof(true);
+    let nodes = start_control_and_entries(&quorum);
     for version in [1, 2, 300] {
-        quorum.accept(version);
-        wait_for("the version is in force", || {
+        quorum.set_catalogue_version(version);
+        wait_until("every node has the version and is fresh", || {
             nodes
                 .iter()
                 .all(|node| node.version() == version && node.is_fresh())
@@ -31,63 +31,69 @@
 }
 
 #[test]
-fn nobody_is_fresh_without_a_proof() {
+fn no_node_is_fresh_without_a_proof() {
     let quorum = Quorum::default();
-    quorum.accept(7);
-    let nodes = control_and_entries(&quorum);
-    wait_for("the content arrives", || {
+    quorum.set_catalogue_version(7);
+    let nodes = start_control_and_entries(&quorum);
+    wait_until("every node has the version", || {
         nodes.iter().all(|node| node.version() == 7)
     });
     assert!(nodes.iter().all(|node| !node.is_fresh()));
-    quorum.set_proving(true);
-    wait_for("fresh", || nodes.iter().all(TestNode::is_fresh));
-    quorum.set_proving(false);
-    wait_for("stale again", || nodes.iter().all(|node| !node.is_fresh()));
+    quorum.set_has_proof(true);
+    wait_until("every node is fresh", || {
+        nodes.iter().all(TestNode::is_fresh)
+    });
+    quorum.set_has_proof(false);
+    wait_until("no node is fresh", || {
+        nodes.iter().all(|node| !node.is_fresh())
+    });
     assert!(
         nodes.iter().all(|node| node.version() == 7),
-        "no version goes back"
+        "the version must not go back"
     );
 }
 
 #[test]
-fn a_node_that_knows_no_control_replica_is_served_by_a_peer() {
+fn a_node_that_knows_no_control_replica_renews_from_a_peer() {
     let quorum = Quorum::default();
-    quorum.accept(3);
-    quorum.set_proving(true);
+    quorum.set_catalogue_version(3);
+    quorum.set_has_proof(true);
     let control = TestNode::start("control-1", Role::Entry, Vec::new(), Some(quorum.source()));
     let relay = TestNode::start("entry-1", Role::Entry, vec![control.address], None);
-    wait_for("the relay is fresh", || relay.is_fresh());
+    wait_until("the relay is fresh", || relay.is_fresh());
     let last = TestNode::start("entry-2", Role::Entry, vec![relay.address], None);
-    wait_for("the last is fresh", || {
+    wait_until("the last node is fresh and has the version", || {
         last.is_fresh() && last.version() == 3
     });
 }
 
 #[test]
-fn a_source_whose_proof_grows_old_is_passed_over() {
-    let (fresh, cut_off) = (Quorum::default(), Quorum::default());
-    for quorum in [&fresh, &cut_off] {
-        quorum.accept(4);
-        quorum.set_proving(true);
+fn a_source_with_an_outdated_proof_is_skipped() {
+    let (fresh, partitioned) = (Quorum::default(), Quorum::default());
+    for quorum in [&fresh, &partitioned] {
+        quorum.set_catalogue_version(4);
+        quorum.set_has_proof(true);
     }
-    cut_off.set_age_ms(60_000);
+    partitioned.set_age_ms(60_000);
     let one = TestNode::start(
         "control-1",
         Role::Control,
         Vec::new(),
-        Some(cut_off.source()),
+        Some(partitioned.source()),
     );
     let seeds = vec![one.address];
-    // Only a peer has a young proof; the one control replica in sight answers with an old one.
+    // Only a peer has a recent proof. The only known control replica answers with an outdated one.
     let two = TestNode::start("entry-2", Role::Entry, seeds.clone(), Some(fresh.source()));
     let entry = TestNode::start("entry-1", Role::Entry, seeds, None);
-    wait_for("all know each other", || entry.mesh.view().len() == 3);
-    wait_for("fresh", || entry.is_fresh());
-    // Longer than a source is avoided and a lease together.
+    wait_until("the entry sees all three nodes", || {
+        entry.mesh.view().len() == 3
+    });
+    wait_until("the entry is fresh", || entry.is_fresh());
+    // 7 s are longer than the avoidance of a failed source (3 s) and the lease (2 s) together.
     for _ in 0..350 {
         assert!(
             entry.is_fresh(),
-            "it fell back to the source that was cut off"
+            "the entry became stale after renewing from the partitioned control replica"
         );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
--- a/crates/masticsill_mesh/tests/mesh_view.rs
+++ b/crates/masticsill_mesh/tests/mesh_view.rs
@@ -1,4 +1,4 @@
-//! Nodes find each other over real connections.
+//! Membership views of nodes that exchange messages over real connections.
 
 mod support;
 
@@ -7,16 +7,16 @@
 use masticsill_runtime::{Ring, connect_transport};
 use masticsill_types::{MonotonicClock, NodeId, ZoneId};
 use masticsill_wire::ServiceKind;
-use support::{TestNode, loopback, service_profile, wait_for};
+use support::{TestNode, loopback, service_profile, wait_until};
 
-fn three_nodes() -> [TestNode; 3] {
+fn start_three_nodes() -> [TestNode; 3] {
     let first = TestNode::start("entry-1", Role::Entry, Vec::new(), None);
     let seeds = vec![first.address];
     let second = TestNode::start("entry-2", Role::Entry, seeds.clone(), None);
     let role = Role::Agent(service_profile(false));
     let third = TestNode::start("agent-1", role, seeds, None);
     let nodes = [first, second, third];
-    wait_for("all see all", || {
+    wait_until("every node sees every other node", || {
         nodes
             .iter()
             .all(|one| nodes.iter().all(|other| one.sees(other)))
@@ -25,21 +25,21 @@
 }
 
 #[test]
-fn a_leaving_agent_is_seen_leaving_and_then_gone() {
-    let [first, second, agent] = three_nodes();
+fn a_leaving_agent_is_shown_as_leaving_and_then_gone() {
+    let [first, second, agent] = start_three_nodes();
     agent.mesh.leave();
     let state = |at: &TestNode| {
         let view = at.mesh.view();
         view.get(&agent.node).map(|member| member.state)
     };
-    wait_for("leaving", || {
+    wait_until("both entries see the agent as leaving", || {
         [&first, &second]
             .iter()
             .all(|at| state(at) == Some(MemberState::Leaving))
     });
     let name = agent.node.clone();
     agent.stop();
-    wait_for("gone", || {
+    wait_until("the agent is gone in both entries", || {
         [&first, &second]
             .iter()
             .all(|at| at.mesh.view().get(&name).is_none())
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn a_changed_profile_is_announced() {
-    let [first, second, agent] = three_nodes();
+fn a_changed_endpoint_profile_reaches_the_entries() {
+    let [first, second, agent] = start_three_nodes();
     assert!(agent.mesh.announce(service_profile(true)));
-    wait_for("takes no work", || {
+    wait_until("both entries see that the agent accepts no work", || {
         [&first, &second].iter().all(|at| {
             let view = at.mesh.view();
             let now = at.clock.now();
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_wait_for_changes_misses_none() {
+async fn waiting_for_changes_misses_no_change() {
     let node = TestNode::start("entry-1", Role::Entry, Vec::new(), None);
     node.mesh.changed().await;
     let waiter = node.mesh.clone();
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn other_services_connections_go_to_their_roles() {
+async fn connections_of_other_services_reach_their_roles() {
     let listener = loopback();
     let address = listener.local_address().unwrap();
     let config = MeshConfig {
--- a/crates/masticsill_mesh/tests/renewal_sources.rs
+++ b/crates/masticsill_mesh/tests/renewal_sources.rs
@@ -1,4 +1,4 @@
-//! Whom nodes ask for the catalogue, at small and large sizes.
+//! The sources from which nodes renew the catalogue, for few and for many members.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn few_nodes_ask_the_control_quorum() {
+fn few_nodes_renew_from_the_control_quorum() {
     let view = view(3, 60);
     let mut rng = StdRng::seed_from_u64(1);
     let own = NodeId::new("node-30").unwrap();
@@ -52,11 +52,14 @@
             .iter()
             .all(|address| controls.contains(address))
     );
-    assert!(sources.addresses.len() > 3, "peers come after them");
+    assert!(
+        sources.addresses.len() > 3,
+        "peers follow the control replicas"
+    );
 }
 
 #[test]
-fn many_nodes_form_a_shallow_tree_without_a_circle() {
+fn many_nodes_form_a_shallow_tree_without_cycles() {
     let view = view(7, 2_150);
     let mut rng = StdRng::seed_from_u64(1);
     let mut parents: IndexMap<SocketAddr, SocketAddr> = IndexMap::new();
@@ -70,19 +73,19 @@
     }
     assert!(
         children.values().all(|count| *count <= 4),
-        "nobody answers more than four"
+        "no node has more than four children"
     );
     for node in parents.keys() {
         let path = std::iter::successors(Some(*node), |address| parents.get(address).copied());
         assert!(
             path.take(20).count() <= 6,
-            "at most five steps to the quorum"
+            "at most five hops to the quorum"
         );
     }
 }
 
 #[test]
-fn without_control_replicas_seeds_and_peers_are_asked() {
+fn without_control_replicas_nodes_renew_from_seeds_and_peers() {
     let view = view(0, 10);
     let mut rng = StdRng::seed_from_u64(1);
     let seed = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 9);
--- a/crates/masticsill_mesh/tests/support/mod.rs
+++ b/crates/masticsill_mesh/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes on loopback, each with a mesh of its own.
+//! Nodes on the loopback interface, each with its own mesh.
 #![allow(dead_code, reason = "each test uses a part")]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,17 +21,20 @@
 };
 use masticsill_wire::control::{RenewReply, RenewRequest};
 
-const BOUND: Duration = Duration::from_mins(1);
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub(crate) fn loopback() -> RpcListener {
     listen(SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0)).unwrap()
 }
 
-/// Waits for a condition, with a generous bound.
-pub(crate) fn wait_for(what: &str, is_met: impl Fn() -> bool) {
+/// Waits until a condition holds, and panics after [`WAIT_TIMEOUT`].
+pub(crate) fn wait_until(what: &str, is_met: impl Fn() -> bool) {
     let start = Instant::now();
     while !is_met() {
-        assert!(start.elapsed() < BOUND, "did not happen: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -45,21 +48,21 @@
     }
 }
 
-/// What a control replica would hold, and the age of its proof.
+/// The catalogue of a simulated control replica and the age of its proof, if it has one.
 #[derive(Default)]
 struct QuorumState {
     age_ms: Option<u64>,
     catalogue: Catalogue,
 }
 
-/// What a control replica would hold, and whether it can prove that it is current.
+/// A simulated control quorum that answers renewals.
 #[derive(Clone, Default)]
 pub(crate) struct Quorum {
     state: Arc<Mutex<QuorumState>>,
 }
 
 impl Quorum {
-    pub(crate) fn accept(&self, version: u64) {
+    pub(crate) fn set_catalogue_version(&self, version: u64) {
         let entry = CatalogueEntry {
             back_end: BackEnd::PlainService {
                 service: ModelId::new("orders").unwrap(),
@@ -80,8 +83,8 @@
         state.catalogue.apply(CatalogueUpdate::Snapshot(snapshot));
     }
 
-    pub(crate) fn set_proving(&self, is_proving: bool) {
-        self.state.lock().unwrap().age_ms = is_proving.then_some(5);
+    pub(crate) fn set_has_proof(&self, has_proof: bool) {
+        self.state.lock().unwrap().age_ms = has_proof.then_some(5);
     }
 
     pub(crate) fn set_age_ms(&self, age_ms: u64) {
