--- a/crates/masticsill_entry/src/call_place.rs
+++ b/crates/masticsill_entry/src/call_placement.rs
@@ -1,4 +1,4 @@
-//! Places of plain calls at agents.
+//! Placement of plain calls at agents.
 
 use std::rc::Rc;
 
@@ -13,22 +13,24 @@
 
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// A call's place at an agent; the router counts it there until [`Place::end`].
+/// The placement of a call at an agent. The router counts the call there until
+/// [`CallPlacement::release`].
 #[derive(Debug)]
-pub(crate) struct Place {
-    /// The agent.
-    pub(crate) life: AgentIncarnation,
-    /// The router's name of this work: two calls under one key may be open at once.
+pub(crate) struct CallPlacement {
+    /// The agent and its incarnation.
+    pub(crate) agent_incarnation: AgentIncarnation,
+    /// The id of this work in the router. It differs from the id of the call, because two calls
+    /// with one key may be open at the same time.
     work: GenerationId,
 }
 
-impl Place {
-    /// Waits for a place outside `tried`.
+impl CallPlacement {
+    /// Waits for a placement at an agent that is not in `tried`.
     ///
     /// # Errors
     ///
-    /// A refusal, *not run*, when there is none.
-    pub(crate) async fn find(
+    /// Returns a refusal with the outcome *not run* if no agent accepts the call.
+    pub(crate) async fn acquire(
         sessions: &Rc<Sessions>,
         call: &PlainCall,
         kind: WorkKind,
@@ -49,36 +51,40 @@
             workspace: call.workspace.clone(),
         };
         let agent = sessions.place_call(request).await?;
-        let Some(incarnation) = sessions.agent_life(&agent) else {
+        let Some(incarnation) = sessions.current_incarnation(&agent) else {
             sessions.end_call(work, WorkOutcome::Cancelled);
             return Err(no_endpoint(&call.service));
         };
-        let life = AgentIncarnation { agent, incarnation };
-        Ok(Self { life, work })
+        let agent_incarnation = AgentIncarnation { agent, incarnation };
+        Ok(Self {
+            agent_incarnation,
+            work,
+        })
     }
 
-    /// Finds the place after one whose agent did not run the call.
+    /// Waits for another placement after the agent `failed` did not run the call.
     ///
     /// # Errors
     ///
-    /// A refusal, *not run*, when there is none or too many attempts failed lately.
-    pub(crate) async fn find_next(
+    /// Returns a refusal with the outcome *not run* if no agent accepts the call or too many recent
+    /// attempts failed.
+    pub(crate) async fn acquire_next(
         sessions: &Rc<Sessions>,
         call: &PlainCall,
         failed: &NodeId,
         tried: &IndexSet<NodeId>,
     ) -> Result<Self, Refusal> {
         let failed = failed.clone();
-        Self::find(sessions, call, WorkKind::Retry { failed }, tried).await
+        Self::acquire(sessions, call, WorkKind::Retry { failed }, tried).await
     }
 
-    /// Gives the place back.
-    pub(crate) fn end(self, sessions: &Rc<Sessions>, outcome: WorkOutcome) {
+    /// Releases the placement and reports the outcome of the work to the router.
+    pub(crate) fn release(self, sessions: &Rc<Sessions>, outcome: WorkOutcome) {
         sessions.end_call(self.work, outcome);
     }
 }
 
-/// The refusal of a call that no agent takes.
+/// Returns the refusal of a call that no agent accepts.
 pub(crate) fn no_endpoint(service: &ModelId) -> Refusal {
     let detail = format!("no endpoint of service `{service}` takes the call");
     Refusal::not_run(RefusalKind::NoEndpoint, detail).retry_after(RETRY_AFTER_MS)
--- a/crates/masticsill_entry/src/calls.rs
+++ b/crates/masticsill_entry/src/calls.rs
@@ -1,8 +1,8 @@
 //! Calls of plain services.
 //!
-//! A call that may not be repeated is claimed at the control quorum before it is dispatched, and
-//! it is dispatched once for each version of its claim. It moves to another agent only after the
-//! former one has promised that it was not run and never will be.
+//! A call that may not be repeated is claimed at the control quorum before it is dispatched, and is
+//! dispatched once per version of its claim. It moves to another agent only after the former agent
+//! has confirmed that it did not run the call and never will.
 
 use std::rc::Rc;
 
@@ -18,39 +18,39 @@
 use rand::Rng;
 use tokio::task::spawn_local;
 
-use crate::call_place::{Place, no_endpoint};
-use crate::control_client::{ClaimCommand, send_command};
+use crate::call_placement::{CallPlacement, no_endpoint};
+use crate::claim_client::{ClaimCommand, send_command};
 use crate::search::connect_agent;
 use crate::sessions_duty::Sessions;
 
-/// Time for one call at the service, in milliseconds.
-const CALL_DEADLINE_MS: u64 = 30_000;
-/// Time for an agent to tell what became of a call, in milliseconds.
-const BURY_DEADLINE_MS: u64 = 2_000;
+/// Timeout of one call to the service.
+const CALL_TIMEOUT_MS: u64 = 30_000;
+/// Timeout for an agent to answer what the outcome of a call is.
+const RESOLVE_TIMEOUT_MS: u64 = 2_000;
 const RETRY_AFTER_MS: u64 = 1_000;
-/// Agents tried for one call at most.
+/// Maximum number of agents tried for one call.
 const MAX_AGENTS: usize = 4;
 
 /// A call as the caller made it.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainCall {
-    /// The call's body.
+    /// Body of the call.
     pub(crate) body: Vec<u8>,
     /// The catalogue entry that the caller named.
     pub(crate) catalogue_entry: EntryId,
-    /// Its class.
+    /// Class of the catalogue entry.
     pub(crate) class: Class,
     /// `Content-Type` of the body.
     pub(crate) content_type: String,
-    /// The call's identity.
+    /// Id of the call.
     pub(crate) id: GenerationId,
-    /// Whether it may be repeated.
+    /// Whether the call may be repeated.
     pub(crate) is_repeatable: bool,
     /// HTTP method.
     pub(crate) method: String,
-    /// Path and query at the service.
+    /// Path and query of the request to the service.
     pub(crate) path: String,
-    /// The service's name.
+    /// Name of the service.
     pub(crate) service: ModelId,
     /// The owner of the catalogue entry.
     pub(crate) workspace: WorkspaceId,
@@ -63,11 +63,11 @@
     }
 }
 
-/// Runs a call to its end.
+/// Runs a call and returns its answer.
 ///
 /// # Errors
 ///
-/// A refusal that says whether the call was run.
+/// Returns a refusal whose outcome states whether the call was run.
 pub(crate) async fn run_call(
     sessions: &Rc<Sessions>,
     call: PlainCall,
@@ -80,101 +80,104 @@
 
 async fn run_repeatable(sessions: &Rc<Sessions>, call: &PlainCall) -> Result<CallAnswer, Refusal> {
     let mut tried = IndexSet::new();
-    let mut place = Place::find(sessions, call, WorkKind::New, &tried).await?;
-    let mut broken = None;
+    let mut placement = CallPlacement::acquire(sessions, call, WorkKind::New, &tried).await?;
+    let mut last_unknown = None;
     loop {
-        let agent = place.life.agent.clone();
+        let agent = placement.agent_incarnation.agent.clone();
         tried.insert(agent.clone());
-        let reply = dispatch(sessions, call, &place.life).await;
-        place.end(sessions, outcome_of(&reply));
+        let reply = dispatch(sessions, call, &placement.agent_incarnation).await;
+        placement.release(sessions, outcome_of(&reply));
         let refusal = match reply {
             CallReply::Answered(answer) => return Ok(answer),
             CallReply::NotRun(refusal) => refusal,
             CallReply::OutcomeUnknown => {
                 let detail = "every endpoint tried broke off";
                 let refusal = Refusal::failed(RefusalKind::BackEndFailed, detail);
-                broken.insert(refusal).clone()
+                last_unknown.insert(refusal).clone()
             }
         };
         if tried.len() == MAX_AGENTS {
-            return Err(broken.unwrap_or(refusal));
+            return Err(last_unknown.unwrap_or(refusal));
         }
-        place = match Place::find_next(sessions, call, &agent, &tried).await {
+        placement = match CallPlacement::acquire_next(sessions, call, &agent, &tried).await {
             Ok(next) => next,
-            Err(_) => return Err(broken.unwrap_or(refusal)),
+            Err(_) => return Err(last_unknown.unwrap_or(refusal)),
         };
     }
 }
 
 async fn run_once(sessions: &Rc<Sessions>, call: &PlainCall) -> Result<CallAnswer, Refusal> {
-    let place = Place::find(sessions, call, WorkKind::New, &IndexSet::new()).await?;
-    match claim(sessions, call, &place.life).await {
-        Ok(Claimed::Granted(version)) => run_claimed(sessions, call, place, version).await,
-        Ok(Claimed::Before(record)) => {
-            place.end(sessions, WorkOutcome::Cancelled);
+    let placement = CallPlacement::acquire(sessions, call, WorkKind::New, &IndexSet::new()).await?;
+    match claim(sessions, call, &placement.agent_incarnation).await {
+        Ok(Claimed::Granted(version)) => run_claimed(sessions, call, placement, version).await,
+        Ok(Claimed::Existing(record)) => {
+            placement.release(sessions, WorkOutcome::Cancelled);
             match take_over(sessions, call, &record).await? {
                 TakenOver::Answered(answer) => Ok(answer),
-                TakenOver::Reassigned(place, version) => {
-                    run_claimed(sessions, call, place, version).await
+                TakenOver::Reassigned(placement, version) => {
+                    run_claimed(sessions, call, placement, version).await
                 }
             }
         }
         Err(refusal) => {
-            place.end(sessions, WorkOutcome::Cancelled);
+            placement.release(sessions, WorkOutcome::Cancelled);
             Err(refusal)
         }
     }
 }
 
-/// Runs a call that is claimed for its place.
+/// Runs a call whose claim is granted for this placement.
 async fn run_claimed(
     sessions: &Rc<Sessions>,
     call: &PlainCall,
-    mut place: Place,
+    mut placement: CallPlacement,
     mut version: u64,
 ) -> Result<CallAnswer, Refusal> {
     let mut tried = IndexSet::new();
     loop {
-        let agent = place.life.agent.clone();
-        let reply = dispatch_once(sessions, call, &place.life).await;
-        place.end(sessions, outcome_of(&reply));
+        let agent = placement.agent_incarnation.agent.clone();
+        let reply = dispatch_once(sessions, call, &placement.agent_incarnation).await;
+        placement.release(sessions, outcome_of(&reply));
         let refusal = match reply {
             CallReply::Answered(answer) => {
-                settle(sessions, call.id, version, answered(&answer));
+                record_end(sessions, call.id, version, to_call_end(&answer));
                 return Ok(answer);
             }
             CallReply::OutcomeUnknown => {
-                settle(sessions, call.id, version, CallEnd::OutcomeUnknown);
-                return Err(unknown());
+                record_end(sessions, call.id, version, CallEnd::OutcomeUnknown);
+                return Err(outcome_unknown_refusal());
             }
             CallReply::NotRun(refusal) => refusal,
         };
         tried.insert(agent.clone());
         let next = if tried.len() < MAX_AGENTS {
-            Place::find_next(sessions, call, &agent, &tried).await.ok()
+            CallPlacement::acquire_next(sessions, call, &agent, &tried)
+                .await
+                .ok()
         } else {
             None
         };
         let Some(next) = next else {
-            settle(sessions, call.id, version, CallEnd::NotRun);
+            record_end(sessions, call.id, version, CallEnd::NotRun);
             return Err(refusal);
         };
-        (place, version) = reassign(sessions, call, next, version).await?;
+        (placement, version) = reassign(sessions, call, next, version).await?;
     }
 }
 
+/// The result of a claim: either another claim exists, or this one is granted with a version.
 enum Claimed {
-    Before(ClaimRecord),
+    Existing(ClaimRecord),
     Granted(u64),
 }
 
 async fn claim(
     sessions: &Rc<Sessions>,
     call: &PlainCall,
-    life: &AgentIncarnation,
+    agent_incarnation: &AgentIncarnation,
 ) -> Result<Claimed, Refusal> {
     let command = ClaimCommand::Claim(Claim {
-        agent: life.clone(),
+        agent: agent_incarnation.clone(),
         caller_wall_ms: None,
         fingerprint: fingerprint(call),
         id: call.id,
@@ -182,11 +185,11 @@
         owner: sessions.config.node.clone(),
     });
     let Some(answer) = send_command(&sessions.mesh, &command).await else {
-        return Err(no_leader());
+        return Err(claim_failed());
     };
     match answer {
         ClaimAnswer::Granted { version } => Ok(Claimed::Granted(version)),
-        ClaimAnswer::Existing(record) => Ok(Claimed::Before(record)),
+        ClaimAnswer::Existing(record) => Ok(Claimed::Existing(record)),
         ClaimAnswer::FingerprintDiffers => Err(Refusal::not_run(
             RefusalKind::KeyReused,
             "the Idempotency-Key was used for another call",
@@ -200,50 +203,53 @@
             "no room for another claim",
         )
         .retry_after(RETRY_AFTER_MS)),
-        ClaimAnswer::Settled | ClaimAnswer::Unknown => Err(no_leader()),
+        ClaimAnswer::Settled | ClaimAnswer::Unknown => Err(claim_failed()),
     }
 }
 
+/// The result of taking over a call that was claimed before.
 enum TakenOver {
     Answered(CallAnswer),
-    Reassigned(Place, u64),
+    Reassigned(CallPlacement, u64),
 }
 
-/// Ends or takes over a call that was claimed before, by this entry or another.
+/// Resolves the outcome of a call that was already claimed by this or another entry. If the call
+/// was not run, moves its claim to a new placement.
 async fn take_over(
     sessions: &Rc<Sessions>,
     call: &PlainCall,
     record: &ClaimRecord,
 ) -> Result<TakenOver, Refusal> {
     match &record.end {
-        Some(CallEnd::Answered(answer)) => return repeat_answer(answer).map(TakenOver::Answered),
-        Some(CallEnd::OutcomeUnknown) => return Err(unknown()),
+        Some(CallEnd::Answered(answer)) => return replay_answer(answer).map(TakenOver::Answered),
+        Some(CallEnd::OutcomeUnknown) => return Err(outcome_unknown_refusal()),
         Some(CallEnd::NotRun) => {}
-        None => match bury(sessions, call.id, &record.agent).await {
+        None => match resolve_outcome(sessions, call.id, &record.agent).await {
             CallReply::Answered(answer) => {
-                settle(sessions, call.id, record.version, answered(&answer));
+                record_end(sessions, call.id, record.version, to_call_end(&answer));
                 return Ok(TakenOver::Answered(answer));
             }
-            CallReply::OutcomeUnknown => return Err(unknown()),
+            CallReply::OutcomeUnknown => return Err(outcome_unknown_refusal()),
             CallReply::NotRun(_) => {}
         },
     }
-    let former = &record.agent.agent;
-    let tried = IndexSet::from([former.clone()]);
-    let next = Place::find_next(sessions, call, former, &tried).await?;
-    let (place, version) = reassign(sessions, call, next, record.version).await?;
-    Ok(TakenOver::Reassigned(place, version))
+    let former_agent = &record.agent.agent;
+    let tried = IndexSet::from([former_agent.clone()]);
+    let next = CallPlacement::acquire_next(sessions, call, former_agent, &tried).await?;
+    let (placement, version) = reassign(sessions, call, next, record.version).await?;
+    Ok(TakenOver::Reassigned(placement, version))
 }
 
-/// Moves a claim to another place; without the grant the place is given back.
+/// Moves a claim to another placement. If the control quorum does not grant this, the placement is
+/// released.
 async fn reassign(
     sessions: &Rc<Sessions>,
     call: &PlainCall,
-    next: Place,
+    next: CallPlacement,
     expected_version: u64,
-) -> Result<(Place, u64), Refusal> {
+) -> Result<(CallPlacement, u64), Refusal> {
     let command = ClaimCommand::Reassign(Reassign {
-        agent: next.life.clone(),
+        agent: next.agent_incarnation.clone(),
         expected_version,
         id: call.id,
         nonce: rand::rng().random(),
@@ -251,17 +257,18 @@
     });
     let refusal = match send_command(&sessions.mesh, &command).await {
         Some(ClaimAnswer::Granted { version }) => return Ok((next, version)),
-        Some(ClaimAnswer::Existing(_)) => raced(),
-        Some(_) | None => no_leader(),
+        Some(ClaimAnswer::Existing(_)) => claimed_elsewhere(),
+        Some(_) | None => claim_failed(),
     };
-    next.end(sessions, WorkOutcome::Cancelled);
+    next.release(sessions, WorkOutcome::Cancelled);
     Err(refusal)
 }
 
-/// Records a call's end, without letting the caller wait for it.
+/// Records the end of a call in the background, so that the caller does not wait for it.
 ///
-/// If no leader takes it, or this entry dies before, a repeat asks the agent instead.
-fn settle(sessions: &Rc<Sessions>, id: GenerationId, version: u64, end: CallEnd) {
+/// If no leader accepts the record, or this entry stops before, a repetition of the call asks the
+/// agent for the outcome instead.
+fn record_end(sessions: &Rc<Sessions>, id: GenerationId, version: u64, end: CallEnd) {
     let command = ClaimCommand::Settle(Settle { end, id, version });
     let mesh = sessions.mesh.clone();
     spawn_local(async move {
@@ -269,20 +276,25 @@
     });
 }
 
-/// Sends the call under one version of its claim, never twice.
+/// Sends the call at most once for one version of its claim. If the outcome is unknown, asks the
+/// agent for it.
 async fn dispatch_once(
     sessions: &Rc<Sessions>,
     call: &PlainCall,
-    life: &AgentIncarnation,
+    agent_incarnation: &AgentIncarnation,
 ) -> CallReply {
-    match dispatch(sessions, call, life).await {
-        CallReply::OutcomeUnknown => bury(sessions, call.id, life).await,
+    match dispatch(sessions, call, agent_incarnation).await {
+        CallReply::OutcomeUnknown => resolve_outcome(sessions, call.id, agent_incarnation).await,
         known => known,
     }
 }
 
-async fn dispatch(sessions: &Rc<Sessions>, call: &PlainCall, life: &AgentIncarnation) -> CallReply {
-    let Some(address) = sessions.agent_address(&life.agent) else {
+async fn dispatch(
+    sessions: &Rc<Sessions>,
+    call: &PlainCall,
+    agent_incarnation: &AgentIncarnation,
+) -> CallReply {
+    let Some(address) = sessions.agent_address(&agent_incarnation.agent) else {
         return CallReply::NotRun(no_endpoint(&call.service));
     };
     let Some(client) = connect_agent(address).await else {
@@ -291,19 +303,25 @@
     let request = CallRequest {
         body: call.body.clone(),
         content_type: call.content_type.clone(),
-        deadline_ms: CALL_DEADLINE_MS,
+        deadline_ms: CALL_TIMEOUT_MS,
         id: call.id,
-        incarnation: life.incarnation,
+        incarnation: agent_incarnation.incarnation,
         is_repeatable: call.is_repeatable,
         method: call.method.clone(),
         path: call.path.clone(),
     };
-    let reply = client.call(call_context(CALL_DEADLINE_MS), request).await;
+    let reply = client.call(call_context(CALL_TIMEOUT_MS), request).await;
     reply.unwrap_or(CallReply::OutcomeUnknown)
 }
 
-async fn bury(sessions: &Rc<Sessions>, id: GenerationId, life: &AgentIncarnation) -> CallReply {
-    let Some(address) = sessions.agent_address(&life.agent) else {
+/// Asks an agent for the outcome of a call. An agent that did not run the call refuses to run it
+/// from then on.
+async fn resolve_outcome(
+    sessions: &Rc<Sessions>,
+    id: GenerationId,
+    agent_incarnation: &AgentIncarnation,
+) -> CallReply {
+    let Some(address) = sessions.agent_address(&agent_incarnation.agent) else {
         return CallReply::OutcomeUnknown;
     };
     let Some(client) = connect_agent(address).await else {
@@ -311,13 +329,13 @@
     };
     let request = BuryRequest {
         id,
-        incarnation: life.incarnation,
+        incarnation: agent_incarnation.incarnation,
     };
-    let reply = client.bury(call_context(BURY_DEADLINE_MS), request).await;
+    let reply = client.bury(call_context(RESOLVE_TIMEOUT_MS), request).await;
     reply.unwrap_or(CallReply::OutcomeUnknown)
 }
 
-fn repeat_answer(answer: &StoredAnswer) -> Result<CallAnswer, Refusal> {
+fn replay_answer(answer: &StoredAnswer) -> Result<CallAnswer, Refusal> {
     match &answer.body {
         StoredBody::Kept(body) => Ok(CallAnswer {
             body: body.clone(),
@@ -331,7 +349,7 @@
     }
 }
 
-fn answered(answer: &CallAnswer) -> CallEnd {
+fn to_call_end(answer: &CallAnswer) -> CallEnd {
     CallEnd::Answered(StoredAnswer {
         body: StoredBody::Kept(answer.body.clone()),
         content_type: answer.content_type.clone(),
@@ -351,16 +369,16 @@
     u128::from_be_bytes(digest)
 }
 
-fn no_leader() -> Refusal {
+fn claim_failed() -> Refusal {
     let detail = "the control quorum did not grant the call; it was not sent";
     Refusal::not_run(RefusalKind::Overloaded, detail).retry_after(RETRY_AFTER_MS)
 }
 
-fn raced() -> Refusal {
+fn claimed_elsewhere() -> Refusal {
     let detail = "the same call is being run through another entry; ask again for its answer";
     Refusal::outcome_unknown(detail).retry_after(RETRY_AFTER_MS)
 }
 
-fn unknown() -> Refusal {
+fn outcome_unknown_refusal() -> Refusal {
     Refusal::outcome_unknown("the service was sent the call and its answer is not known")
 }
--- a/crates/masticsill_entry/src/config.rs
+++ b/crates/masticsill_entry/src/config.rs
@@ -4,25 +4,26 @@
 
 use masticsill_types::{NodeId, ZoneId};
 
-/// What an entry is told at its start.
+/// Configuration of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
-    /// How long requests are still accepted after readiness is off, in milliseconds.
+    /// Time for which requests are still accepted after readiness was turned off, in milliseconds.
     pub balancer_grace_ms: u64,
-    /// Longest wait for running streams at a planned stop, in milliseconds.
+    /// Maximum time to wait for open requests during a planned stop, in milliseconds.
     pub drain_ms: u64,
-    /// Where callers reach the entry.
+    /// Address of the HTTP listener for callers.
     pub http_address: SocketAddr,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// The entry's name.
+    /// Id of this node.
     pub node: NodeId,
-    /// How long a generation goes on after its caller's connection is lost, in milliseconds.
+    /// Time for which a generation continues after the connection of its caller was lost, in
+    /// milliseconds.
     pub reattach_ms: u64,
-    /// Silence of an agent after which its streams are moved, in milliseconds.
+    /// Silence of an agent after which its streams move to other agents, in milliseconds.
     pub silence_ms: u64,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
-    /// The entry's availability zone.
+    /// Availability zone of this node.
     pub zone: ZoneId,
 }
--- a/crates/masticsill_entry/src/filter/catalogue_lease.rs
+++ b/crates/masticsill_entry/src/filter/catalogue_lease.rs
@@ -1,4 +1,4 @@
-//! No new work without a current catalogue.
+//! Refuses new work without a current catalogue.
 
 use masticsill_types::{Refusal, RefusalKind};
 
@@ -6,7 +6,7 @@
 
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Refuses while this node can't prove that its copy of the catalogue is in force.
+/// Refuses new work while the node's copy of the catalogue is not proven current.
 pub(crate) fn check(gateway: &Gateway) -> Result<(), Refusal> {
     if gateway.catalogue().is_fresh(gateway.now()) {
         return Ok(());
--- a/crates/masticsill_entry/src/filter/draining.rs
+++ b/crates/masticsill_entry/src/filter/draining.rs
@@ -1,4 +1,4 @@
-//! No new work once the balancer's grace is over.
+//! Refuses new work once the balancer's grace period is over.
 
 use masticsill_types::{Refusal, RefusalKind};
 
@@ -6,7 +6,7 @@
 
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Refuses once the entry accepts no more.
+/// Refuses new work once the entry accepts no more requests.
 pub(crate) fn check(gateway: &Gateway) -> Result<(), Refusal> {
     if gateway.readiness.is_accepting() {
         return Ok(());
--- a/crates/masticsill_entry/src/filter/known_entry.rs
+++ b/crates/masticsill_entry/src/filter/known_entry.rs
@@ -1,11 +1,11 @@
-//! Only what the catalogue names is served.
+//! Refuses requests for catalogue entries that do not exist.
 
 use masticsill_catalogue::CatalogueEntry;
 use masticsill_types::{EntryId, Refusal, RefusalKind};
 
 use crate::http::Gateway;
 
-/// Finds a catalogue entry in force.
+/// Returns the current version of a catalogue entry.
 pub(crate) fn find(gateway: &Gateway, id: &EntryId) -> Result<CatalogueEntry, Refusal> {
     let view = gateway.catalogue();
     let Some(versioned) = view.catalogue().get(id) else {
--- a/crates/masticsill_entry/src/filter/mod.rs
+++ b/crates/masticsill_entry/src/filter/mod.rs
@@ -1,4 +1,4 @@
-//! The filter chain that every request passes before it is admitted.
+//! The filters that every request must pass before it is admitted.
 
 mod catalogue_lease;
 mod draining;
@@ -13,14 +13,15 @@
 use crate::http::Gateway;
 use crate::request::GenerationRequest;
 
-/// One check of the chain.
+/// A filter for new work.
 #[derive(Clone, Copy, Debug)]
 enum Filter {
     CatalogueLease,
     Draining,
 }
 
-const CHAIN: [Filter; 2] = [Filter::Draining, Filter::CatalogueLease];
+/// The filters in the order in which they are applied.
+const FILTERS: [Filter; 2] = [Filter::Draining, Filter::CatalogueLease];
 
 impl Filter {
     fn apply(self, gateway: &Gateway) -> Result<(), Refusal> {
@@ -31,17 +32,18 @@
     }
 }
 
-/// A request that passed the chain.
+/// An admitted generation request.
 #[derive(Debug)]
 pub(crate) struct Admitted {
-    /// The catalogue entry in force.
+    /// The current version of the catalogue entry.
     pub(crate) entry: CatalogueEntry,
-    /// The model that its engines have loaded.
+    /// The model that the engines of the catalogue entry serve.
     pub(crate) target: ModelTarget,
 }
 
 impl Admitted {
-    /// Pins all that the generation needs.
+    /// Builds the specification of the generation, which fixes the model and the settings for its
+    /// whole run.
     pub(crate) fn into_spec(self, id: GenerationId, request: GenerationRequest) -> GenerationSpec {
         GenerationSpec {
             catalogue_entry: request.catalogue_entry,
@@ -55,37 +57,37 @@
     }
 }
 
-/// A call that passed the chain.
+/// An admitted call of a plain service.
 #[derive(Debug)]
 pub(crate) struct AdmittedCall {
     /// The class of the catalogue entry.
     pub(crate) class: Class,
-    /// Whether the service's calls may be repeated.
+    /// Whether calls of the service may be repeated.
     pub(crate) is_repeatable: bool,
     /// The owner of the catalogue entry.
     pub(crate) owner: WorkspaceId,
-    /// The service's name.
+    /// Name of the service.
     pub(crate) service: ModelId,
 }
 
-/// Admits a generation. A caller that comes back continues old work, so the catalogue's lease and
-/// a shutdown do not keep it out.
+/// Admits a generation. A caller that reattaches continues existing work, so it is admitted even if
+/// the catalogue lease has lapsed or the entry is shutting down.
 ///
 /// # Errors
 ///
-/// The refusal of the first check that fails.
+/// Returns the refusal of the first check that fails.
 pub(crate) fn admit(
     gateway: &Gateway,
     request: &GenerationRequest,
-    is_continued: bool,
+    is_reattach: bool,
 ) -> Result<Admitted, Refusal> {
-    if !is_continued {
+    if !is_reattach {
         apply_chain(gateway)?;
     }
     let entry = known_entry::find(gateway, &request.catalogue_entry)?;
     match entry.back_end.clone() {
         BackEnd::Engine { target } => Ok(Admitted { entry, target }),
-        BackEnd::PlainService { .. } => Err(wrong_kind(&request.catalogue_entry)),
+        BackEnd::PlainService { .. } => Err(wrong_back_end_kind(&request.catalogue_entry)),
     }
 }
 
@@ -93,12 +95,12 @@
 ///
 /// # Errors
 ///
-/// The refusal of the first check that fails.
+/// Returns the refusal of the first check that fails.
 pub(crate) fn admit_service(gateway: &Gateway, id: &EntryId) -> Result<AdmittedCall, Refusal> {
     apply_chain(gateway)?;
     let entry = known_entry::find(gateway, id)?;
     match entry.back_end {
-        BackEnd::Engine { .. } => Err(wrong_kind(id)),
+        BackEnd::Engine { .. } => Err(wrong_back_end_kind(id)),
         BackEnd::PlainService {
             service,
             is_repeatable,
@@ -112,10 +114,10 @@
 }
 
 fn apply_chain(gateway: &Gateway) -> Result<(), Refusal> {
-    CHAIN.iter().try_for_each(|filter| filter.apply(gateway))
+    FILTERS.iter().try_for_each(|filter| filter.apply(gateway))
 }
 
-fn wrong_kind(id: &EntryId) -> Refusal {
+fn wrong_back_end_kind(id: &EntryId) -> Refusal {
     let detail = format!("catalogue entry `{id}` is served by another kind of back end");
     Refusal::not_run(RefusalKind::UnknownModel, detail)
 }
--- a/crates/masticsill_entry/src/http/body.rs
+++ b/crates/masticsill_entry/src/http/body.rs
@@ -1,14 +1,15 @@
-//! Reads request bodies within a bound.
+//! Reads request bodies of bounded size.
 
 use masticsill_types::{Refusal, RefusalKind};
 use ntex::web::types::Payload;
 use serde::de::DeserializeOwned;
 
-/// Reads a whole body.
+/// Reads the whole body of a request.
 ///
 /// # Errors
 ///
-/// A refusal when the body is larger than `max_bytes` or breaks off.
+/// Returns a refusal if the body is larger than `max_bytes` or the connection is lost before its
+/// end.
 pub(crate) async fn read_body(mut payload: Payload, max_bytes: usize) -> Result<Vec<u8>, Refusal> {
     let mut body = Vec::new();
     while let Some(chunk) = payload.recv().await {
@@ -27,13 +28,13 @@
 ///
 /// # Errors
 ///
-/// A refusal that names what is wrong and where.
+/// Returns a refusal that states what is wrong in the body and where.
 pub(crate) fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body)
         .map_err(|error| invalid(format!("the body is not as expected: {error}")))
 }
 
-/// A refusal of a request that is wrong by itself.
+/// Returns the refusal of an invalid request.
 pub(crate) fn invalid(detail: impl Into<String>) -> Refusal {
     Refusal::not_run(RefusalKind::InvalidRequest, detail)
 }
--- a/crates/masticsill_entry/src/http/completions.rs
+++ b/crates/masticsill_entry/src/http/completions.rs
@@ -10,19 +10,20 @@
 use super::body::{invalid, parse_json, read_body};
 use super::refusal::{answer_refusal, log_refusal};
 use super::server::Gateway;
-use super::sse::{AnswerHead, Receiver, stream_answer};
-use crate::answer_ring::AnswerRing;
+use super::sse::{AnswerHead, AnswerReceiver, stream_answer};
+use crate::caller_ring::CallerRing;
 use crate::filter::{Admitted, admit};
 use crate::openai::{ChatRequest, Completion, CompletionRequest, Interface, Usage};
 use crate::request::{GenerationRequest, RequestKey};
 use crate::sessions_duty::SessionInput;
 
-/// Items that wait for a slow caller; the rest of its answer stays in the record.
-const CALLER_RING_ITEMS: usize = 32;
-const KEY_HEADER: &str = "idempotency-key";
-const POSITION_HEADER: &str = "last-event-id";
+/// Number of items that are buffered for a slow caller. The rest of the answer stays in the record
+/// of the generation.
+const CALLER_RING_CAPACITY: usize = 32;
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
-/// Completes a text.
+/// Handles a text completion.
 pub(crate) async fn complete_text(
     request: HttpRequest,
     payload: Payload,
@@ -32,7 +33,7 @@
     answer(&request, read, &gateway, Interface::Text).await
 }
 
-/// Continues a chat.
+/// Handles a chat completion.
 pub(crate) async fn complete_chat(
     request: HttpRequest,
     payload: Payload,
@@ -57,9 +58,9 @@
     gateway: &Gateway,
     interface: Interface,
 ) -> HttpResponse {
-    let begun = read.and_then(|body| begin(request.headers(), body, gateway));
-    match begun {
-        Ok(begun) => respond(begun, gateway, interface).await,
+    let started = read.and_then(|body| start_generation(request.headers(), body, gateway));
+    match started {
+        Ok(started) => respond(started, gateway, interface).await,
         Err(refusal) => {
             gateway.metrics.count("entry.refusals", 1);
             answer_refusal(&refusal)
@@ -67,40 +68,40 @@
     }
 }
 
-/// A generation handed to the sessions duty.
-struct Begun {
+/// A generation that was submitted to the sessions duty.
+struct StartedGeneration {
     accepted_at: ClockMs,
     id: String,
     is_streamed: bool,
     model: String,
-    receiver: Receiver,
+    receiver: AnswerReceiver,
 }
 
-fn begin(
+fn start_generation(
     headers: &HeaderMap,
     body: CompletionRequest,
     gateway: &Gateway,
-) -> Result<Begun, Refusal> {
+) -> Result<StartedGeneration, Refusal> {
     let is_streamed = body.options.stream;
     let request = GenerationRequest::try_from(body).map_err(invalid)?;
     let key = read_key(headers)?;
     let seen = read_position(headers)?;
     let model = request.catalogue_entry.as_str().to_owned();
-    let ring = Ring::with_capacity(CALLER_RING_ITEMS);
-    let receiver = Receiver::new(ring.clone(), &gateway.open_work);
+    let ring = Ring::with_capacity(CALLER_RING_CAPACITY);
+    let receiver = AnswerReceiver::new(ring.clone(), &gateway.open_work);
     let admitted = admit(gateway, &request, seen.is_some())?;
     let id = if let Some(position) = seen {
         check_key(&admitted, key.as_ref(), &position)?;
-        gateway.hand_over(SessionInput::Reattach(position, AnswerRing(ring)))?;
+        gateway.enqueue(SessionInput::Reattach(position, CallerRing(ring)))?;
         position.id
     } else {
         let key = key.unwrap_or_else(RequestKey::random);
         let id = key.new_generation(&admitted.entry.owner);
         let spec = admitted.into_spec(id, request);
-        gateway.hand_over(SessionInput::Submit(Box::new(spec), AnswerRing(ring)))?;
+        gateway.enqueue(SessionInput::Submit(Box::new(spec), CallerRing(ring)))?;
         id
     };
-    Ok(Begun {
+    Ok(StartedGeneration {
         accepted_at: gateway.now(),
         id: format!("cmpl-{id}"),
         is_streamed,
@@ -109,7 +110,7 @@
     })
 }
 
-/// Only the caller that knows the request key may continue its generation.
+/// Refuses to continue a generation for a caller that does not know its request key.
 fn check_key(
     admitted: &Admitted,
     key: Option<&RequestKey>,
@@ -131,7 +132,7 @@
 }
 
 fn read_key(headers: &HeaderMap) -> Result<Option<RequestKey>, Refusal> {
-    let Some(value) = headers.get(KEY_HEADER) else {
+    let Some(value) = headers.get(IDEMPOTENCY_KEY_HEADER) else {
         return Ok(None);
     };
     let text = value
@@ -141,7 +142,7 @@
 }
 
 fn read_position(headers: &HeaderMap) -> Result<Option<Position>, Refusal> {
-    let Some(value) = headers.get(POSITION_HEADER) else {
+    let Some(value) = headers.get(LAST_EVENT_ID_HEADER) else {
         return Ok(None);
     };
     let text = value
@@ -153,38 +154,46 @@
         .map_err(|error| invalid(error.to_string()))
 }
 
-async fn respond(begun: Begun, gateway: &Gateway, interface: Interface) -> HttpResponse {
-    let Some(first) = begun.receiver.next().await else {
-        return answer_refusal(&lost());
+async fn respond(
+    started: StartedGeneration,
+    gateway: &Gateway,
+    interface: Interface,
+) -> HttpResponse {
+    let Some(first) = started.receiver.next().await else {
+        return answer_refusal(&ended_without_answer());
     };
     if let StreamItem::Refused(refusal) = &first {
-        log_refusal(&begun.id, refusal);
+        log_refusal(&started.id, refusal);
         return answer_refusal(refusal);
     }
-    let waited_ms = gateway.now() - begun.accepted_at;
+    let waited_ms = gateway.now() - started.accepted_at;
     gateway.metrics.time_ms("entry.first_token", waited_ms);
-    if !begun.is_streamed {
-        return respond_whole(begun, interface, first).await;
+    if !started.is_streamed {
+        return respond_whole(started, interface, first).await;
     }
     let head = AnswerHead {
-        id: begun.id,
+        id: started.id,
         interface,
-        model: begun.model,
+        model: started.model,
     };
     HttpResponse::Ok()
         .content_type("text/event-stream")
         .header("cache-control", "no-store")
-        .streaming(Box::pin(stream_answer(head, first, begun.receiver)))
+        .streaming(Box::pin(stream_answer(head, first, started.receiver)))
 }
 
-async fn respond_whole(begun: Begun, interface: Interface, first: StreamItem) -> HttpResponse {
+async fn respond_whole(
+    started: StartedGeneration,
+    interface: Interface,
+    first: StreamItem,
+) -> HttpResponse {
     let mut whole = String::new();
     let mut next = Some(first);
     while let Some(item) = next {
         match item {
             StreamItem::Text { text, .. } => whole.push_str(&text),
             StreamItem::Refused(refusal) => {
-                log_refusal(&begun.id, &refusal);
+                log_refusal(&started.id, &refusal);
                 return answer_refusal(&refusal);
             }
             StreamItem::Finished {
@@ -195,17 +204,17 @@
                 let usage = Usage {
                     completion_tokens: token_count,
                 };
-                let (id, model) = (&begun.id, &begun.model);
+                let (id, model) = (&started.id, &started.model);
                 let answer = Completion::whole(interface, id, model, &whole, reason, usage);
                 return HttpResponse::Ok().json(&answer);
             }
         }
-        next = begun.receiver.next().await;
+        next = started.receiver.next().await;
     }
-    answer_refusal(&lost())
+    answer_refusal(&ended_without_answer())
 }
 
-fn lost() -> Refusal {
+fn ended_without_answer() -> Refusal {
     Refusal::failed(
         RefusalKind::BackEndFailed,
         "the generation ended without an answer",
--- a/crates/masticsill_entry/src/http/health.rs
+++ b/crates/masticsill_entry/src/http/health.rs
@@ -1,17 +1,17 @@
-//! What the balancer asks.
+//! Health endpoints for the load balancer.
 
 use ntex::web::HttpResponse;
 use ntex::web::types::State;
 
 use super::server::Gateway;
 
-/// `GET /healthz`: the process answers.
-pub(crate) async fn answer_alive() -> HttpResponse {
+/// `GET /healthz`: succeeds while the process is alive.
+pub(crate) async fn answer_liveness() -> HttpResponse {
     HttpResponse::Ok().body("alive\n")
 }
 
-/// `GET /readyz`: whether new requests should be sent here.
-pub(crate) async fn answer_ready(gateway: State<Gateway>) -> HttpResponse {
+/// `GET /readyz`: succeeds while new requests should be sent to this entry.
+pub(crate) async fn answer_readiness(gateway: State<Gateway>) -> HttpResponse {
     if !gateway.readiness.is_ready() {
         return HttpResponse::ServiceUnavailable().body("shutting down\n");
     }
--- a/crates/masticsill_entry/src/http/mod.rs
+++ b/crates/masticsill_entry/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface.
+//! The HTTP interface for callers.
 
 mod body;
 mod completions;
--- a/crates/masticsill_entry/src/http/models.rs
+++ b/crates/masticsill_entry/src/http/models.rs
@@ -6,7 +6,7 @@
 use super::server::Gateway;
 use crate::openai::{ModelItem, ModelList};
 
-/// Lists the catalogue entries that engines serve.
+/// Lists the catalogue entries whose back end is an engine.
 pub(crate) async fn list_models(gateway: State<Gateway>) -> HttpResponse {
     let view = gateway.catalogue();
     let entries = view.catalogue().entries();
--- a/crates/masticsill_entry/src/http/plain.rs
+++ b/crates/masticsill_entry/src/http/plain.rs
@@ -18,19 +18,19 @@
 
 const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
 
-/// Passes a call on and answers with the service's answer.
+/// Forwards a call to the service and responds with its answer.
 pub(crate) async fn call_service(
     request: HttpRequest,
     payload: Payload,
     gateway: State<Gateway>,
 ) -> HttpResponse {
-    match pass_on(&request, payload, &gateway).await {
-        Ok(answer) => answer_call(answer),
+    match forward_call(&request, payload, &gateway).await {
+        Ok(answer) => respond_with_call(answer),
         Err(refusal) => answer_refusal(&refusal),
     }
 }
 
-async fn pass_on(
+async fn forward_call(
     request: &HttpRequest,
     payload: Payload,
     gateway: &Gateway,
@@ -67,9 +67,9 @@
         service: admitted.service,
         workspace: admitted.owner,
     };
-    let _open = gateway.open_work.enter();
+    let _open_work = gateway.open_work.enter();
     let (reply, answered) = oneshot::channel();
-    gateway.hand_over(SessionInput::Call(call, reply))?;
+    gateway.enqueue(SessionInput::Call(call, reply))?;
     answered.await.unwrap_or_else(|_| {
         Err(Refusal::outcome_unknown(
             "the entry ended while the call was open",
@@ -77,7 +77,7 @@
     })
 }
 
-fn answer_call(answer: CallAnswer) -> HttpResponse {
+fn respond_with_call(answer: CallAnswer) -> HttpResponse {
     let Ok(status) = StatusCode::from_u16(answer.status) else {
         let detail = format!("the service answered with status {}", answer.status);
         return answer_refusal(&Refusal::failed(RefusalKind::BackEndFailed, detail));
--- a/crates/masticsill_entry/src/http/refusal.rs
+++ b/crates/masticsill_entry/src/http/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP answers.
+//! Conversion of refusals to HTTP responses.
 
 use masticsill_types::{Refusal, RefusalKind, log_event};
 use ntex::http::StatusCode;
@@ -10,7 +10,7 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// The answer that carries a refusal.
+/// Returns the HTTP response for a refusal.
 pub(crate) fn answer_refusal(refusal: &Refusal) -> HttpResponse {
     let mut response = HttpResponse::build(status(refusal.kind));
     if let Some(retry_after_ms) = refusal.retry_after_ms {
@@ -20,7 +20,7 @@
     response.json(&ErrorBody::from(refusal))
 }
 
-/// Logs the refusal of a request that was admitted.
+/// Logs that a request was refused after it had been admitted.
 pub(crate) fn log_refusal(answer_id: &str, refusal: &Refusal) {
     log_event!(
         info,
--- a/crates/masticsill_entry/src/http/server.rs
+++ b/crates/masticsill_entry/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Registers the handlers and holds what they share.
+//! The HTTP server: its routes and the state that its handlers share.
 
 use std::io;
 use std::sync::Arc;
@@ -14,53 +14,53 @@
 use crate::readiness::Readiness;
 use crate::sessions_duty::SessionInput;
 
-/// When a caller may come back after this entry's own queue was full, in milliseconds.
-const FULL_QUEUE_RETRY_MS: u64 = 500;
+/// Delay after which a caller may retry when the queue of this entry was full.
+const QUEUE_FULL_RETRY_AFTER_MS: u64 = 500;
 
-/// What every handler shares.
+/// The state that all handlers share.
 #[derive(Clone, Debug)]
 pub(crate) struct Gateway {
-    /// The process's clock.
+    /// Clock of the process.
     pub(crate) clock: MonotonicClock,
-    /// The entry's configuration.
+    /// Configuration of the entry.
     pub(crate) config: Arc<EntryConfig>,
-    /// The sessions duty.
+    /// Inputs of the sessions duty.
     pub(crate) inputs: Ring<SessionInput>,
     /// Membership and catalogue.
     pub(crate) mesh: MeshHandle,
-    /// Counters.
+    /// Metrics of the process.
     pub(crate) metrics: Metrics,
-    /// Requests that callers still wait for.
+    /// Counts the requests that have no complete answer yet.
     pub(crate) open_work: OpenWork,
     /// Whether requests are accepted.
     pub(crate) readiness: Readiness,
 }
 
 impl Gateway {
-    /// This node's copy of the catalogue.
+    /// Returns the node's copy of the catalogue.
     pub(crate) fn catalogue(&self) -> Arc<CatalogueView> {
         self.mesh.catalogue()
     }
 
-    /// The current time.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> ClockMs {
         self.clock.now()
     }
 
-    /// Hands work to the sessions duty.
+    /// Submits an input to the sessions duty.
     ///
     /// # Errors
     ///
-    /// A refusal when the duty's ring is full.
-    pub(crate) fn hand_over(&self, input: SessionInput) -> Result<(), Refusal> {
+    /// Returns a refusal if the ring of the duty is full.
+    pub(crate) fn enqueue(&self, input: SessionInput) -> Result<(), Refusal> {
         self.inputs.push(input).map_err(|_| {
             let refusal = Refusal::not_run(RefusalKind::Overloaded, "the entry's queue is full");
-            refusal.retry_after(FULL_QUEUE_RETRY_MS)
+            refusal.retry_after(QUEUE_FULL_RETRY_AFTER_MS)
         })
     }
 }
 
-/// Starts the interface.
+/// Starts the HTTP server for callers.
 pub(crate) fn start_http(gateway: Gateway) -> io::Result<HttpHost> {
     let address = gateway.config.http_address;
     let workers = gateway.config.workers;
@@ -80,8 +80,8 @@
         ))
         .service((
             resource("/v1/services/{entry}/{path}*").to(plain::call_service),
-            resource("/healthz").route(route().method(GET).to(health::answer_alive)),
-            resource("/readyz").route(route().method(GET).to(health::answer_ready)),
+            resource("/healthz").route(route().method(GET).to(health::answer_liveness)),
+            resource("/readyz").route(route().method(GET).to(health::answer_readiness)),
         ));
 }
 
--- a/crates/masticsill_entry/src/http/sse.rs
+++ b/crates/masticsill_entry/src/http/sse.rs
@@ -1,4 +1,4 @@
-//! Streamed answers as server-sent events.
+//! Streaming of answers as server-sent events.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -16,63 +16,66 @@
 use crate::open_work::{OpenWork, OpenWorkGuard};
 use crate::openai::{Completion, ErrorBody, Interface};
 
-/// Bytes written at once at most, so that one stream does not hold a worker.
+/// Size of a chunk from which no further item is added to it, so that a single stream does not
+/// occupy a worker.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Longest silence on a connection. A caller that left is only noticed by writing to it.
-const IDLE: Duration = Duration::from_secs(1);
-/// A comment, which callers' clients pass over.
-const IDLE_COMMENT: &[u8] = b": waiting\n\n";
+/// Time without an event after which a comment is sent, because a closed connection is only noticed
+/// by writing to it.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// An SSE comment, which clients ignore.
+const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 
-/// A caller's end of its ring; dropping it tells the sessions duty that the caller is gone.
+/// The receiving end of the ring of a caller. Dropping it closes the ring, by which the sessions
+/// duty notices that the caller has disconnected.
 #[derive(Debug)]
-pub(crate) struct Receiver {
-    _open: OpenWorkGuard,
+pub(crate) struct AnswerReceiver {
+    _open_work: OpenWorkGuard,
     ring: Ring<StreamItem>,
 }
 
-impl Receiver {
-    /// The receiving end of a ring, which counts as open work while it lives.
+impl AnswerReceiver {
+    /// Creates the receiving end of a ring. The request counts as open work until it is dropped.
     pub(crate) fn new(ring: Ring<StreamItem>, open_work: &OpenWork) -> Self {
         Self {
-            _open: open_work.enter(),
+            _open_work: open_work.enter(),
             ring,
         }
     }
 
-    /// Waits for the next item.
+    /// Waits for the next item. Returns `None` once the ring is closed and empty.
     pub(crate) async fn next(&self) -> Option<StreamItem> {
         self.ring.pop().await
     }
 
-    /// The next item, if it is there.
+    /// Returns the next item if one is available.
     fn try_next(&self) -> Option<StreamItem> {
         self.ring.try_pop()
     }
 }
 
-impl Drop for Receiver {
+impl Drop for AnswerReceiver {
     fn drop(&mut self) {
         self.ring.close();
     }
 }
 
-/// What every event of one answer repeats.
+/// The fields that all events of one answer have in common.
 #[derive(Debug)]
 pub(crate) struct AnswerHead {
-    /// The answer's name.
+    /// Id of the answer.
     pub(crate) id: String,
-    /// The interface that the caller uses.
+    /// The completion interface that the caller uses.
     pub(crate) interface: Interface,
     /// The model that the caller named.
     pub(crate) model: String,
 }
 
-/// The body of a streamed answer, its first item already taken.
+/// Returns the body of a streamed answer. `first` is the item that was already received.
 pub(crate) fn stream_answer(
     head: AnswerHead,
     first: StreamItem,
-    receiver: Receiver,
+    receiver: AnswerReceiver,
 ) -> impl Stream<Item = Result<Bytes, Infallible>> {
     let state = Some((head, Some(first), receiver));
     stream::unfold(state, async |state| {
@@ -80,8 +83,8 @@
         let item = if first.is_some() {
             first
         } else {
-            let Ok(item) = timeout(IDLE, receiver.next()).await else {
-                let comment = Ok(Bytes::from_static(IDLE_COMMENT));
+            let Ok(item) = timeout(KEEP_ALIVE_INTERVAL, receiver.next()).await else {
+                let comment = Ok(Bytes::from_static(KEEP_ALIVE_COMMENT));
                 return Some((comment, Some((head, None, receiver))));
             };
             item
@@ -92,8 +95,13 @@
     })
 }
 
-/// Encodes an item and all that wait behind it, up to the bound.
-fn encode_available(head: &AnswerHead, first: StreamItem, receiver: &Receiver) -> (Bytes, bool) {
+/// Encodes an item and the further items that are available, up to the size bound. Returns the
+/// chunk and whether it contains the last item.
+fn encode_available(
+    head: &AnswerHead,
+    first: StreamItem,
+    receiver: &AnswerReceiver,
+) -> (Bytes, bool) {
     let mut buffer = Vec::with_capacity(256);
     let mut next = Some(first);
     while let Some(item) = next {
@@ -109,7 +117,7 @@
     (Bytes::from(buffer), false)
 }
 
-/// Appends an item's events and returns whether it is the last.
+/// Appends the events of an item. Returns whether it is the last item of the answer.
 fn encode_item(buffer: &mut Vec<u8>, head: &AnswerHead, item: &StreamItem) -> bool {
     match item {
         StreamItem::Text { position, text } => {
--- a/crates/masticsill_entry/src/lib.rs
+++ b/crates/masticsill_entry/src/lib.rs
@@ -1,13 +1,13 @@
-//! The entry role: callers' HTTP interface, routing and resume.
+//! The entry role: HTTP interface for callers, routing and resumption of generations.
 //!
-//! Duties: `http` serves callers, `sessions` owns generations and the links to agents, `peers`
-//! answers other entries. They are joined by bounded rings.
+//! The role consists of three duties, connected by bounded rings: `http` serves callers, `sessions`
+//! owns the generations and the links to agents, and `peers` answers other entries.
 
-mod answer_ring;
-mod call_place;
+mod call_placement;
+mod caller_ring;
 mod calls;
+mod claim_client;
 mod config;
-mod control_client;
 pub mod events;
 mod filter;
 mod http;
--- a/crates/masticsill_entry/src/link/mod.rs
+++ b/crates/masticsill_entry/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to agents: starts, pulls and the detection of lost agents.
+//! Links to agents: starting attempts, pulling their progress and detecting lost agents.
 
 mod cursors;
 mod silence;
--- a/crates/masticsill_entry/src/link/silence.rs
+++ b/crates/masticsill_entry/src/link/silence.rs
@@ -1,14 +1,13 @@
-//! Tells a silent peer from a pause of this process.
+//! Measures the silence of a peer without counting pauses of this process.
 
 use masticsill_types::ClockMs;
 
-/// Longest stretch that one tick may count, in milliseconds.
+/// Maximum time that one tick adds to the silence.
 ///
-/// A process that was itself paused sees one long tick; it must not take its own pause for its
-/// peers' silence.
-const LARGEST_TICK_MS: u64 = 60;
+/// After a pause, this process sees one long tick, which must not count as silence of its peers.
+const MAX_COUNTED_TICK_MS: u64 = 60;
 
-/// Adds up a peer's silence in ticks of bounded length.
+/// Adds up the silence of a peer in ticks of bounded length.
 #[derive(Debug)]
 pub(crate) struct SilenceMeter {
     last_tick: ClockMs,
@@ -16,7 +15,7 @@
 }
 
 impl SilenceMeter {
-    /// A meter at zero.
+    /// Creates a meter without any silence.
     pub(crate) fn new(now: ClockMs) -> Self {
         Self {
             last_tick: now,
@@ -24,17 +23,18 @@
         }
     }
 
-    /// Notes a sign of life.
+    /// Resets the silence after a message from the peer.
     pub(crate) fn reset(&mut self) {
         self.silence_ms = 0;
     }
 
-    /// Counts the time since the last tick and returns the silence so far, in milliseconds.
-    pub(crate) fn tick(&mut self, now: ClockMs, is_awaiting: bool) -> u64 {
+    /// Adds the time since the last tick and returns the silence so far, in milliseconds. Silence
+    /// is counted only while a call is in flight.
+    pub(crate) fn tick(&mut self, now: ClockMs, is_call_in_flight: bool) -> u64 {
         let elapsed_ms = now - self.last_tick;
         self.last_tick = now;
-        if is_awaiting {
-            self.silence_ms += elapsed_ms.min(LARGEST_TICK_MS);
+        if is_call_in_flight {
+            self.silence_ms += elapsed_ms.min(MAX_COUNTED_TICK_MS);
         } else {
             self.silence_ms = 0;
         }
--- a/crates/masticsill_entry/src/link/task.rs
+++ b/crates/masticsill_entry/src/link/task.rs
@@ -1,4 +1,4 @@
-//! The task that serves one agent's link.
+//! The task that runs the link to one agent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,53 +24,55 @@
 use super::silence::SilenceMeter;
 use crate::events;
 
-/// How long an agent may hold a pull without news, in milliseconds.
+/// Maximum time for which an agent may delay the reply to a pull without progress (long poll).
 const PULL_WAIT_MS: u64 = 100;
 const TICK_MS: u64 = 25;
-const RECONNECT_PAUSE_MS: u64 = 250;
-const CALL_DEADLINE_MS: u64 = 10_000;
+const RECONNECT_BACKOFF_MS: u64 = 250;
+const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// What a link is told at its start.
+/// Configuration of a link.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkConfig {
-    /// Where the agent listens.
+    /// Address of the RPC listener of the agent.
     pub(crate) address: SocketAddr,
-    /// The agent.
+    /// Id of the agent.
     pub(crate) agent: NodeId,
-    /// This entry.
+    /// Id of this entry.
     pub(crate) entry: NodeId,
     /// Silence after which the agent counts as lost, in milliseconds.
     pub(crate) silence_ms: u64,
 }
 
-/// What a link is asked to do.
+/// Commands to a link.
 #[derive(Debug)]
 pub(crate) enum LinkCommand {
-    /// End an attempt and follow it no more.
+    /// Cancel an attempt and stop following it.
     Cancel(CancelRequest),
-    /// Follow an attempt that runs at the agent.
+    /// Follow an attempt that already runs at the agent.
     Follow(PullCursor),
     /// Start an attempt and follow it.
     Start(Box<StartRequest>),
-    /// Follow an attempt no more, without ending it.
+    /// Stop following an attempt without cancelling it.
     Unfollow(GenerationId),
 }
 
-/// Takes what a link learns. The sessions duty implements it; tests use a small fake.
+/// Receives the events of a link. The sessions duty implements it through `LinkReporter`.
 pub(crate) trait LinkOwner {
-    /// A start was sent and its answer was lost: the attempt may run, and must not be sent again.
+    /// A start was sent and its reply was lost. The attempt may be running, so the start must not
+    /// be sent again.
     fn on_start_lost(&self, agent: &NodeId, id: GenerationId, lineage: Lineage);
-    /// An answer to a start.
+    /// The agent replied to a start.
     fn on_started(&self, agent: &NodeId, id: GenerationId, lineage: Lineage, reply: StartReply);
-    /// News of streams.
+    /// The agent replied to a pull with the progress of streams.
     fn on_pulled(&self, agent: &NodeId, reply: PullReply);
     /// The agent can't be reached or stayed silent.
     fn on_lost(&self, agent: &NodeId);
-    /// The agent was reached after it was lost.
+    /// The agent was reached again after it had been lost.
     fn on_reached(&self, agent: &NodeId);
 }
 
-enum Done {
+/// The result of a call to the agent.
+enum CallResult {
     Cancelled,
     Pulled {
         is_main: bool,
@@ -86,42 +88,42 @@
 /// The connection to the agent.
 enum Connection {
     Closed,
-    /// It brought an answer.
-    Proven(AgentServiceClient),
-    /// It was accepted, which proves nothing yet.
-    Unproven(AgentServiceClient),
+    /// The agent replied on this connection.
+    Verified(AgentServiceClient),
+    /// The connection was accepted, which does not prove yet that the agent is alive.
+    Unverified(AgentServiceClient),
 }
 
 impl Connection {
     fn client(&self) -> Option<&AgentServiceClient> {
         match self {
             Self::Closed => None,
-            Self::Proven(client) | Self::Unproven(client) => Some(client),
+            Self::Verified(client) | Self::Unverified(client) => Some(client),
         }
     }
 
-    fn prove(&mut self) {
-        if let Self::Unproven(client) = self {
-            *self = Self::Proven(client.clone());
+    fn verify(&mut self) {
+        if let Self::Unverified(client) = self {
+            *self = Self::Verified(client.clone());
         }
     }
 }
 
 struct Link<O> {
-    calls: FuturesUnordered<LocalBoxFuture<'static, Done>>,
+    calls: FuturesUnordered<LocalBoxFuture<'static, CallResult>>,
     commands: Ring<LinkCommand>,
     config: LinkConfig,
     connection: Connection,
     cursors: Cursors,
     is_main_pulling: bool,
     is_lost: bool,
-    is_pausing: bool,
-    meter: SilenceMeter,
+    needs_backoff: bool,
+    silence_meter: SilenceMeter,
     owner: O,
-    starts: IndexMap<GenerationId, PullCursor>,
+    pending_starts: IndexMap<GenerationId, PullCursor>,
 }
 
-/// Serves one agent's link until its ring is closed.
+/// Runs the link to one agent until its command ring is closed.
 pub(crate) async fn run_link<O: LinkOwner>(
     config: LinkConfig,
     commands: Ring<LinkCommand>,
@@ -136,35 +138,35 @@
         cursors: Cursors::default(),
         is_main_pulling: false,
         is_lost: false,
-        is_pausing: false,
-        meter: SilenceMeter::new(clock.now()),
+        needs_backoff: false,
+        silence_meter: SilenceMeter::new(clock.now()),
         owner,
-        starts: IndexMap::new(),
+        pending_starts: IndexMap::new(),
     };
     let mut ticks = interval(Duration::from_millis(TICK_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        link.connect_if_needed().await;
+        link.ensure_connected().await;
         link.pull_all();
         tokio::select! {
             biased;
-            Some(done) = link.calls.next() => link.take(done),
+            Some(result) = link.calls.next() => link.handle_result(result),
             command = link.commands.pop() => match command {
-                Some(command) => link.obey(command),
+                Some(command) => link.handle_command(command),
                 None => return,
             },
-            _ = ticks.tick() => link.watch(clock.now()),
+            _ = ticks.tick() => link.check_silence(clock.now()),
         }
     }
 }
 
 impl<O: LinkOwner> Link<O> {
-    async fn connect_if_needed(&mut self) {
+    async fn ensure_connected(&mut self) {
         if self.connection.client().is_some() {
             return;
         }
-        if std::mem::take(&mut self.is_pausing) {
-            sleep(Duration::from_millis(RECONNECT_PAUSE_MS)).await;
+        if std::mem::take(&mut self.needs_backoff) {
+            sleep(Duration::from_millis(RECONNECT_BACKOFF_MS)).await;
         }
         let transport = connect_transport(
             self.config.address,
@@ -177,86 +179,86 @@
                 spawn_local(async move {
                     let _ = new.dispatch.await;
                 });
-                self.connection = Connection::Unproven(new.client);
-                self.meter.reset();
+                self.connection = Connection::Unverified(new.client);
+                self.silence_meter.reset();
                 if self.is_lost {
                     self.call_pull(Vec::new(), false);
                 }
             }
             Err(error) => {
-                self.lose(&error);
+                self.mark_lost(&error);
             }
         }
     }
 
-    /// Notes an answer. Only that proves an agent reached: what accepts a connection may stand
-    /// before a dead one.
-    fn note_reply(&mut self) {
-        self.meter.reset();
-        self.connection.prove();
+    /// Records a reply of the agent. Only a reply proves that the agent is alive, because a
+    /// connection may be accepted by something else in front of a dead agent.
+    fn record_reply(&mut self) {
+        self.silence_meter.reset();
+        self.connection.verify();
         if std::mem::take(&mut self.is_lost) {
             log_event!(info, events::AGENT_REACHED, agent = self.config.agent);
             self.owner.on_reached(&self.config.agent);
         }
     }
 
-    fn obey(&mut self, command: LinkCommand) {
+    fn handle_command(&mut self, command: LinkCommand) {
         match command {
             LinkCommand::Cancel(request) => {
                 self.cursors.unfollow(request.id);
-                self.starts.swap_remove(&request.id);
+                self.pending_starts.swap_remove(&request.id);
                 self.call_cancel(request);
             }
             LinkCommand::Follow(cursor) => self.follow(cursor),
             LinkCommand::Start(request) => self.call_start(*request),
             LinkCommand::Unfollow(id) => {
                 self.cursors.unfollow(id);
-                self.starts.swap_remove(&id);
+                self.pending_starts.swap_remove(&id);
             }
         }
     }
 
-    fn take(&mut self, done: Done) {
-        match done {
-            Done::Cancelled => {}
-            Done::Pulled { is_main, result } => {
+    fn handle_result(&mut self, call: CallResult) {
+        match call {
+            CallResult::Cancelled => {}
+            CallResult::Pulled { is_main, result } => {
                 if is_main {
                     self.is_main_pulling = false;
                 }
                 match result {
-                    Ok(reply) => self.take_reply(reply),
-                    Err(_) => self.break_off(),
+                    Ok(reply) => self.handle_pull_reply(reply),
+                    Err(_) => self.handle_broken_connection(),
                 }
             }
-            Done::Started {
+            CallResult::Started {
                 id,
                 lineage,
                 result,
             } => match result {
-                Ok(reply) => self.take_start(id, lineage, reply),
-                Err(_) => self.break_off(),
+                Ok(reply) => self.handle_start_reply(id, lineage, reply),
+                Err(_) => self.handle_broken_connection(),
             },
         }
     }
 
-    fn take_reply(&mut self, reply: PullReply) {
-        self.note_reply();
-        for news in &reply.progress {
-            self.cursors.advance(news);
+    fn handle_pull_reply(&mut self, reply: PullReply) {
+        self.record_reply();
+        for progress in &reply.progress {
+            self.cursors.advance(progress);
         }
         self.owner.on_pulled(&self.config.agent, reply);
     }
 
-    fn take_start(&mut self, id: GenerationId, lineage: Lineage, reply: StartReply) {
-        self.note_reply();
-        let is_awaited = self
-            .starts
+    fn handle_start_reply(&mut self, id: GenerationId, lineage: Lineage, reply: StartReply) {
+        self.record_reply();
+        let is_pending = self
+            .pending_starts
             .get(&id)
             .is_some_and(|cursor| cursor.lineage == lineage);
-        if !is_awaited {
+        if !is_pending {
             return;
         }
-        let cursor = self.starts.swap_remove(&id);
+        let cursor = self.pending_starts.swap_remove(&id);
         let is_accepted = reply == StartReply::Accepted;
         self.owner
             .on_started(&self.config.agent, id, lineage, reply);
@@ -265,7 +267,8 @@
         }
     }
 
-    /// Follows a stream, and asks for it at once when the main pull can't know of it.
+    /// Follows a stream. If the main pull is in flight, which does not contain the stream yet,
+    /// pulls the stream separately at once.
     fn follow(&mut self, cursor: PullCursor) {
         self.cursors.follow(cursor);
         if self.is_main_pulling {
@@ -281,22 +284,22 @@
         self.call_pull(self.cursors.to_vec(), true);
     }
 
-    fn watch(&mut self, now: ClockMs) {
-        let is_awaiting = !self.calls.is_empty();
-        let silence_ms = self.meter.tick(now, is_awaiting);
+    fn check_silence(&mut self, now: ClockMs) {
+        let is_call_in_flight = !self.calls.is_empty();
+        let silence_ms = self.silence_meter.tick(now, is_call_in_flight);
         if silence_ms >= self.config.silence_ms {
             self.disconnect();
-            self.lose(&io::Error::from(io::ErrorKind::TimedOut));
+            self.mark_lost(&io::Error::from(io::ErrorKind::TimedOut));
         }
     }
 
-    /// Drops a broken connection. One that never brought an answer counts as the agent's loss; one
-    /// that did is made again first.
-    fn break_off(&mut self) {
-        let is_proven = matches!(self.connection, Connection::Proven(_));
+    /// Closes a broken connection. If the agent never replied on it, the agent counts as lost.
+    /// Otherwise the link tries to reconnect first.
+    fn handle_broken_connection(&mut self) {
+        let is_verified = matches!(self.connection, Connection::Verified(_));
         self.disconnect();
-        if !is_proven {
-            self.lose(&io::Error::from(io::ErrorKind::ConnectionReset));
+        if !is_verified {
+            self.mark_lost(&io::Error::from(io::ErrorKind::ConnectionReset));
         }
     }
 
@@ -304,23 +307,23 @@
         self.connection = Connection::Closed;
         self.calls = FuturesUnordered::new();
         self.is_main_pulling = false;
-        self.meter.reset();
-        self.lose_starts();
+        self.silence_meter.reset();
+        self.abandon_starts();
     }
 
-    /// Gives up starts whose answers were lost. Sending one again could reach a later life of the
-    /// agent, and one lineage would then have two runs.
-    fn lose_starts(&mut self) {
-        for (id, cursor) in std::mem::take(&mut self.starts) {
+    /// Reports the starts whose replies were lost. They are not sent again, because they could
+    /// reach a later incarnation of the agent, and one lineage would then run twice.
+    fn abandon_starts(&mut self) {
+        for (id, cursor) in std::mem::take(&mut self.pending_starts) {
             let agent = &self.config.agent;
             self.owner.on_start_lost(agent, id, cursor.lineage);
         }
     }
 
-    fn lose(&mut self, error: &io::Error) {
+    fn mark_lost(&mut self, error: &io::Error) {
         self.cursors.clear();
         self.drop_commands();
-        self.is_pausing = true;
+        self.needs_backoff = true;
         if !std::mem::replace(&mut self.is_lost, true) {
             log_event!(
                 warn,
@@ -332,9 +335,8 @@
         self.owner.on_lost(&self.config.agent);
     }
 
-    /// Drops what was asked of a lost agent: its owner moves every stream elsewhere.
-    ///
-    /// A cancel that is dropped is made up for by the agent's orphan timeout.
+    /// Drops the queued commands to a lost agent, because the owner moves all its streams to other
+    /// agents. Instead of a dropped cancel, the orphan timeout of the agent ends the attempt.
     fn drop_commands(&self) {
         while self.commands.try_pop().is_some() {}
     }
@@ -353,10 +355,10 @@
             lineage,
             next_index: TokenIndex(token_count),
         };
-        self.starts.insert(id, cursor);
+        self.pending_starts.insert(id, cursor);
         self.calls.push(Box::pin(async move {
-            let result = client.start(call_context(CALL_DEADLINE_MS), request).await;
-            Done::Started {
+            let result = client.start(call_context(CALL_TIMEOUT_MS), request).await;
+            CallResult::Started {
                 id,
                 lineage,
                 result,
@@ -374,8 +376,8 @@
             wait_ms: PULL_WAIT_MS,
         };
         self.calls.push(Box::pin(async move {
-            let result = client.pull(call_context(CALL_DEADLINE_MS), request).await;
-            Done::Pulled { is_main, result }
+            let result = client.pull(call_context(CALL_TIMEOUT_MS), request).await;
+            CallResult::Pulled { is_main, result }
         }));
     }
 
@@ -384,9 +386,9 @@
             return;
         };
         self.calls.push(Box::pin(async move {
-            // A lost cancel is made up for by the agent's orphan timeout.
-            let _ = client.cancel(call_context(CALL_DEADLINE_MS), request).await;
-            Done::Cancelled
+            // If the cancel is lost, the orphan timeout of the agent ends the attempt.
+            let _ = client.cancel(call_context(CALL_TIMEOUT_MS), request).await;
+            CallResult::Cancelled
         }));
     }
 }
--- a/crates/masticsill_entry/src/link_reporter.rs
+++ b/crates/masticsill_entry/src/link_reporter.rs
@@ -1,4 +1,4 @@
-//! What an agent's link tells the sessions.
+//! Passes the events of a link on to the sessions.
 
 use std::rc::Rc;
 
@@ -8,8 +8,8 @@
 use crate::link::LinkOwner;
 use crate::sessions_duty::Sessions;
 
-/// Reports of a link to one life of an agent. What it says of reach and load counts only while
-/// that life is the current one: a link may outlive it for a moment.
+/// The owner of the link to one incarnation of an agent. Reachability and load are passed on only
+/// while this incarnation is the current one, because a link may briefly outlive its incarnation.
 #[derive(Debug)]
 pub(crate) struct LinkReporter {
     pub(crate) incarnation: Incarnation,
@@ -18,29 +18,29 @@
 
 impl LinkReporter {
     fn is_current(&self, agent: &NodeId) -> bool {
-        self.sessions.agent_life(agent) == Some(self.incarnation)
+        self.sessions.current_incarnation(agent) == Some(self.incarnation)
     }
 }
 
 impl LinkOwner for LinkReporter {
     fn on_start_lost(&self, agent: &NodeId, id: GenerationId, lineage: Lineage) {
         self.sessions
-            .with_book(|book, now| book.start_reply_lost(now, agent, id, lineage));
+            .with_table(|table, now| table.start_reply_lost(now, agent, id, lineage));
     }
 
     fn on_started(&self, agent: &NodeId, id: GenerationId, lineage: Lineage, reply: StartReply) {
         self.sessions
-            .with_book(|book, now| book.start_replied(now, agent, id, lineage, &reply));
+            .with_table(|table, now| table.start_replied(now, agent, id, lineage, &reply));
     }
 
     fn on_pulled(&self, agent: &NodeId, reply: PullReply) {
         let is_current = self.is_current(agent);
-        self.sessions.with_book(|book, now| {
+        self.sessions.with_table(|table, now| {
             if is_current {
-                book.record_load(now, agent, reply.load);
+                table.record_load(now, agent, reply.load);
             }
-            for news in reply.progress {
-                book.progress(now, agent, news);
+            for progress in reply.progress {
+                table.progress(now, agent, progress);
             }
         });
     }
@@ -48,14 +48,14 @@
     fn on_lost(&self, agent: &NodeId) {
         if self.is_current(agent) {
             self.sessions
-                .with_book(|book, now| book.agent_lost(now, agent));
+                .with_table(|table, now| table.agent_lost(now, agent));
         }
     }
 
     fn on_reached(&self, agent: &NodeId) {
         if self.is_current(agent) {
             self.sessions
-                .with_book(|book, _| book.agent_reachable(agent));
+                .with_table(|table, _| table.agent_reachable(agent));
         }
     }
 }
--- a/crates/masticsill_entry/src/open_work.rs
+++ b/crates/masticsill_entry/src/open_work.rs
@@ -1,16 +1,16 @@
-//! Counts the requests that callers still wait for.
+//! Counts the requests that have no complete answer yet.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A count of open requests. Clones share it.
+/// A counter of open requests. Clones share the counter.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenWork {
     count: Arc<AtomicUsize>,
 }
 
 impl OpenWork {
-    /// Counts one request until the guard is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub(crate) fn enter(&self) -> OpenWorkGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
         OpenWorkGuard {
@@ -18,13 +18,13 @@
         }
     }
 
-    /// Open requests.
+    /// Returns the number of open requests.
     pub(crate) fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
 }
 
-/// Holds one request open.
+/// Counts one request as open until it is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenWorkGuard {
     count: Arc<AtomicUsize>,
--- a/crates/masticsill_entry/src/openai.rs
+++ b/crates/masticsill_entry/src/openai.rs
@@ -1,9 +1,9 @@
-//! JSON types of the callers' interface, in the form of the `OpenAI` completions API.
+//! JSON types of the HTTP interface for callers, compatible with the `OpenAI` completions API.
 
 use masticsill_types::{FinishReason, Refusal};
 use serde::{Deserialize, Serialize};
 
-/// What both completion interfaces share. Fields that are not listed are ignored.
+/// The options that both completion interfaces share. Unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Options {
     pub(crate) max_tokens: Option<u32>,
@@ -72,7 +72,7 @@
     Text,
 }
 
-/// A completion, whole or one chunk of it.
+/// A whole completion or one chunk of a streamed completion.
 #[derive(Debug, Serialize)]
 pub(crate) struct Completion<'a> {
     pub(crate) choices: [Choice<'a>; 1],
@@ -83,7 +83,7 @@
     pub(crate) usage: Option<Usage>,
 }
 
-/// The one choice of a completion.
+/// The only choice of a completion.
 #[derive(Debug, Serialize)]
 pub(crate) struct Choice<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -103,14 +103,14 @@
     pub(crate) role: &'static str,
 }
 
-/// Tokens counted for a completion.
+/// Token usage of a completion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub(crate) struct Usage {
     pub(crate) completion_tokens: u32,
 }
 
 impl<'a> Completion<'a> {
-    /// One chunk of a streamed answer.
+    /// Creates a chunk of a streamed completion.
     pub(crate) fn chunk(
         interface: Interface,
         id: &'a str,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A whole answer.
+    /// Creates a whole completion.
     pub(crate) fn whole(
         interface: Interface,
         id: &'a str,
@@ -175,14 +175,14 @@
     }
 }
 
-/// The list of `GET /v1/models`.
+/// Response body of `GET /v1/models`.
 #[derive(Debug, Serialize)]
 pub(crate) struct ModelList {
     pub(crate) data: Vec<ModelItem>,
     pub(crate) object: &'static str,
 }
 
-/// One model that callers can name.
+/// A model that callers can request.
 #[derive(Debug, Serialize)]
 pub(crate) struct ModelItem {
     pub(crate) id: String,
@@ -190,13 +190,13 @@
     pub(crate) owned_by: String,
 }
 
-/// The body of every error.
+/// Response body of all errors.
 #[derive(Debug, Serialize)]
 pub(crate) struct ErrorBody<'a> {
     pub(crate) error: ErrorDetail<'a>,
 }
 
-/// What went wrong, what is known of the work, and what helps.
+/// The error, the outcome of the request as far as it is known, and a remedy.
 #[derive(Debug, Serialize)]
 pub(crate) struct ErrorDetail<'a> {
     pub(crate) kind: &'static str,
--- a/crates/masticsill_entry/src/peer_service.rs
+++ b/crates/masticsill_entry/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! The service that this entry offers to other entries.
+//! The RPC service that this entry offers to other entries.
 
 use futures::StreamExt;
 use masticsill_runtime::{Ring, ServiceStream};
@@ -30,7 +30,7 @@
     }
 }
 
-/// Serves other entries' connections until the ring is closed.
+/// Serves the connections of other entries until the ring is closed.
 pub(crate) async fn serve_peers(connections: Ring<ServiceStream>, inputs: Ring<SessionInput>) {
     while let Some(connection) = connections.pop().await {
         let Ok(transport) = connection.into_transport() else {
--- a/crates/masticsill_entry/src/policies.rs
+++ b/crates/masticsill_entry/src/policies.rs
@@ -1,17 +1,17 @@
-//! The catalogue's policies as this entry's router holds them.
+//! Applies the policies of the catalogue to the router of this entry.
 //!
-//! A limit of the catalogue is split evenly among the entries that the membership shows; what does
-//! not divide goes to the first of them by name. While all entries see the same members and the
-//! same catalogue version, their shares add up to the limit, so it is never passed, and callers
-//! that prefer one entry may use that entry's share only.
+//! A limit of the catalogue is split evenly among the entries in the membership view; the remainder
+//! goes to the first entries by name. While all entries see the same members and the same catalogue
+//! version, their shares add up to the limit, so the limit is never exceeded. Callers that prefer
+//! one entry can use only the share of that entry.
 //!
-//! What a stale view costs: an entry that does not see another yet holds too large a share. Until
-//! the membership reaches it, a few hundred milliseconds after a start, and for as long as entries
-//! are cut off from each other, the limit may be passed by that share: with `n` entries cut into
-//! `k` groups at most `k` times the limit. An entry that died holds its share until the membership
-//! calls it gone, so less than the limit may be used. When shares shrink, work that runs is not
-//! ended: the limit holds again once it has finished. Attempts left behind at a lost agent may run
-//! until that agent ends them; they are not counted.
+//! An entry with a stale view, which does not contain another entry yet, uses too large a share.
+//! Until the membership update arrives, a few hundred milliseconds after a start, and while entries
+//! are partitioned, the limit may be exceeded by that share: with `n` entries partitioned into `k`
+//! groups, at most `k` times the limit is used. An entry that failed holds its share until the
+//! membership declares it gone, so less than the limit may be used. When shares shrink, running
+//! work is not ended, and the limit holds again once that work has finished. Attempts left behind
+//! at a lost agent may run until that agent ends them. They are not counted.
 
 use indexmap::{IndexMap, IndexSet};
 use masticsill_catalogue::{BackEnd, CatalogueEntry, Limits};
@@ -20,55 +20,55 @@
 use masticsill_routing::{BackEndTarget, EntryPolicy, EntryRank, LocalLimits, Router};
 use masticsill_types::{CatalogueVersion, ClockMs, EntryId, NodeId, Refusal, RefusalKind};
 
-const THOUSANDTHS: u64 = 1_000;
+const MILLIS_PER_UNIT: u64 = 1_000;
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What the router was told last.
+/// The policies that were last applied to the router.
 #[derive(Debug, Default)]
 pub(crate) struct Policies {
-    known: IndexMap<EntryId, EntryPolicy>,
-    seat: EntryRank,
+    applied: IndexMap<EntryId, EntryPolicy>,
+    entry_rank: EntryRank,
     version: Option<CatalogueVersion>,
 }
 
 impl Policies {
-    /// Tells the router what changed in the catalogue and among the entries.
+    /// Applies changes of the catalogue and of the set of entries to the router.
     pub(crate) fn refresh(
         &mut self,
         now: ClockMs,
         view: &CatalogueView,
-        seat: EntryRank,
+        entry_rank: EntryRank,
         router: &mut Router,
     ) {
-        if self.version == Some(view.version()) && self.seat == seat {
+        if self.version == Some(view.version()) && self.entry_rank == entry_rank {
             return;
         }
         self.version = Some(view.version());
-        self.seat = seat;
-        router.set_entry_rank(seat);
-        let mut former: IndexSet<EntryId> = self.known.keys().cloned().collect();
+        self.entry_rank = entry_rank;
+        router.set_entry_rank(entry_rank);
+        let mut removed: IndexSet<EntryId> = self.applied.keys().cloned().collect();
         for versioned in view.catalogue().entries() {
             let entry = &versioned.entry;
-            former.swap_remove(&entry.id);
-            let policy = to_policy(entry, seat);
-            if self.known.get(&entry.id) != Some(&policy) {
+            removed.swap_remove(&entry.id);
+            let policy = to_policy(entry, entry_rank);
+            if self.applied.get(&entry.id) != Some(&policy) {
                 router.set_entry(now, &entry.id, policy.clone());
-                self.known.insert(entry.id.clone(), policy);
+                self.applied.insert(entry.id.clone(), policy);
             }
         }
-        for id in former {
+        for id in removed {
             router.remove_entry(&id);
-            self.known.swap_remove(&id);
+            self.applied.swap_remove(&id);
         }
     }
 
-    /// Refuses new work of an entry of which this node may run nothing.
+    /// Refuses new work of a catalogue entry if the share of this node is zero.
     ///
     /// # Errors
     ///
-    /// The refusal, *not run*.
+    /// Returns the refusal, with the outcome *not run*.
     pub(crate) fn check_share(&self, id: &EntryId) -> Result<(), Refusal> {
-        let policy = self.known.get(id);
+        let policy = self.applied.get(id);
         if policy.is_none_or(|policy| policy.limits.concurrent != Some(0)) {
             return Ok(());
         }
@@ -77,23 +77,23 @@
     }
 }
 
-/// This entry's place among the entries that the membership shows.
-pub(crate) fn find_seat(view: &MembershipView, own: &NodeId) -> EntryRank {
+/// Returns the rank of this entry among the entries in the membership view, and their number.
+pub(crate) fn find_entry_rank(view: &MembershipView, own: &NodeId) -> EntryRank {
     let others = view
         .members()
         .filter(|member| matches!(member.role, Role::Entry) && member.node != *own);
-    let mut seat = EntryRank::default();
+    let mut entry_rank = EntryRank::default();
     for other in others {
-        seat.count += 1;
-        seat.rank += u32::from(other.node < *own);
+        entry_rank.count += 1;
+        entry_rank.rank += u32::from(other.node < *own);
     }
-    seat
+    entry_rank
 }
 
-fn to_policy(entry: &CatalogueEntry, seat: EntryRank) -> EntryPolicy {
+fn to_policy(entry: &CatalogueEntry, entry_rank: EntryRank) -> EntryPolicy {
     EntryPolicy {
         class: entry.class,
-        limits: split_limits(entry.limits, seat),
+        limits: split_limits(entry.limits, entry_rank),
         target: to_target(&entry.back_end),
         zones: entry.placement.zones.clone(),
     }
@@ -106,12 +106,12 @@
     }
 }
 
-fn split_limits(limits: Limits, seat: EntryRank) -> LocalLimits {
+fn split_limits(limits: Limits, entry_rank: EntryRank) -> LocalLimits {
     let count = |limit: u32| {
-        let share = split(u64::from(limit), seat);
+        let share = split(u64::from(limit), entry_rank);
         u32::try_from(share).expect("a share is no larger than its limit")
     };
-    let rate = |limit: u32| split(u64::from(limit) * THOUSANDTHS, seat);
+    let rate = |limit: u32| split(u64::from(limit) * MILLIS_PER_UNIT, entry_rank);
     LocalLimits {
         concurrent: limits
             .concurrent_generations
@@ -122,8 +122,9 @@
     }
 }
 
-/// An equal share; the first entries get one more when it does not divide.
-fn split(limit: u64, seat: EntryRank) -> u64 {
-    let count = u64::from(seat.count);
-    limit / count + u64::from(u64::from(seat.rank) < limit % count)
+/// Returns the share of the entry with this rank. The remainder of the division is distributed over
+/// the first entries, one each.
+fn split(limit: u64, entry_rank: EntryRank) -> u64 {
+    let count = u64::from(entry_rank.count);
+    limit / count + u64::from(u64::from(entry_rank.rank) < limit % count)
 }
--- a/crates/masticsill_entry/src/readiness.rs
+++ b/crates/masticsill_entry/src/readiness.rs
@@ -1,38 +1,38 @@
-//! Whether the entry takes requests.
+//! Tracks whether the entry accepts requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
 
 const READY: u8 = 0;
-const LEAVING: u8 = 1;
+const NOT_READY: u8 = 1;
 const CLOSED: u8 = 2;
 
-/// The stages of an entry's planned stop. Clones share one state.
+/// The stage of a planned stop of the entry. Clones share the state.
 ///
-/// Readiness goes off first; requests are still accepted for the balancer's grace.
+/// Readiness is turned off first; requests are still accepted for the balancer's grace period.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness {
     stage: Arc<AtomicU8>,
 }
 
 impl Readiness {
-    /// Whether the balancer should send requests.
+    /// Returns whether the load balancer should send requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.stage.load(Ordering::Acquire) == READY
     }
 
-    /// Whether a request that arrives is accepted.
+    /// Returns whether new requests are accepted.
     pub(crate) fn is_accepting(&self) -> bool {
         self.stage.load(Ordering::Acquire) < CLOSED
     }
 
-    /// Turns readiness off.
-    pub(crate) fn leave(&self) {
-        self.stage.fetch_max(LEAVING, Ordering::AcqRel);
+    /// Turns readiness off, so that the load balancer stops sending requests.
+    pub(crate) fn stop_readiness(&self) {
+        self.stage.fetch_max(NOT_READY, Ordering::AcqRel);
     }
 
-    /// Accepts nothing new.
-    pub(crate) fn close(&self) {
+    /// Stops accepting new requests.
+    pub(crate) fn stop_accepting(&self) {
         self.stage.fetch_max(CLOSED, Ordering::AcqRel);
     }
 }
--- a/crates/masticsill_entry/src/request.rs
+++ b/crates/masticsill_entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request for a generation, checked but not yet admitted.
+//! Validation of generation requests and request keys. A validated request is not admitted yet.
 
 use masticsill_types::{EntryId, GenerationId, Sampling, WorkspaceId};
 use rand::Rng;
@@ -6,27 +6,31 @@
 use crate::openai::CompletionRequest;
 
 const DEFAULT_MAX_TOKENS: u32 = 256;
-const LARGEST_MAX_TOKENS: u32 = 32_768;
+const MAX_TOKENS_LIMIT: u32 = 32_768;
 const MAX_TEMPERATURE: f64 = 2.0;
 const MAX_KEY_BYTES: usize = 255;
 
-/// What the caller wants generated.
+/// A validated request for a generation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct GenerationRequest {
     /// The catalogue entry that the caller named as its model.
     pub(crate) catalogue_entry: EntryId,
     /// The prompt.
     pub(crate) prompt: String,
-    /// Sampling settings, with a seed chosen here when the caller gave none.
+    /// Sampling settings, with a random seed if the caller gave none.
     pub(crate) sampling: Sampling,
 }
 
-/// A caller's request key.
+/// The request key of a caller, from the `Idempotency-Key` header or random.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct RequestKey(String);
 
 impl RequestKey {
-    /// Checks the value of an `Idempotency-Key` header.
+    /// Parses the value of an `Idempotency-Key` header.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message if the value is empty or longer than [`MAX_KEY_BYTES`].
     pub(crate) fn parse(text: &str) -> Result<Self, String> {
         let is_valid = !text.is_empty() && text.len() <= MAX_KEY_BYTES;
         if !is_valid {
@@ -37,24 +41,24 @@
         Ok(Self(text.to_owned()))
     }
 
-    /// A key for a request that came without one.
+    /// Creates a random key for a request without one.
     pub(crate) fn random() -> Self {
         Self(uuid::Uuid::new_v4().to_string())
     }
 
-    /// The upper half of every generation id under this key.
+    /// Returns the upper half of all generation ids with this key.
     pub(crate) fn generation_prefix(&self, workspace: &WorkspaceId) -> u64 {
         let half = self.hash(workspace) >> u64::BITS;
         u64::try_from(half).expect("half of 128 bits fits 64 bits")
     }
 
-    /// A fresh generation id under this key.
+    /// Creates a new generation id with this key.
     pub(crate) fn new_generation(&self, workspace: &WorkspaceId) -> GenerationId {
         let upper = u128::from(self.generation_prefix(workspace)) << u64::BITS;
         GenerationId(upper | u128::from(rand::rng().random::<u64>()))
     }
 
-    /// The one id of a plain call under this key.
+    /// Returns the id of the plain call with this key. There is only one.
     pub(crate) fn call_id(&self, workspace: &WorkspaceId) -> GenerationId {
         GenerationId(self.hash(workspace))
     }
@@ -80,9 +84,9 @@
             return Err("`prompt` is empty; send at least one character".to_owned());
         }
         let max_tokens = options.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-        if !(1..=LARGEST_MAX_TOKENS).contains(&max_tokens) {
+        if !(1..=MAX_TOKENS_LIMIT).contains(&max_tokens) {
             return Err(format!(
-                "`max_tokens` is {max_tokens}; use 1 to {LARGEST_MAX_TOKENS}"
+                "`max_tokens` is {max_tokens}; use 1 to {MAX_TOKENS_LIMIT}"
             ));
         }
         let sampling = Sampling {
--- a/crates/masticsill_entry/src/role.rs
+++ b/crates/masticsill_entry/src/role.rs
@@ -1,4 +1,4 @@
-//! Starts the entry's duties and ends them in order.
+//! Starts the duties of the entry and stops them in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 use crate::open_work::OpenWork;
 use crate::peer_service::serve_peers;
 use crate::readiness::Readiness;
-use crate::sessions_duty::{INPUT_RING_ITEMS, SessionInput, run_sessions};
+use crate::sessions_duty::{INPUT_RING_CAPACITY, SessionInput, run_sessions};
 
-const DRAIN_POLL_MS: u64 = 20;
+const DRAIN_POLL_INTERVAL_MS: u64 = 20;
 
 /// A running entry.
 #[derive(Debug)]
@@ -34,11 +34,12 @@
 }
 
 impl EntryRole {
-    /// Starts the entry's duties; `connections` brings other entries' connections.
+    /// Starts the duties of the entry. `connections` delivers the connections of other entries.
     ///
     /// # Errors
     ///
-    /// The operating system's error when the address can't be bound or no thread can be started.
+    /// Returns the error of the operating system if the address can't be bound or a thread can't be
+    /// started.
     pub fn start(
         config: EntryConfig,
         connections: Ring<ServiceStream>,
@@ -46,7 +47,7 @@
         metrics: Metrics,
         clock: MonotonicClock,
     ) -> io::Result<Self> {
-        let inputs = Ring::with_capacity(INPUT_RING_ITEMS);
+        let inputs = Ring::with_capacity(INPUT_RING_CAPACITY);
         let open_work = OpenWork::default();
         let readiness = Readiness::default();
         let sessions = {
@@ -83,24 +84,24 @@
         })
     }
 
-    /// Where callers reach the entry.
+    /// Returns the address of the HTTP listener for callers.
     #[must_use]
     pub fn http_address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Ends gracefully: readiness goes off, requests are still accepted for the balancer's grace,
-    /// then running streams and calls finish, for the drain time at most.
+    /// Stops gracefully: turns readiness off, still accepts requests for the balancer's grace
+    /// period, then waits at most for the drain time until open streams and calls have finished.
     ///
     /// # Errors
     ///
-    /// An error when a duty panicked.
+    /// Returns an error if a duty panicked.
     pub fn stop(self) -> io::Result<()> {
-        self.readiness.leave();
+        self.readiness.stop_readiness();
         self.mesh.leave();
         log_event!(info, events::DRAIN_STARTED, open = self.open_work.count());
         sleep(Duration::from_millis(self.config.balancer_grace_ms));
-        self.readiness.close();
+        self.readiness.stop_accepting();
         self.wait_for_open_work();
         log_event!(info, events::DRAIN_ENDED, open = self.open_work.count());
         self.host.stop()?;
@@ -115,8 +116,8 @@
     fn wait_for_open_work(&self) {
         let mut waited_ms = 0;
         while self.open_work.count() > 0 && waited_ms < self.config.drain_ms {
-            sleep(Duration::from_millis(DRAIN_POLL_MS));
-            waited_ms += DRAIN_POLL_MS;
+            sleep(Duration::from_millis(DRAIN_POLL_INTERVAL_MS));
+            waited_ms += DRAIN_POLL_INTERVAL_MS;
         }
     }
 }
--- a/crates/masticsill_entry/src/search.rs
+++ b/crates/masticsill_entry/src/search.rs
@@ -1,4 +1,5 @@
-//! Finds the holder of a generation whose caller came back to this entry.
+//! Searches for the node that holds the record of a generation whose caller reattaches to this
+//! entry.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,18 +23,18 @@
 
 use crate::sessions_duty::Sessions;
 
-/// How long one possible holder may take, in milliseconds.
+/// Timeout of the request to one possible holder.
 const HOLDER_TIMEOUT_MS: u64 = 1_000;
 
-/// A node that may hold the record.
+/// A node that may hold the record of the generation.
 #[derive(Clone, Debug)]
 enum Holder {
     Agent(NodeId, SocketAddr),
     Entry(SocketAddr),
 }
 
-/// Asks the agent that the caller's position hints at, and if it can't continue the answer, every
-/// other agent and entry at once.
+/// Asks the agent named by the hint in the caller's position. If that agent can't continue the
+/// answer, asks all other agents and entries concurrently.
 pub(crate) async fn search_holders(sessions: &Rc<Sessions>, position: Position) -> SearchResult {
     let is_hinted = |holder: &Holder| match holder {
         Holder::Agent(agent, _) => HolderHint::from(agent) == position.holder,
@@ -46,25 +47,28 @@
     }
 }
 
-/// Asks holders at once, and takes the best record that contains what the caller saw. An agent's
-/// record is preferred to an entry's, because its engine goes on.
+/// Asks holders concurrently and returns the best record that contains all tokens that the caller
+/// has received. Records of agents are preferred to those of entries, because the engine of an
+/// agent continues the generation.
 async fn ask_holders(
     sessions: &Rc<Sessions>,
     holders: Vec<Holder>,
     position: Position,
 ) -> SearchResult {
-    let asked: FuturesUnordered<_> = holders
+    let answers_in_flight: FuturesUnordered<_> = holders
         .into_iter()
         .map(|holder| ask_holder(sessions, holder, position))
         .collect();
-    let mut answers: Vec<(Holder, RecordSnapshot)> =
-        asked.filter_map(async |answer| answer).collect().await;
+    let mut answers: Vec<(Holder, RecordSnapshot)> = answers_in_flight
+        .filter_map(async |answer| answer)
+        .collect()
+        .await;
     answers.sort_by_key(|(holder, snapshot)| rank(holder, snapshot));
     let Some((holder, snapshot)) = answers.pop() else {
         return SearchResult::NotFound;
     };
     for (other, record) in answers {
-        cancel_other(&other, &record);
+        cancel_unused(&other, &record);
     }
     match holder {
         Holder::Agent(agent, _) => SearchResult::AtAgent(agent, snapshot),
@@ -72,7 +76,7 @@
     }
 }
 
-/// The order of preference, the best last.
+/// Returns the sort key of a record: the preferred record has the greatest key.
 fn rank(holder: &Holder, snapshot: &RecordSnapshot) -> (bool, usize) {
     (matches!(holder, Holder::Agent(..)), snapshot.tokens.len())
 }
@@ -102,9 +106,9 @@
         nonce: rand::rng().random(),
         seen: position.lineage,
     };
-    let asking = attach(&holder, request);
+    let attach_call = attach(&holder, request);
     let limit = Duration::from_millis(HOLDER_TIMEOUT_MS);
-    match timeout(limit, asking).await.ok()?? {
+    match timeout(limit, attach_call).await.ok()?? {
         AttachReply::Attached(snapshot) if has_reached(&snapshot, position.next_index) => {
             Some((holder, *snapshot))
         }
@@ -137,11 +141,11 @@
 }
 
 fn has_reached(snapshot: &RecordSnapshot, next_index: TokenIndex) -> bool {
-    usize::try_from(next_index.0).is_ok_and(|wanted| snapshot.tokens.len() >= wanted)
+    usize::try_from(next_index.0).is_ok_and(|required| snapshot.tokens.len() >= required)
 }
 
-/// Ends what a holder that was not chosen still runs.
-fn cancel_other(holder: &Holder, record: &RecordSnapshot) {
+/// Cancels the attempt that an agent still runs although its record was not chosen.
+fn cancel_unused(holder: &Holder, record: &RecordSnapshot) {
     let Holder::Agent(_, address) = holder else {
         return;
     };
@@ -155,7 +159,7 @@
     };
     spawn_local(async move {
         if let Some(client) = connect_agent(address).await {
-            // A lost cancel is made up for by the agent's orphan timeout.
+            // If the cancel is lost, the orphan timeout of the agent ends the attempt.
             let _ = client
                 .cancel(call_context(HOLDER_TIMEOUT_MS), request)
                 .await;
@@ -163,7 +167,7 @@
     });
 }
 
-/// Opens a connection to an agent's service.
+/// Connects to the RPC service of an agent. Returns `None` on failure or timeout.
 pub(crate) async fn connect_agent(address: SocketAddr) -> Option<AgentServiceClient> {
     let transport = connect_transport(address, ServiceKind::Agent, HOLDER_TIMEOUT_MS).await;
     let new = AgentServiceClient::new(client::Config::default(), transport.ok()?);
--- a/crates/masticsill_entry/src/sessions_duty.rs
+++ b/crates/masticsill_entry/src/sessions_duty.rs
@@ -26,47 +26,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::answer_ring::AnswerRing;
+use crate::caller_ring::CallerRing;
 use crate::calls::{PlainCall, run_call};
 use crate::config::EntryConfig;
 use crate::events;
 use crate::link::{LinkCommand, LinkConfig, run_link};
 use crate::link_reporter::LinkReporter;
-use crate::policies::{Policies, find_seat};
+use crate::policies::{Policies, find_entry_rank};
 use crate::search::search_holders;
 
-/// Work that other duties hand over and that waits here at most.
-pub(crate) const INPUT_RING_ITEMS: usize = 16_384;
-const LINK_RING_ITEMS: usize = 8_192;
+/// Maximum number of inputs of other duties that are queued.
+pub(crate) const INPUT_RING_CAPACITY: usize = 16_384;
+const LINK_RING_CAPACITY: usize = 8_192;
 const MAX_SESSIONS: usize = 20_000;
-/// How long a generation may be without an endpoint before its final answer, in milliseconds.
-const WAITING_MS: u64 = 4_000;
+/// Maximum time that a generation may be without an endpoint before it is ended with a refusal.
+const UNSERVED_TIMEOUT_MS: u64 = 4_000;
 const TICK_MS: u64 = 20;
-/// Ticks between looks at the members without news, so that held-back endpoints come into use.
-const REFRESH_TICKS: u64 = 25;
-/// Inputs taken before time and links get their turn.
-const INPUT_BATCH: usize = 256;
+/// Number of ticks after which the members are refreshed even without a change, so that endpoints
+/// come back into use when their hold-down ends.
+const MEMBER_REFRESH_TICKS: u64 = 25;
+/// Maximum number of further inputs handled in one batch before ticks and links are served.
+const MAX_EXTRA_INPUTS_PER_BATCH: usize = 256;
 
-/// What other duties hand to the sessions duty.
+/// Inputs of the sessions duty.
 #[derive(Debug)]
 pub(crate) enum SessionInput {
     /// A call of a plain service.
     Call(PlainCall, oneshot::Sender<Result<CallAnswer, Refusal>>),
-    /// A caller that came back.
-    Reattach(Position, AnswerRing),
-    /// Another entry asks for a generation.
+    /// A caller reattaches to a generation.
+    Reattach(Position, CallerRing),
+    /// Another entry requests the record of a generation.
     Release(AttachRequest, oneshot::Sender<AttachReply>),
     /// An admitted generation.
-    Submit(Box<GenerationSpec>, AnswerRing),
+    Submit(Box<GenerationSpec>, CallerRing),
 }
 
-/// What the duty, its links and its calls share; all run on the duty's thread.
+/// The state that the duty shares with its links and calls, which all run on its thread.
 #[derive(Debug)]
 pub(crate) struct Sessions {
-    book: RefCell<SessionTable>,
-    /// The process's clock.
+    table: RefCell<SessionTable>,
+    /// Clock of the process.
     pub(crate) clock: MonotonicClock,
-    /// The entry's configuration.
+    /// Configuration of the entry.
     pub(crate) config: Rc<EntryConfig>,
     links: RefCell<IndexMap<NodeId, Ring<LinkCommand>>>,
     /// Membership and catalogue.
@@ -74,11 +75,11 @@
     metrics: Metrics,
     policies: RefCell<Policies>,
     ticks: Cell<u64>,
-    /// Plain calls that wait for a place.
+    /// Plain calls that wait for a placement.
     waiting_calls: RefCell<IndexMap<GenerationId, oneshot::Sender<Result<NodeId, Refusal>>>>,
 }
 
-/// Runs the duty until its ring is closed and no session is open.
+/// Runs the duty until its input ring is closed and empty.
 pub(crate) async fn run_sessions(
     config: EntryConfig,
     inputs: Ring<SessionInput>,
@@ -86,16 +87,16 @@
     metrics: Metrics,
     clock: MonotonicClock,
 ) {
-    let book_config = SessionTableConfig {
+    let table_config = SessionTableConfig {
         max_sessions: MAX_SESSIONS,
         node: config.node.clone(),
         reattach_ms: config.reattach_ms,
         router: RouterConfig::in_zone(config.zone.clone()),
         seed: rand::rng().random(),
-        unserved_timeout_ms: WAITING_MS,
+        unserved_timeout_ms: UNSERVED_TIMEOUT_MS,
     };
     let sessions = Rc::new(Sessions {
-        book: RefCell::new(SessionTable::new(book_config)),
+        table: RefCell::new(SessionTable::new(table_config)),
         clock,
         config: Rc::new(config),
         links: RefCell::new(IndexMap::new()),
@@ -111,7 +112,7 @@
     loop {
         tokio::select! {
             input = inputs.pop() => match input {
-                Some(input) => sessions.take_batch(input, &inputs),
+                Some(input) => sessions.handle_batch(input, &inputs),
                 None => return,
             },
             () = mesh.changed() => sessions.refresh_members(),
@@ -121,24 +122,27 @@
 }
 
 impl Sessions {
-    /// Where an agent listens.
+    /// Returns the address of the RPC listener of an agent.
     pub(crate) fn agent_address(&self, agent: &NodeId) -> Option<SocketAddr> {
-        let book = self.book.borrow();
-        book.endpoints().get(agent).map(|endpoint| endpoint.address)
+        let table = self.table.borrow();
+        table
+            .endpoints()
+            .get(agent)
+            .map(|endpoint| endpoint.address)
     }
 
-    /// The life in which an agent is known.
-    pub(crate) fn agent_life(&self, agent: &NodeId) -> Option<Incarnation> {
-        let book = self.book.borrow();
-        let endpoint = book.endpoints().get(agent)?;
+    /// Returns the incarnation of an agent that this entry currently uses.
+    pub(crate) fn current_incarnation(&self, agent: &NodeId) -> Option<Incarnation> {
+        let table = self.table.borrow();
+        let endpoint = table.endpoints().get(agent)?;
         Some(endpoint.description.incarnation)
     }
 
-    /// Waits for a place for a plain call.
+    /// Waits for a placement of a plain call.
     ///
     /// # Errors
     ///
-    /// A refusal, *not run*, when the call can't have one.
+    /// Returns a refusal with the outcome *not run* if the call can't be placed.
     pub(crate) async fn place_call(
         self: &Rc<Self>,
         request: WorkRequest,
@@ -147,12 +151,12 @@
             .borrow()
             .check_share(&request.catalogue_entry)?;
         let id = request.id;
-        // The router may decide before this task waits, so the answer's way is laid first.
-        let (reply, placed) = oneshot::channel();
+        // The router may decide before this task waits, so the reply channel is registered first.
+        let (reply, placement) = oneshot::channel();
         self.waiting_calls.borrow_mut().insert(id, reply);
-        let admitted = self.with_book(|book, now| book.admit_call(now, request));
+        let admitted = self.with_table(|table, now| table.admit_call(now, request));
         match admitted {
-            AdmitDecision::Queued => placed.await.unwrap_or_else(|_| Err(shutting_down())),
+            AdmitDecision::Queued => placement.await.unwrap_or_else(|_| Err(shutting_down())),
             AdmitDecision::Start(placement) => {
                 self.waiting_calls.borrow_mut().swap_remove(&id);
                 Ok(placement.node)
@@ -164,79 +168,81 @@
         }
     }
 
-    /// Notes the end of a plain call at its agent.
+    /// Records the end of a plain call at its agent.
     pub(crate) fn end_call(self: &Rc<Self>, id: GenerationId, outcome: WorkOutcome) {
-        self.with_book(|book, now| book.end_call(now, id, outcome));
+        self.with_table(|table, now| table.end_call(now, id, outcome));
     }
 
-    fn answer_waiting_call(self: &Rc<Self>, id: GenerationId, placed: Result<NodeId, Refusal>) {
-        let is_placed = placed.is_ok();
+    fn answer_waiting_call(self: &Rc<Self>, id: GenerationId, placement: Result<NodeId, Refusal>) {
+        let has_placement = placement.is_ok();
         let waiter = self.waiting_calls.borrow_mut().swap_remove(&id);
-        let is_taken = waiter.is_some_and(|waiter| waiter.send(placed).is_ok());
-        if is_placed && !is_taken {
+        let is_received = waiter.is_some_and(|waiter| waiter.send(placement).is_ok());
+        if has_placement && !is_received {
             self.end_call(id, WorkOutcome::Cancelled);
         }
     }
 
-    /// Changes the book, then does what it asks for.
-    pub(crate) fn with_book<T>(
+    /// Changes the session table, dispatches queued work and executes the resulting actions.
+    pub(crate) fn with_table<T>(
         self: &Rc<Self>,
         change: impl FnOnce(&mut SessionTable, ClockMs) -> T,
     ) -> T {
         let now = self.clock.now();
         let (result, actions) = {
-            let mut book = self.book.borrow_mut();
-            let result = change(&mut book, now);
-            book.dispatch_queued(now);
-            (result, book.take_actions())
+            let mut table = self.table.borrow_mut();
+            let result = change(&mut table, now);
+            table.dispatch_queued(now);
+            (result, table.take_actions())
         };
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
         result
     }
 
     fn tick(self: &Rc<Self>) {
-        self.with_book(SessionTable::tick);
+        self.with_table(SessionTable::tick);
         let ticks = self.ticks.get() + 1;
         self.ticks.set(ticks);
-        if ticks.is_multiple_of(REFRESH_TICKS) {
+        if ticks.is_multiple_of(MEMBER_REFRESH_TICKS) {
             self.refresh_members();
         }
     }
 
-    fn take_batch(self: &Rc<Self>, first: SessionInput, inputs: &Ring<SessionInput>) {
-        self.take(first);
-        for _ in 0..INPUT_BATCH {
+    fn handle_batch(self: &Rc<Self>, first: SessionInput, inputs: &Ring<SessionInput>) {
+        self.handle_input(first);
+        for _ in 0..MAX_EXTRA_INPUTS_PER_BATCH {
             let Some(input) = inputs.try_pop() else {
                 return;
             };
-            self.take(input);
+            self.handle_input(input);
         }
     }
 
-    fn take(self: &Rc<Self>, input: SessionInput) {
+    fn handle_input(self: &Rc<Self>, input: SessionInput) {
         match input {
-            SessionInput::Call(call, reply) => self.begin_call(call, reply),
+            SessionInput::Call(call, reply) => self.start_call(call, reply),
             SessionInput::Reattach(position, ring) => {
                 let sink = Box::new(ring);
-                self.with_book(|book, now| book.reattach(now, position, sink));
+                self.with_table(|table, now| table.reattach(now, position, sink));
             }
             SessionInput::Release(request, reply) => {
-                let answer = self.with_book(|book, now| book.release(now, &request));
-                // The asker may have given up; the record is then lost to it, as it is told.
+                let answer = self.with_table(|table, now| table.release(now, &request));
+                // The other entry may have stopped waiting. The record is then lost for that
+                // entry, which treats this node as one that does not hold the record.
                 let _ = reply.send(answer);
             }
             SessionInput::Submit(spec, ring) => self.submit(*spec, ring),
         }
     }
 
-    fn submit(self: &Rc<Self>, spec: GenerationSpec, ring: AnswerRing) {
+    fn submit(self: &Rc<Self>, spec: GenerationSpec, ring: CallerRing) {
         self.metrics.count("entry.generations", 1);
         self.refresh_policies();
         let checked = self.policies.borrow().check_share(&spec.catalogue_entry);
         if let Err(refusal) = checked {
-            // The ring is new and has room; a caller that is gone needs no answer.
+            // The ring is new, so it is not full. If the caller has disconnected, no answer is
+            // needed.
             let _ = ring.offer(StreamItem::Refused(refusal));
             return;
         }
@@ -245,10 +251,10 @@
             spec,
         };
         let nonce = rand::rng().random();
-        self.with_book(|book, now| book.submit(now, submission, nonce));
+        self.with_table(|table, now| table.submit(now, submission, nonce));
     }
 
-    fn begin_call(
+    fn start_call(
         self: &Rc<Self>,
         call: PlainCall,
         reply: oneshot::Sender<Result<CallAnswer, Refusal>>,
@@ -262,13 +268,13 @@
         });
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
-            Action::CallPlaced(id, placed) => self.answer_waiting_call(id, placed),
+            Action::CallPlaced(id, placement) => self.answer_waiting_call(id, placement),
             Action::Cancel(agent, request) => self.command(&agent, LinkCommand::Cancel(request)),
             Action::Follow(agent, cursor) => self.command(&agent, LinkCommand::Follow(cursor)),
             Action::Unfollow(agent, id) => self.command(&agent, LinkCommand::Unfollow(id)),
-            Action::Search(position) => self.begin_search(position),
+            Action::Search(position) => self.start_search(position),
             Action::Start(agent, request) => {
                 if request.history.len() > 1 {
                     self.metrics.count("entry.resumes", 1);
@@ -285,7 +291,7 @@
         }
     }
 
-    fn begin_search(self: &Rc<Self>, position: Position) {
+    fn start_search(self: &Rc<Self>, position: Position) {
         let sessions = Rc::clone(self);
         spawn_local(async move {
             let found = search_holders(&sessions, position).await;
@@ -295,26 +301,27 @@
                 generation = position.id,
                 is_found = !matches!(found, SearchResult::NotFound)
             );
-            sessions.with_book(|book, now| book.search_finished(now, position.id, found));
+            sessions.with_table(|table, now| table.search_finished(now, position.id, found));
         });
     }
 
-    /// Hands a command to an agent's link; streams leave an agent whose link can't take it.
+    /// Passes a command to the link of an agent. If the link can't accept it, the streams of the
+    /// agent move to other agents.
     fn command(self: &Rc<Self>, agent: &NodeId, command: LinkCommand) {
         let Some(ring) = self.link(agent) else {
-            self.leave_later(agent);
+            self.end_incarnation_later(agent);
             return;
         };
         if ring.push(command).is_err() {
-            self.leave_later(agent);
+            self.end_incarnation_later(agent);
         }
     }
 
-    fn leave_later(self: &Rc<Self>, agent: &NodeId) {
+    fn end_incarnation_later(self: &Rc<Self>, agent: &NodeId) {
         let sessions = Rc::clone(self);
         let agent = agent.clone();
         spawn_local(async move {
-            sessions.with_book(|book, now| book.incarnation_ended(now, &agent));
+            sessions.with_table(|table, now| table.incarnation_ended(now, &agent));
         });
     }
 
@@ -323,11 +330,11 @@
             return Some(ring.clone());
         }
         let (address, incarnation) = {
-            let book = self.book.borrow();
-            let endpoint = book.endpoints().get(agent)?;
+            let table = self.table.borrow();
+            let endpoint = table.endpoints().get(agent)?;
             (endpoint.address, endpoint.description.incarnation)
         };
-        let ring = Ring::with_capacity(LINK_RING_ITEMS);
+        let ring = Ring::with_capacity(LINK_RING_CAPACITY);
         let config = LinkConfig {
             address,
             agent: agent.clone(),
@@ -348,27 +355,28 @@
         let view = self.mesh.view();
         let members = view.members();
         let endpoints: IndexMap<NodeId, Endpoint> = members.filter_map(to_endpoint).collect();
-        let lost = self.with_book(|book, _| book.replace_endpoints(endpoints));
+        let lost = self.with_table(|table, _| table.replace_endpoints(endpoints));
         for agent in lost {
             if let Some(ring) = self.links.borrow_mut().swap_remove(&agent) {
                 ring.close();
             }
-            self.with_book(|book, now| book.incarnation_ended(now, &agent));
+            self.with_table(|table, now| table.incarnation_ended(now, &agent));
         }
     }
 
-    /// Follows the catalogue and the entries; callers' requests may be ahead of the wake-up.
+    /// Applies changes of the catalogue and of the set of entries. Also called for each request,
+    /// which may arrive before the duty is notified of a change.
     fn refresh_policies(self: &Rc<Self>) {
         let catalogue = self.mesh.catalogue();
-        let seat = find_seat(&self.mesh.view(), &self.config.node);
-        self.with_book(|book, now| {
+        let entry_rank = find_entry_rank(&self.mesh.view(), &self.config.node);
+        self.with_table(|table, now| {
             let mut policies = self.policies.borrow_mut();
-            policies.refresh(now, &catalogue, seat, book.router_mut());
+            policies.refresh(now, &catalogue, entry_rank, table.router_mut());
         });
     }
 }
 
-/// The endpoint of an agent that is not gone.
+/// Returns the endpoint of a member, or `None` if the member is gone or no agent.
 fn to_endpoint(member: &Member) -> Option<(NodeId, Endpoint)> {
     let Role::Agent(profile) = &member.role else {
         return None;
