--- a/crates/masticsill/src/settings_map.rs
+++ b/crates/masticsill/src/settings_map.rs
@@ -55,7 +55,7 @@
         }
     };
     let mut limits = AgentLimits::default();
-    limits.book.orphan_ms = agent.orphan_ms;
+    limits.generations.orphan_ms = agent.orphan_ms;
     limits.calls.key_window_ms = CALL_WINDOW_MS;
     limits.drain_ms = agent.drain_ms;
     AgentConfig {
@@ -95,7 +95,7 @@
         node: settings.node.clone(),
         operators: operators.collect::<Result<_, _>>()?,
         peers,
-        prompt_news: None,
+        prompt_cache_feed: None,
         replica: to_replica_settings(control.election_timeout_ms),
         rpc_address: address,
         seeds: Vec::new(),
