--- a/crates/masticsill_agent/src/orders/opening.rs
+++ b/crates/masticsill_agent/src/orders/opening.rs
@@ -45,7 +45,7 @@
 
 async fn query_replicas(mesh: &MeshHandle) -> Option<FencingNumber> {
     let view = mesh.view();
-    for member in view.controls() {
+    for member in view.control_replicas() {
         if let Some(highest) = query_replica(member.address).await {
             return Some(highest);
         }
