--- a/crates/masticsill_agent/src/endpoint_duty.rs
+++ b/crates/masticsill_agent/src/endpoint_duty.rs
@@ -105,9 +105,7 @@
                         order,
                     ));
                 }
-                EndpointCommand::Engine(EngineCommand::Run(run_request)) => {
-                    self.start_run(*run_request)
-                }
+                EndpointCommand::Engine(EngineCommand::Run(request)) => self.start_run(*request),
                 EndpointCommand::Engine(EngineCommand::Cancel(run)) => {
                     self.runs.borrow_mut().swap_remove(&run);
                 }
--- a/crates/masticsill_agent/src/role.rs
+++ b/crates/masticsill_agent/src/role.rs
@@ -69,7 +69,7 @@
             let (config, commands, endpoint_events) =
                 (config.clone(), commands.clone(), endpoint_events.clone());
             spawn_duty("endpoint", move || {
-                run_endpoint(config, commands, endpoint_events)
+                run_endpoint(config, commands, endpoint_events);
             })?
         };
         let stop = StopRings {
--- a/crates/masticsill_agent/tests/token_streams.rs
+++ b/crates/masticsill_agent/tests/token_streams.rs
@@ -124,7 +124,7 @@
 fn orphaned_generation_is_cancelled_at_the_engine() {
     let engine = engine(|_| {});
     let agent = TestAgent::start(engine.address(), |limits| {
-        limits.generations.orphan_ms = 300
+        limits.generations.orphan_ms = 300;
     });
     let entry = TestEntry::connect(&agent);
     let mut record = Record::new(spec(4, 100_000), 5);
