--- a/crates/masticsill_membership/src/membership.rs
+++ b/crates/masticsill_membership/src/membership.rs
@@ -435,8 +435,8 @@
         self.push.add_local(self.own.node.clone());
     }
 
-    /// Returns the updates for one peer. If this node suspects the peer, its own record is always
-    /// among them, so that the peer can refute the suspicion.
+    /// Returns the updates for one peer. If this node suspects the peer, they always include the
+    /// record of the peer, so that the peer can refute the suspicion.
     fn take_rumors(&mut self, peer: &NodeId) -> Vec<Record> {
         let nodes = self.rumors.take(self.table.len());
         let records = nodes.iter().filter_map(|node| self.table.record(node));
--- a/crates/masticsill_membership/src/table.rs
+++ b/crates/masticsill_membership/src/table.rs
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Extends the timeouts of suspected members by a pause of this process, during which it could
-    /// not receive their refutations.
+    /// Extends the timeouts of suspected members by `pause_ms`, a pause of this process during
+    /// which their refutations could not be received.
     pub(crate) fn postpone_suspicions(&mut self, pause_ms: u64) {
         for deadline in self.suspects.values_mut() {
             *deadline = *deadline + pause_ms;
