--- a/crates/masticsillctl/src/api.rs
+++ b/crates/masticsillctl/src/api.rs
@@ -1,4 +1,5 @@
-//! Calls of the administration API that are repeated until they are answered.
+//! Client of the administration API. A call is repeated, each time at the next address, until it is
+//! answered or the retry window ends.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -13,35 +14,41 @@
 use crate::arguments::Arguments;
 use crate::failure::Failure;
 
+/// Timeout of one attempt, unless the caller sets another.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(8);
+/// Pause before a call is sent to the next address.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Largest response body that is read.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A connection to the control instances.
+/// Client of the control instances.
 pub(crate) struct Api {
     addresses: Vec<String>,
-    bound: Duration,
+    /// Time after which a call without an answer is not sent again.
+    retry_window: Duration,
     client: Client,
+    /// Index of the address in use, modulo the number of addresses.
     current: Cell<usize>,
     token: String,
 }
 
-/// A call without an answer.
+/// No attempt of a call was answered.
 #[derive(Debug)]
-pub(crate) struct Lost {
+pub(crate) struct Unanswered {
+    /// Error of the last attempt.
     pub(crate) cause: String,
-    /// Whether an instance may have carried the call out.
+    /// Whether an instance may have executed the call in any attempt.
     pub(crate) is_outcome_unknown: bool,
 }
 
-impl From<Lost> for Failure {
-    fn from(lost: Lost) -> Self {
-        Self::Unavailable { cause: lost.cause }
+impl From<Unanswered> for Failure {
+    fn from(unanswered: Unanswered) -> Self {
+        Self::Unavailable { cause: unanswered.cause }
     }
 }
 
-/// A call's end.
-pub(crate) type Answer<T> = Result<Result<T, ErrorJson>, Lost>;
+/// Result of a call: the response, the refusal, or no answer at all.
+pub(crate) type Answer<T> = Result<Result<T, ErrorJson>, Unanswered>;
 
 impl Api {
     pub(crate) async fn connect(arguments: &Arguments) -> Result<Self, Failure> {
@@ -61,24 +68,25 @@
             .map_err(|error| Failure::Usage(error.to_string()))?;
         Ok(Self {
             addresses: arguments.addresses.clone(),
-            bound: Duration::from_secs(arguments.timeout_s),
+            retry_window: Duration::from_secs(arguments.timeout_s),
             client,
             current: Cell::new(0),
             token,
         })
     }
 
-    /// How long a command goes on without an answer.
-    pub(crate) fn bound(&self) -> Duration {
-        self.bound
+    /// Returns the time after which a call without an answer is not sent again.
+    pub(crate) fn retry_window(&self) -> Duration {
+        self.retry_window
     }
 
-    /// Reads something.
+    /// Reads a resource.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         self.get_within(path, ATTEMPT_TIMEOUT).await
     }
 
-    /// Reads something that the instance may hold back for a while.
+    /// Reads a resource with the given timeout for each attempt, for requests that the instance may
+    /// hold open.
     pub(crate) async fn get_within<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -88,7 +96,7 @@
         answer.map_err(Failure::Refused)
     }
 
-    /// Sends a body; the call must be safe to repeat.
+    /// Sends a body. The call must be idempotent, because it is sent again when no answer arrives.
     pub(crate) async fn send<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -105,19 +113,19 @@
         body: Option<&B>,
         timeout: Duration,
     ) -> Answer<T> {
-        let until = Instant::now() + self.bound;
+        let until = Instant::now() + self.retry_window;
         let mut is_outcome_unknown = false;
         loop {
             let request = self.request(method.clone(), path);
-            let lost = match attempt(request, body, timeout).await {
+            let unanswered = match attempt(request, body, timeout).await {
                 Ok(answer) => return Ok(answer),
-                Err(lost) => lost,
+                Err(unanswered) => unanswered,
             };
-            is_outcome_unknown |= lost.is_outcome_unknown;
+            is_outcome_unknown |= unanswered.is_outcome_unknown;
             self.current.set(self.current.get() + 1);
             if Instant::now() >= until {
-                return Err(Lost {
-                    cause: lost.cause,
+                return Err(Unanswered {
+                    cause: unanswered.cause,
                     is_outcome_unknown,
                 });
             }
@@ -143,7 +151,7 @@
             None => request.send().await,
         }
     };
-    let lost = |cause: String, is_outcome_unknown| Lost {
+    let unanswered = |cause: String, is_outcome_unknown| Unanswered {
         cause,
         is_outcome_unknown,
     };
@@ -151,16 +159,16 @@
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             let is_outcome_unknown = !is_unsent(&error);
-            return Err(lost(error.to_string(), is_outcome_unknown));
+            return Err(unanswered(error.to_string(), is_outcome_unknown));
         }
-        Err(_) => return Err(lost("the instance did not answer in time".to_owned(), true)),
+        Err(_) => return Err(unanswered("the instance did not answer in time".to_owned(), true)),
     };
     read_answer(response).await
 }
 
 async fn read_answer<T: DeserializeOwned>(response: ClientResponse) -> Answer<T> {
     let status = response.status();
-    let unreadable = |cause: String| Lost {
+    let unreadable = |cause: String| Unanswered {
         cause,
         is_outcome_unknown: true,
     };
@@ -175,7 +183,7 @@
     let error: ErrorJson = serde_json::from_slice(&body)
         .map_err(|_| unreadable(format!("the address answered status {status}")))?;
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        return Err(Lost {
+        return Err(Unanswered {
             is_outcome_unknown: error.reason == "outcome_unknown",
             cause: error.message,
         });
--- a/crates/masticsillctl/src/arguments.rs
+++ b/crates/masticsillctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::env;
 use std::ffi::OsString;
@@ -12,7 +12,7 @@
 const DEFAULT_TIMEOUT_S: u64 = 30;
 const DEFAULT_AUDIT_LIMIT: u32 = 100;
 
-/// A parsed command line.
+/// The parsed command line, with defaults from the environment.
 #[derive(Debug)]
 pub(crate) struct Arguments {
     pub(crate) addresses: Vec<String>,
@@ -22,7 +22,7 @@
     pub(crate) token: Option<String>,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(Debug)]
 pub(crate) enum Command {
     Apply(ChangeArguments),
@@ -58,24 +58,26 @@
     },
 }
 
-/// A change to send.
+/// Arguments of `apply` and `delete`.
 #[derive(Debug)]
 pub(crate) struct ChangeArguments {
     pub(crate) change_id: Option<String>,
     pub(crate) expected_version: Option<u64>,
-    /// The file to apply, or the entry to delete.
+    /// The file to apply, or the id of the entry to delete.
     pub(crate) subject: String,
 }
 
-/// A replica to replace.
+/// Arguments of `replace-replica`.
 #[derive(Debug)]
 pub(crate) struct Replacement {
     pub(crate) address: Option<String>,
+    /// Name of the new replica; the name of the old one when missing.
     pub(crate) node: Option<String>,
+    /// Name of the replica to replace.
     pub(crate) old: String,
 }
 
-/// Options as they stand, before the command is known.
+/// Options and positional arguments as given, before the command is known.
 #[derive(Debug, Default)]
 struct Options {
     addresses: Vec<String>,
@@ -91,10 +93,10 @@
     replica_address: Option<String>,
     timeout_s: Option<u64>,
     token_file: Option<String>,
-    words: Vec<String>,
+    positional: Vec<String>,
 }
 
-/// Reads the command line and the environment.
+/// Parses the command line, and reads the token file and the environment.
 pub(crate) fn parse(parser: Parser) -> Result<Arguments, Failure> {
     let options = read_options(parser).map_err(|error| usage(error.to_string()))?;
     let token = read_token(options.token_file.as_deref())?;
@@ -126,7 +128,7 @@
             Arg::Long("replica-address") => options.replica_address = Some(text(&mut parser)?),
             Arg::Long("timeout-s") => options.timeout_s = Some(number(&mut parser)?),
             Arg::Long("token-file") => options.token_file = Some(text(&mut parser)?),
-            Arg::Value(word) => options.words.push(into_text(word)?),
+            Arg::Value(word) => options.positional.push(into_text(word)?),
             Arg::Short(_) | Arg::Long(_) => return Err(argument.unexpected()),
         }
     }
@@ -179,13 +181,13 @@
     if options.is_help {
         return Ok(Command::Help);
     }
-    let words: Vec<&str> = options.words.iter().map(String::as_str).collect();
+    let positional: Vec<&str> = options.positional.iter().map(String::as_str).collect();
     let change = |subject: &str| ChangeArguments {
         change_id: options.change_id.clone(),
         expected_version: options.expected_version,
         subject: subject.to_owned(),
     };
-    match words[..] {
+    match positional[..] {
         ["apply", file] => Ok(Command::Apply(change(file))),
         ["explain", request, ref files @ ..] if !files.is_empty() => Ok(Command::Explain {
             files: files.iter().map(|file| (*file).to_owned()).collect(),
@@ -220,6 +222,6 @@
             is_once: options.is_once,
         }),
         [] => Err(usage("no command was given")),
-        _ => Err(usage(format!("`{}` is not a command", words.join(" ")))),
+        _ => Err(usage(format!("`{}` is not a command", positional.join(" ")))),
     }
 }
--- a/crates/masticsillctl/src/catalogue.rs
+++ b/crates/masticsillctl/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Commands on the catalogue.
+//! Commands that read and change the catalogue.
 
 use std::io::Read;
 use std::time::Duration;
@@ -12,13 +12,15 @@
 use serde::Serialize;
 use uuid::Uuid;
 
-use crate::api::{Answer, Api, Lost};
+use crate::api::{Answer, Api, Unanswered};
 use crate::arguments::ChangeArguments;
 use crate::failure::Failure;
 use crate::output::Output;
 
+/// Time that an instance may hold a watch request open without a change.
 const WATCH_WAIT_MS: u64 = 30_000;
-/// A watch's answer is held back by the instance, so it gets more time.
+/// Timeout of one watch request. It exceeds [`WATCH_WAIT_MS`], for which the instance may hold the
+/// request open.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(45);
 
 fn read_entry(file: &str) -> Result<EntryJson, Failure> {
@@ -40,7 +42,7 @@
     Ok(json)
 }
 
-/// Checks an entry's file.
+/// Checks the file of an entry without sending it.
 pub(crate) fn check(file: &str) -> eyre::Result<()> {
     let entry = read_entry(file)?;
     println!("`{file}` is valid: entry `{}`", entry.id);
@@ -55,7 +57,7 @@
     let entry = read_entry(&arguments.subject)?;
     let id = entry.id.clone();
     let expected_version = expected_version(api, &arguments, &id).await?;
-    let change_id = name_change(&arguments);
+    let change_id = choose_change_id(&arguments);
     let body = PutJson {
         change_id: change_id.clone(),
         entry,
@@ -72,7 +74,7 @@
 ) -> eyre::Result<()> {
     let id = arguments.subject.clone();
     let expected_version = expected_version(api, &arguments, &id).await?;
-    let change_id = name_change(&arguments);
+    let change_id = choose_change_id(&arguments);
     let body = DeleteJson {
         change_id: change_id.clone(),
         expected_version,
@@ -85,7 +87,10 @@
     format!("/v1/catalogue/{id}")
 }
 
-/// The version given, or else the one in force.
+/// Returns the version given, or else the version in force; 0 when the entry does not exist.
+///
+/// A change that is sent again must give its version, because the version in force may already be
+/// the result of the first send.
 async fn expected_version(
     api: &Api,
     arguments: &ChangeArguments,
@@ -99,14 +104,15 @@
         return Err(Failure::Usage(text.to_owned()));
     }
     match api.get::<EntryInForceJson>(&path(id)).await {
-        Ok(held) => Ok(held.version),
+        Ok(in_force) => Ok(in_force.version),
         Err(Failure::Refused(error)) if error.reason == "unknown_entry" => Ok(0),
         Err(failure) => Err(failure),
     }
 }
 
-/// Names the change once, and says the name before anything is sent.
-fn name_change(arguments: &ChangeArguments) -> String {
+/// Returns the change id given, or a new one, and prints it before the change is sent, so that the
+/// operator can repeat the change under the same id.
+fn choose_change_id(arguments: &ChangeArguments) -> String {
     let given = arguments.change_id.clone();
     let change_id = given.unwrap_or_else(|| Uuid::new_v4().to_string());
     eprintln!("change id: {change_id}");
@@ -120,7 +126,7 @@
     change_id: String,
     expected_version: u64,
 ) -> eyre::Result<()> {
-    /// An accepted change, for scripts.
+    /// JSON output for an accepted change.
     #[derive(Serialize)]
     struct Accepted<'a> {
         change_id: &'a str,
@@ -130,7 +136,7 @@
     let accepted = match answer {
         Ok(Ok(accepted)) => accepted,
         Ok(Err(error)) => return Err(refusal(error).into()),
-        Err(Lost {
+        Err(Unanswered {
             cause,
             is_outcome_unknown: true,
         }) => {
@@ -141,7 +147,7 @@
             }
             .into());
         }
-        Err(lost) => return Err(Failure::from(lost).into()),
+        Err(unanswered) => return Err(Failure::from(unanswered).into()),
     };
     let json = Accepted {
         change_id: &change_id,
@@ -161,9 +167,9 @@
 }
 
 pub(crate) async fn get(api: &Api, output: Output, id: &str) -> eyre::Result<()> {
-    let held: EntryInForceJson = api.get(&path(id)).await?;
-    let shown = serde_json::to_string_pretty(&held.entry)?;
-    output.show(&held, || format!("version {}\n{shown}", held.version))
+    let in_force: EntryInForceJson = api.get(&path(id)).await?;
+    let shown = serde_json::to_string_pretty(&in_force.entry)?;
+    output.show(&in_force, || format!("version {}\n{shown}", in_force.version))
 }
 
 pub(crate) async fn list(api: &Api, output: Output) -> eyre::Result<()> {
@@ -175,18 +181,18 @@
     })
 }
 
-fn entry_line(held: &EntryInForceJson) -> String {
+fn entry_line(in_force: &EntryInForceJson) -> String {
     let EntryJson {
         id,
         owner,
         class,
         placement,
         ..
-    } = &held.entry;
+    } = &in_force.entry;
     let replicas = placement.replicas;
     format!(
         "{id}  version {}  {owner}  {class}  {replicas} replicas",
-        held.version
+        in_force.version
     )
 }
 
@@ -198,23 +204,23 @@
 ) -> eyre::Result<()> {
     loop {
         let path = format!("/v1/catalogue?watch={from}&wait_ms={WATCH_WAIT_MS}");
-        let news: WatchJson = api.get_within(&path, WATCH_TIMEOUT).await?;
-        if news.version <= from {
+        let update: WatchJson = api.get_within(&path, WATCH_TIMEOUT).await?;
+        if update.version <= from {
             continue;
         }
-        from = news.version;
-        output.show(&news, || watch_text(&news))?;
+        from = update.version;
+        output.show(&update, || watch_text(&update))?;
         if is_once {
             return Ok(());
         }
     }
 }
 
-fn watch_text(news: &WatchJson) -> String {
-    let kind = if news.is_whole { " (whole)" } else { "" };
-    let mut lines = vec![format!("catalogue version {}{kind}", news.version)];
-    lines.extend(news.entries.iter().map(entry_line));
-    let deleted = news.deleted.iter();
-    lines.extend(deleted.map(|gone| format!("{}  deleted in version {}", gone.id, gone.version)));
+fn watch_text(update: &WatchJson) -> String {
+    let kind = if update.is_whole { " (whole)" } else { "" };
+    let mut lines = vec![format!("catalogue version {}{kind}", update.version)];
+    lines.extend(update.entries.iter().map(entry_line));
+    let deleted = update.deleted.iter();
+    lines.extend(deleted.map(|deletion| format!("{}  deleted in version {}", deletion.id, deletion.version)));
     lines.join("\n")
 }
--- a/crates/masticsillctl/src/explain.rs
+++ b/crates/masticsillctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! What became of one request, from the structured logs of the processes that saw it.
+//! `explain`: reports the course of one request from the structured logs of the relays.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,24 +9,25 @@
 use crate::failure::Failure;
 use crate::output::Output;
 
-/// One line about the request.
+/// One log line about the request.
 #[derive(Debug, Serialize)]
 struct Step {
-    /// Time of day, as the process that wrote the line knew it.
+    /// Wall-clock time of the process that wrote the line, in Unix milliseconds.
     at_wall_ms: u64,
     event: String,
-    /// Number of the line in its process.
+    /// Sequence number of the line within its process.
     line: u64,
     node: String,
-    /// Time since that process started.
+    /// Time since that process started, in milliseconds.
     up_ms: u64,
+    /// Description of the event in plain words.
     what: String,
 }
 
-/// Prints the lines of a request in order, each in plain words.
+/// Prints the log lines of a request ordered by wall-clock time, each described in plain words.
 ///
-/// Times of day differ between instances by what their clocks differ: lines of one process are in
-/// order, those of two are as far as their clocks agree.
+/// The order of lines from two processes is only as exact as their clocks agree. Lines of one
+/// process with the same time are ordered by their sequence numbers.
 pub(crate) fn explain(output: Output, request: &str, files: &[String]) -> eyre::Result<()> {
     if request.is_empty() {
         let message = "the request id is empty; name the id that the caller sent";
@@ -63,12 +64,12 @@
         Failure::Usage(message)
     })?;
     for line in BufReader::new(opened).lines() {
-        // Only lines that can be of the request are parsed: logs are long.
+        // Logs are long, so only lines that contain the request id are parsed.
         let line = line?;
         if !line.contains(request) {
             continue;
         }
-        // Collectors put the time and the instance before the object.
+        // Log collectors may prefix the JSON object with a time and the instance.
         let object = line.find('{').map_or("", |start| &line[start..]);
         let Ok(Value::Object(fields)) = serde_json::from_str(object) else {
             continue;
@@ -80,18 +81,18 @@
                 line: number(&fields, "line"),
                 node: text(&fields, "node"),
                 up_ms: number(&fields, "up_ms"),
-                what: in_words(&fields),
+                what: describe(&fields),
             });
         }
     }
     Ok(())
 }
 
-/// A line in plain words.
-fn in_words(fields: &Map<String, Value>) -> String {
+/// Describes a log line in plain words; an unknown event is shown with all its fields.
+fn describe(fields: &Map<String, Value>) -> String {
     let field = |name| text(fields, name);
     match field("event").as_str() {
-        "request_answered" => answered(fields),
+        "request_answered" => describe_answer(fields),
         "request_refused" => format!(
             "the relay answered {} itself: {}{}",
             field("status"),
@@ -153,7 +154,7 @@
     }
 }
 
-fn answered(fields: &Map<String, Value>) -> String {
+fn describe_answer(fields: &Map<String, Value>) -> String {
     let field = |name| text(fields, name);
     let answer = format!(
         "answered with {} of endpoint {} on route {} ({}) after {} ms and {} sends",
@@ -175,7 +176,7 @@
     )
 }
 
-/// A field as text; empty where it is missing.
+/// Returns a field as text, or an empty string when the field is missing.
 fn text(fields: &Map<String, Value>, name: &str) -> String {
     match fields.get(name) {
         Some(Value::String(text)) => text.clone(),
--- a/crates/masticsillctl/src/failure.rs
+++ b/crates/masticsillctl/src/failure.rs
@@ -1,49 +1,50 @@
-//! Why a command failed, and the exit code that says so to a script.
+//! Failures of commands and their exit codes.
 
 use masticsill_wire::admin::ErrorJson;
 use thiserror::Error;
 
-/// Exit code of failures without one of their own.
+/// Exit code of failures that have no specific code.
 pub(crate) const OTHER: u8 = 1;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum Failure {
-    /// The command line or a file is wrong.
+    /// The command line or an input file is invalid.
     #[error("{0}")]
     Usage(String),
-    /// Another change of the entry came first.
+    /// The entry is no longer at the expected version: another change was accepted first.
     #[error("{}", .0.message)]
     Conflict(ErrorJson),
-    /// The call was refused.
+    /// A control instance refused the call.
     #[error("{}", .0.message)]
     Refused(ErrorJson),
-    /// No instance answered, and nothing was sent.
+    /// No control instance answered the call, and no change was sent.
     #[error("no control instance answered ({cause}); check --address, nothing was done")]
     Unavailable {
-        /// The last cause.
+        /// Error of the last attempt.
         cause: String,
     },
-    /// A replacement takes longer than the time given.
+    /// The new replica did not become a voter within the time of `--timeout-s`; the control
+    /// instances go on with the change.
     #[error(
         "`{node}` has not taken over yet; the replacement goes on by itself, see \
          `masticsillctl replicas`"
     )]
     StillReplacing {
-        /// The new replica.
+        /// Name of the new replica.
         node: String,
     },
-    /// A change was sent and its answer never came.
+    /// A change was sent, but no answer arrived; it may be in force.
     #[error(
         "no answer ({cause}); the change may be in force: run this again with \
          `--change-id {change_id} --expected-version {expected_version}`"
     )]
     OutcomeUnknown {
-        /// The last cause.
+        /// Error of the last attempt.
         cause: String,
-        /// The change's id.
+        /// Id of the change, to send it again under.
         change_id: String,
-        /// The version that it expects.
+        /// Version of the entry that the change replaces.
         expected_version: u64,
     },
 }
--- a/crates/masticsillctl/src/main.rs
+++ b/crates/masticsillctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line tool.
+//! The operators' command line tool: reads and changes the catalogue and the control replicas.
 
 mod api;
 mod arguments;
@@ -8,7 +8,7 @@
 mod help;
 mod operations;
 mod output;
-mod routed;
+mod routing;
 
 use std::process::ExitCode;
 
@@ -49,7 +49,8 @@
     }
 }
 
-/// Prints the hash under which a control replica's settings know the operator's token.
+/// Prints the BLAKE3 hash of the operator's token, for `token_blake3` in the settings of the
+/// control replicas.
 fn print_token_hash(arguments: &Arguments) -> eyre::Result<()> {
     let Some(token) = &arguments.token else {
         let message = "hash-token needs a token; name its file with --token-file";
@@ -68,8 +69,8 @@
         Command::Apply(change) => catalogue::apply(&api, output, change).await,
         Command::Audit { after, limit } => operations::audit(&api, output, after, limit).await,
         Command::Delete(change) => catalogue::delete(&api, output, change).await,
-        Command::Document => routed::document(&api, output).await,
-        Command::Endpoints => routed::endpoints(&api, output).await,
+        Command::Document => routing::document(&api, output).await,
+        Command::Endpoints => routing::endpoints(&api, output).await,
         Command::Get { id } => catalogue::get(&api, output, &id).await,
         Command::JoinReplica { address, node } => {
             operations::join_replica(&api, output, address, node).await
--- a/crates/masticsillctl/src/operations.rs
+++ b/crates/masticsillctl/src/operations.rs
@@ -1,4 +1,4 @@
-//! Commands on the audit trail and the control instances.
+//! Commands that read the audit trail, and read and change the control replicas.
 
 use std::time::{Duration, Instant};
 
@@ -74,7 +74,8 @@
     )
 }
 
-/// Asks for the replacement and waits until the new replica votes and the old one is gone.
+/// Requests the replacement and waits until the new replica is a voter and the old one has been
+/// removed.
 pub(crate) async fn replace_replica(
     api: &Api,
     output: Output,
@@ -96,7 +97,7 @@
     };
     send_join(api, &body).await?;
     let view = read_replicas(api).await?;
-    if is_unreplaceable(&view, &node, &old.folder) {
+    if runs_on_old_folder(&view, &node, &old.folder) {
         return output.show(&view, || {
             format!("`{node}` runs with the folder that it votes with; nothing to replace")
         });
@@ -111,7 +112,7 @@
     })
 }
 
-/// Admits one more replica and waits until it votes.
+/// Admits one more replica and waits until it is a voter.
 pub(crate) async fn join_replica(
     api: &Api,
     output: Output,
@@ -137,10 +138,11 @@
     accepted.map(|_| ()).map_err(Failure::Refused)
 }
 
-/// Whether the replica named runs with the very folder that was to be replaced.
-fn is_unreplaceable(view: &ReplicasJson, node: &str, old_folder: &str) -> bool {
-    let mut namesakes = view.replicas.iter().filter(|it| it.node == node);
-    namesakes.all(|it| it.folder == old_folder) && view.replicas.iter().any(|it| it.node == node)
+/// Whether every member named `node` still runs with the folder that was to be replaced, so that
+/// there is nothing to replace.
+fn runs_on_old_folder(view: &ReplicasJson, node: &str, old_folder: &str) -> bool {
+    let mut same_name = view.replicas.iter().filter(|it| it.node == node);
+    same_name.all(|it| it.folder == old_folder) && view.replicas.iter().any(|it| it.node == node)
 }
 
 async fn await_replacement(
@@ -156,13 +158,15 @@
     await_members(api, node, is_replaced).await
 }
 
-/// Waits until the members are as wanted.
+/// Polls the replicas until `is_wanted` holds.
+///
+/// Fails with [`Failure::StillReplacing`] after the time of `--timeout-s`.
 async fn await_members(
     api: &Api,
     node: &str,
     is_wanted: impl Fn(&ReplicasJson) -> bool,
 ) -> Result<ReplicasJson, Failure> {
-    let until = Instant::now() + api.bound();
+    let until = Instant::now() + api.retry_window();
     loop {
         let view = read_replicas(api).await?;
         if is_wanted(&view) {
--- a/crates/masticsillctl/src/output.rs
+++ b/crates/masticsillctl/src/output.rs
@@ -1,17 +1,19 @@
-//! What is printed, for a person or for a script.
+//! Prints results as text or as JSON.
 
 use std::io::{self, Write};
 
 use serde::Serialize;
 
-/// How to print.
+/// The output format: JSON for scripts, or else text.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Output {
     pub(crate) is_json: bool,
 }
 
 impl Output {
-    /// Prints one line of JSON, or the text.
+    /// Prints `json` as one line when JSON was asked for, or else the result of `text`.
+    ///
+    /// `text` is called only when its result is printed.
     pub(crate) fn show<T: Serialize>(
         self,
         json: &T,
--- a/crates/masticsillctl/src/routed.rs
+++ b/crates/masticsillctl/src/routing.rs
@@ -1,11 +1,12 @@
-//! Commands on the catalogue as one document, and on endpoints that register themselves.
+//! `document` and `endpoints`: the catalogue as one document, and the endpoints that registered
+//! themselves.
 
 use masticsill_wire::admin::{DocumentJson, EndpointJson, EndpointsJson};
 
 use crate::api::Api;
 use crate::output::Output;
 
-/// Shows the document in force, as the operator sent it.
+/// Shows the document in force as the operator sent it.
 pub(crate) async fn document(api: &Api, output: Output) -> eyre::Result<()> {
     let document: DocumentJson = api.get("/v1/document").await?;
     output.show(&document, || {
@@ -13,7 +14,7 @@
     })
 }
 
-/// Shows the endpoints as the instance that answers knows them.
+/// Shows the endpoints that the answering control instance knows.
 pub(crate) async fn endpoints(api: &Api, output: Output) -> eyre::Result<()> {
     let view: EndpointsJson = api.get("/v1/endpoints").await?;
     output.show(&view, || {
--- a/crates/masticsillctl/tests/explain_request.rs
+++ b/crates/masticsillctl/tests/explain_request.rs
@@ -1,4 +1,4 @@
-//! `masticsillctl explain`: the lines of one request, in order and in plain words.
+//! `masticsillctl explain` shows the log lines of one request in order and in plain words.
 
 use std::fs;
 use std::process::{Command, Output};
@@ -18,7 +18,7 @@
 "#;
 
 #[test]
-fn lines_of_several_processes_are_told_in_order() {
+fn lines_of_several_processes_are_shown_in_order() {
     let folder = tempfile::tempdir().unwrap();
     let [a, b] = ["a.log", "b.log"].map(|name| folder.path().join(name));
     fs::write(&a, RELAY_A).unwrap();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_request_that_no_log_knows_is_an_error_with_a_remedy() {
+fn a_request_in_none_of_the_logs_is_an_error_with_a_remedy() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("a.log");
     fs::write(&file, RELAY_A).unwrap();
--- a/crates/masticsillctl/tests/operator_tool.rs
+++ b/crates/masticsillctl/tests/operator_tool.rs
@@ -1,4 +1,4 @@
-//! The tool against running control replicas.
+//! Runs `masticsillctl` against control replicas.
 
 #[path = "../../masticsill_control/tests/common/mod.rs"]
 mod common;
@@ -16,13 +16,13 @@
     "placement": {"replicas": 1}
 }"#;
 
-/// Control replicas, and a folder for the operator's files.
-struct Desk {
+/// Running control replicas, and a folder for the operator's files.
+struct ToolFixture {
     cluster: Cluster,
     folder: TempDir,
 }
 
-impl Desk {
+impl ToolFixture {
     fn start(replica_count: usize) -> Self {
         let cluster = Cluster::start(replica_count);
         let folder = TempDir::new().unwrap();
@@ -69,31 +69,31 @@
 
 #[test]
 fn an_entry_is_applied_shown_and_deleted() {
-    let desk = Desk::start(1);
-    let file = desk.file("entry.json", ENTRY);
+    let fixture = ToolFixture::start(1);
+    let file = fixture.file("entry.json", ENTRY);
     let file = file.to_str().unwrap();
     let id = "fliesenwerk/layout";
-    assert_ends(&desk.run(&["check", file]), 0, "is valid");
-    assert_ends(&desk.run(&["apply", file]), 0, "accepted as version 1");
-    assert_ends(&desk.run(&["--json", "apply", file]), 0, r#""version":2"#);
-    assert_ends(&desk.run(&["get", id]), 0, "\"planner\"");
-    assert_ends(&desk.run(&["list"]), 0, "fliesenwerk/layout  version 2");
+    assert_ends(&fixture.run(&["check", file]), 0, "is valid");
+    assert_ends(&fixture.run(&["apply", file]), 0, "accepted as version 1");
+    assert_ends(&fixture.run(&["--json", "apply", file]), 0, r#""version":2"#);
+    assert_ends(&fixture.run(&["get", id]), 0, "\"planner\"");
+    assert_ends(&fixture.run(&["list"]), 0, "fliesenwerk/layout  version 2");
     assert_ends(
-        &desk.run(&["watch", "--from", "1", "--once"]),
+        &fixture.run(&["watch", "--from", "1", "--once"]),
         0,
         "version 2",
     );
-    assert_ends(&desk.run(&["delete", id]), 0, "accepted as version 3");
-    assert_ends(&desk.run(&["get", id]), 4, "no entry");
-    assert_ends(&desk.run(&["audit"]), 0, "delete fliesenwerk/layout");
-    assert_ends(&desk.run(&["replicas"]), 0, "control-1  voter");
+    assert_ends(&fixture.run(&["delete", id]), 0, "accepted as version 3");
+    assert_ends(&fixture.run(&["get", id]), 4, "no entry");
+    assert_ends(&fixture.run(&["audit"]), 0, "delete fliesenwerk/layout");
+    assert_ends(&fixture.run(&["replicas"]), 0, "control-1  voter");
     assert_ends(
-        &desk.run(&["replace-replica", "control-1"]),
+        &fixture.run(&["replace-replica", "control-1"]),
         0,
         "nothing to replace",
     );
     assert_ends(
-        &desk.run(&["replace-replica", "control-9"]),
+        &fixture.run(&["replace-replica", "control-9"]),
         2,
         "not a member",
     );
@@ -101,8 +101,8 @@
 
 #[test]
 fn a_change_sent_again_gets_its_first_answer() {
-    let desk = Desk::start(1);
-    let file = desk.file("entry.json", ENTRY);
+    let fixture = ToolFixture::start(1);
+    let file = fixture.file("entry.json", ENTRY);
     let file = file.to_str().unwrap();
     let apply = [
         "apply",
@@ -112,62 +112,62 @@
         "--expected-version",
         "0",
     ];
-    assert_ends(&desk.run(&apply), 0, "accepted as version 1");
-    assert_ends(&desk.run(&["apply", file]), 0, "accepted as version 2");
-    assert_ends(&desk.run(&apply), 0, "accepted as version 1");
+    assert_ends(&fixture.run(&apply), 0, "accepted as version 1");
+    assert_ends(&fixture.run(&["apply", file]), 0, "accepted as version 2");
+    assert_ends(&fixture.run(&apply), 0, "accepted as version 1");
     let other = ["apply", file, "--expected-version", "1"];
-    assert_ends(&desk.run(&other), 3, "version 2 is in force");
+    assert_ends(&fixture.run(&other), 3, "version 2 is in force");
 }
 
 #[test]
 fn failures_have_exit_codes_and_remedies() {
-    let desk = Desk::start(1);
+    let fixture = ToolFixture::start(1);
     let wrong = ENTRY.replace("\"replicas\": 1", "\"replicas\": 0");
-    let wrong = desk.file("wrong.json", &wrong);
+    let wrong = fixture.file("wrong.json", &wrong);
     let wrong = wrong.to_str().unwrap();
-    assert_ends(&desk.run(&["check", wrong]), 2, "placement.replicas");
-    assert_ends(&desk.run(&["apply", wrong]), 2, "placement.replicas");
-    assert_ends(&desk.run(&["frobnicate"]), 2, "--help");
-    assert_ends(&desk.run(&["--help"]), 0, "Exit codes");
-    fs::write(desk.folder.path().join("token"), "wrong").unwrap();
-    assert_ends(&desk.run(&["list"]), 4, "settings");
+    assert_ends(&fixture.run(&["check", wrong]), 2, "placement.replicas");
+    assert_ends(&fixture.run(&["apply", wrong]), 2, "placement.replicas");
+    assert_ends(&fixture.run(&["frobnicate"]), 2, "--help");
+    assert_ends(&fixture.run(&["--help"]), 0, "Exit codes");
+    fs::write(fixture.folder.path().join("token"), "wrong").unwrap();
+    assert_ends(&fixture.run(&["list"]), 4, "settings");
 }
 
 #[test]
-fn a_change_that_was_never_sent_is_said_to_be_undone() {
-    let mut desk = Desk::start(1);
-    let address = desk.cluster.http_address(1).to_string();
-    desk.cluster.stop(&node(1));
-    let file = desk.file("entry.json", ENTRY);
+fn a_change_that_was_never_sent_is_reported_as_not_done() {
+    let mut fixture = ToolFixture::start(1);
+    let address = fixture.cluster.http_address(1).to_string();
+    fixture.cluster.stop(&node(1));
+    let file = fixture.file("entry.json", ENTRY);
     let file = file.to_str().unwrap();
     let apply = ["apply", file, "--expected-version", "0", "--timeout-s", "1"];
-    assert_ends(&desk.run_at(&[address], &apply), 5, "nothing was done");
+    assert_ends(&fixture.run_at(&[address], &apply), 5, "nothing was done");
 }
 
 #[test]
 fn a_lost_replica_is_replaced_by_one_command() {
-    let mut desk = Desk::start(3);
-    let file = desk.file("entry.json", ENTRY);
+    let mut fixture = ToolFixture::start(3);
+    let file = fixture.file("entry.json", ENTRY);
     assert_ends(
-        &desk.run(&["apply", file.to_str().unwrap()]),
+        &fixture.run(&["apply", file.to_str().unwrap()]),
         0,
         "accepted as version 1",
     );
-    desk.cluster.abort(&node(2));
-    desk.cluster.lose_folder(2);
-    desk.cluster.run(2);
+    fixture.cluster.abort(&node(2));
+    fixture.cluster.lose_folder(2);
+    fixture.cluster.run(2);
     assert_ends(
-        &desk.run(&["replace-replica", "control-2"]),
+        &fixture.run(&["replace-replica", "control-2"]),
         0,
         "`control-2` votes",
     );
     assert_ends(
-        &desk.run(&["replace-replica", "control-2"]),
+        &fixture.run(&["replace-replica", "control-2"]),
         0,
         "nothing to replace",
     );
-    assert_ends(&desk.run(&["audit"]), 0, "add_replica control-2");
-    // A second loss right after the repair is borne.
-    desk.cluster.abort(&node(1));
-    assert_ends(&desk.run(&["list"]), 0, "catalogue version 1");
+    assert_ends(&fixture.run(&["audit"]), 0, "add_replica control-2");
+    // The cluster must tolerate a second loss right after the replacement.
+    fixture.cluster.abort(&node(1));
+    assert_ends(&fixture.run(&["list"]), 0, "catalogue version 1");
 }
