--- a/crates/masticsill/src/node.rs
+++ b/crates/masticsill/src/node.rs
@@ -14,8 +14,8 @@
     Mesh, MeshConfig, MeshHandle, RenewSource, RenewalPeriods, ServiceRoutes, new_incarnation,
 };
 use masticsill_runtime::{
-    DutyHandle, Metrics, Ring, RpcListener, ServiceStream, ShutdownSignal, events, join_cluster,
-    listen, serve_text_metrics, watch_signals,
+    DutyHandle, Metrics, Ring, RpcListener, ServiceStream, ShutdownSignal, events, listen,
+    serve_text_metrics, set_process_cluster, watch_signals,
 };
 use masticsill_settings::{
     AgentSettings, ControlSettings, EndpointSettings, EntrySettings, RoleSettings, Settings,
@@ -52,7 +52,7 @@
 ///
 /// An error that names what could not be started, or the duty that failed.
 pub(crate) fn run(settings: Settings, path: PathBuf) -> eyre::Result<()> {
-    join_cluster(&settings.cluster);
+    set_process_cluster(&settings.cluster);
     let shutdown = ShutdownSignal::default();
     let started = settings.clone();
     watch_signals(shutdown.clone(), move || check_reload(&path, &started))
--- a/crates/masticsill_control/src/unreadable.rs
+++ b/crates/masticsill_control/src/unreadable.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use masticsill_registry::EndpointId;
-use masticsill_runtime::LogPacer;
+use masticsill_runtime::LogRateLimiter;
 use masticsill_types::{MonotonicClock, log_event};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -45,7 +45,7 @@
 struct Shared {
     clock: MonotonicClock,
     counts: Family<WordLabel, Counter>,
-    pacer: Mutex<LogPacer>,
+    pacer: Mutex<LogRateLimiter>,
 }
 
 /// The unreadable words of one process. Clones share them.
--- a/crates/masticsill_runtime/src/cluster.rs
+++ b/crates/masticsill_runtime/src/cluster.rs
@@ -14,7 +14,7 @@
 /// Every connection between processes carries a tag of the name, and a listener closes those of
 /// other clusters: a seed that leads to the wrong place joins nothing. A second call changes
 /// nothing. Without a call the process belongs to the cluster without a name.
-pub fn join_cluster(cluster: &ClusterId) {
+pub fn set_process_cluster(cluster: &ClusterId) {
     let _ = CLUSTER.set(cluster_tag(cluster));
 }
 
--- a/crates/masticsill_runtime/src/log_rate_limiter.rs
+++ b/crates/masticsill_runtime/src/log_rate_limiter.rs
@@ -8,12 +8,12 @@
 
 /// Lets a line pass now and then, and counts those that were held back.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LogPacer {
+pub struct LogRateLimiter {
     held_back: u64,
     logged_at: Option<ClockMs>,
 }
 
-impl LogPacer {
+impl LogRateLimiter {
     /// Asks for a line: how many were held back since the last one, or `None` for now.
     pub fn pass(&mut self, now: ClockMs) -> Option<u64> {
         let is_soon = |at: ClockMs| now.since(at) < INTERVAL_MS;
--- a/crates/masticsill_runtime/tests/log_pacer.rs
+++ b/crates/masticsill_runtime/tests/log_pacer.rs
@@ -1,11 +1,11 @@
 //! Lines that others can cause at will.
 
-use masticsill_runtime::LogPacer;
+use masticsill_runtime::LogRateLimiter;
 use masticsill_types::ClockMs;
 
 #[test]
 fn one_line_passes_in_a_second() {
-    let mut pacer = LogPacer::default();
+    let mut pacer = LogRateLimiter::default();
     assert_eq!(pacer.pass(ClockMs(5)), Some(0));
     for at in 6..1_005 {
         assert_eq!(pacer.pass(ClockMs(at)), None);
--- a/crates/masticsillctl/src/api.rs
+++ b/crates/masticsillctl/src/api.rs
@@ -43,7 +43,9 @@
 
 impl From<Unanswered> for Failure {
     fn from(unanswered: Unanswered) -> Self {
-        Self::Unavailable { cause: unanswered.cause }
+        Self::Unavailable {
+            cause: unanswered.cause,
+        }
     }
 }
 
@@ -161,7 +163,12 @@
             let is_outcome_unknown = !is_unsent(&error);
             return Err(unanswered(error.to_string(), is_outcome_unknown));
         }
-        Err(_) => return Err(unanswered("the instance did not answer in time".to_owned(), true)),
+        Err(_) => {
+            return Err(unanswered(
+                "the instance did not answer in time".to_owned(),
+                true,
+            ));
+        }
     };
     read_answer(response).await
 }
--- a/crates/masticsillctl/src/arguments.rs
+++ b/crates/masticsillctl/src/arguments.rs
@@ -222,6 +222,9 @@
             is_once: options.is_once,
         }),
         [] => Err(usage("no command was given")),
-        _ => Err(usage(format!("`{}` is not a command", positional.join(" ")))),
+        _ => Err(usage(format!(
+            "`{}` is not a command",
+            positional.join(" ")
+        ))),
     }
 }
--- a/crates/masticsillctl/src/catalogue.rs
+++ b/crates/masticsillctl/src/catalogue.rs
@@ -169,7 +169,9 @@
 pub(crate) async fn get(api: &Api, output: Output, id: &str) -> eyre::Result<()> {
     let in_force: EntryInForceJson = api.get(&path(id)).await?;
     let shown = serde_json::to_string_pretty(&in_force.entry)?;
-    output.show(&in_force, || format!("version {}\n{shown}", in_force.version))
+    output.show(&in_force, || {
+        format!("version {}\n{shown}", in_force.version)
+    })
 }
 
 pub(crate) async fn list(api: &Api, output: Output) -> eyre::Result<()> {
@@ -221,6 +223,8 @@
     let mut lines = vec![format!("catalogue version {}{kind}", update.version)];
     lines.extend(update.entries.iter().map(entry_line));
     let deleted = update.deleted.iter();
-    lines.extend(deleted.map(|deletion| format!("{}  deleted in version {}", deletion.id, deletion.version)));
+    lines.extend(
+        deleted.map(|deletion| format!("{}  deleted in version {}", deletion.id, deletion.version)),
+    );
     lines.join("\n")
 }
--- a/crates/masticsillctl/tests/operator_tool.rs
+++ b/crates/masticsillctl/tests/operator_tool.rs
@@ -75,7 +75,11 @@
     let id = "fliesenwerk/layout";
     assert_ends(&fixture.run(&["check", file]), 0, "is valid");
     assert_ends(&fixture.run(&["apply", file]), 0, "accepted as version 1");
-    assert_ends(&fixture.run(&["--json", "apply", file]), 0, r#""version":2"#);
+    assert_ends(
+        &fixture.run(&["--json", "apply", file]),
+        0,
+        r#""version":2"#,
+    );
     assert_ends(&fixture.run(&["get", id]), 0, "\"planner\"");
     assert_ends(&fixture.run(&["list"]), 0, "fliesenwerk/layout  version 2");
     assert_ends(
