--- a/crates/masticsill_http1/src/body.rs
+++ b/crates/masticsill_http1/src/body.rs
@@ -1,24 +1,24 @@
-//! Bodies: by length, in chunks, or until the connection ends.
+//! Message bodies: with a length, chunked, or delimited by the end of the connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::error::ParseError;
 
-/// Bytes of a chunk's size line or of one trailer line, at most.
+/// Longest size line of a chunk or trailer line.
 const MAX_LINE_BYTES: usize = 1_024;
-/// Trailer lines, at most.
-const MAX_TRAILERS: u32 = 32;
+/// Most trailer lines.
+const MAX_TRAILER_LINES: u32 = 32;
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// In chunks, the last of which is empty.
+    /// Chunked transfer coding: an empty chunk ends the body.
     Chunked,
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// With the connection.
+    /// The end of the connection ends the body.
     UntilClose,
 }
 
@@ -32,88 +32,91 @@
     }
 }
 
-/// What a buffer holds of a body.
+/// Result of one step of a [`BodyDecoder`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BodyStep {
     /// The next bytes of the body.
     Data(Bytes),
-    /// The body is whole; what is left in the buffer does not belong to it.
+    /// The body is complete. The bytes left in the buffer belong to the next message.
     End,
-    /// More bytes must arrive first.
+    /// The buffer holds no further bytes of the body; more must arrive.
     NeedMore,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum State {
-    ChunkData { left_bytes: u64 },
+enum DecoderState {
+    ChunkData { remaining_bytes: u64 },
     ChunkEnd,
     ChunkSize,
     Done,
-    Length { left_bytes: u64 },
-    Trailers { left: u32 },
+    Length { remaining_bytes: u64 },
+    Trailers { remaining: u32 },
     UntilClose,
 }
 
-/// Takes a body off the front of a buffer, piece by piece.
+/// Decodes a body piece by piece from the front of a buffer.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
-    state: State,
+    state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// A decoder at the start of a body.
+    /// Returns a decoder for a body with this framing.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
-            Framing::Chunked => State::ChunkSize,
-            Framing::Empty => State::Done,
-            Framing::Length(left_bytes) => State::Length { left_bytes },
-            Framing::UntilClose => State::UntilClose,
+            Framing::Chunked => DecoderState::ChunkSize,
+            Framing::Empty => DecoderState::Done,
+            Framing::Length(remaining_bytes) => DecoderState::Length { remaining_bytes },
+            Framing::UntilClose => DecoderState::UntilClose,
         };
         Self { state }
     }
 
-    /// Whether the end of the connection is the proper end of this body.
+    /// Returns whether the end of the connection ends this body regularly.
     #[must_use]
     pub fn ends_with_connection(&self) -> bool {
-        self.state == State::UntilClose
+        self.state == DecoderState::UntilClose
     }
 
-    /// Whether the body is whole.
+    /// Returns whether the body is complete.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.state == State::Done
+        self.state == DecoderState::Done
     }
 
-    /// Takes the next piece.
+    /// Removes the next piece of the body from the front of the buffer.
     ///
     /// # Errors
     ///
-    /// [`ParseError::Chunk`] when a chunk is malformed.
+    /// [`ParseError::Chunk`] if a chunk is malformed, a line is too long or there are too many
+    /// trailer lines.
     pub fn step(&mut self, buffer: &mut BytesMut) -> Result<BodyStep, ParseError> {
         loop {
             match self.state {
-                State::Done => return Ok(BodyStep::End),
-                State::UntilClose => return Ok(take_up_to(buffer, u64::MAX).into()),
-                State::Length { left_bytes } => {
-                    let data = take_up_to(buffer, left_bytes);
-                    let left_bytes = left_bytes - data.len() as u64;
-                    self.state = match left_bytes {
-                        0 => State::Done,
-                        _ => State::Length { left_bytes },
+                DecoderState::Done => return Ok(BodyStep::End),
+                DecoderState::UntilClose => return Ok(take_up_to(buffer, u64::MAX).into()),
+                DecoderState::Length { remaining_bytes } => {
+                    let data = take_up_to(buffer, remaining_bytes);
+                    let remaining_bytes = remaining_bytes - data.len() as u64;
+                    self.state = match remaining_bytes {
+                        0 => DecoderState::Done,
+                        _ => DecoderState::Length { remaining_bytes },
                     };
                     return Ok(data.into());
                 }
-                State::ChunkData { left_bytes } => {
-                    let data = take_up_to(buffer, left_bytes);
-                    let left_bytes = left_bytes - data.len() as u64;
-                    self.state = match left_bytes {
-                        0 => State::ChunkEnd,
-                        _ => State::ChunkData { left_bytes },
+                DecoderState::ChunkData { remaining_bytes } => {
+                    let data = take_up_to(buffer, remaining_bytes);
+                    let remaining_bytes = remaining_bytes - data.len() as u64;
+                    self.state = match remaining_bytes {
+                        0 => DecoderState::ChunkEnd,
+                        _ => DecoderState::ChunkData { remaining_bytes },
                     };
                     return Ok(data.into());
                 }
-                State::ChunkEnd | State::ChunkSize | State::Trailers { .. } => {
+                DecoderState::ChunkEnd
+                | DecoderState::ChunkSize
+                | DecoderState::Trailers { .. } => {
                     let Some(line) = take_line(buffer)? else {
                         return Ok(BodyStep::NeedMore);
                     };
@@ -123,15 +126,21 @@
         }
     }
 
-    fn after_line(&self, line: &[u8]) -> Result<State, ParseError> {
+    fn after_line(&self, line: &[u8]) -> Result<DecoderState, ParseError> {
         match self.state {
-            State::ChunkEnd if line.is_empty() => Ok(State::ChunkSize),
-            State::Trailers { .. } if line.is_empty() => Ok(State::Done),
-            State::ChunkEnd | State::Trailers { left: 0 } => Err(ParseError::Chunk),
-            State::Trailers { left } => Ok(State::Trailers { left: left - 1 }),
+            DecoderState::ChunkEnd if line.is_empty() => Ok(DecoderState::ChunkSize),
+            DecoderState::Trailers { .. } if line.is_empty() => Ok(DecoderState::Done),
+            DecoderState::ChunkEnd | DecoderState::Trailers { remaining: 0 } => {
+                Err(ParseError::Chunk)
+            }
+            DecoderState::Trailers { remaining } => Ok(DecoderState::Trailers {
+                remaining: remaining - 1,
+            }),
             _ => match chunk_size(line)? {
-                0 => Ok(State::Trailers { left: MAX_TRAILERS }),
-                left_bytes => Ok(State::ChunkData { left_bytes }),
+                0 => Ok(DecoderState::Trailers {
+                    remaining: MAX_TRAILER_LINES,
+                }),
+                remaining_bytes => Ok(DecoderState::ChunkData { remaining_bytes }),
             },
         }
     }
--- a/crates/masticsill_http1/src/error.rs
+++ b/crates/masticsill_http1/src/error.rs
@@ -1,23 +1,24 @@
-//! Why bytes are no message.
+//! Errors of parsing messages.
 
 use thiserror::Error;
 
-/// Why bytes are not an HTTP/1.1 message that can be relayed.
+/// Reason why bytes are not an HTTP/1.1 message that can be relayed.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum ParseError {
-    /// A chunk's size or ending is malformed.
+    /// The size line, the end or the trailers of a chunked body are malformed or too long.
     #[error("a chunk of the body is malformed; send `SIZE CRLF DATA CRLF`")]
     Chunk,
-    /// The message states its length in more than one way, or in an unreadable one.
+    /// The length of the body is stated more than once or is not a number, or a request of HTTP/1.0
+    /// is chunked.
     #[error("the body's length is ambiguous; send one `Content-Length` or one `chunked`")]
     Framing,
-    /// The head is no HTTP/1.1 head.
+    /// The head is malformed.
     #[error("the head is not HTTP/1.1; correct its request line and header lines")]
     Head,
-    /// The head is longer than is taken.
+    /// The head exceeds the size limit or has too many header fields.
     #[error("the head is too long; send fewer or shorter headers")]
     HeadTooLong,
-    /// The transfer coding is another than `chunked`.
+    /// The transfer coding is not exactly `chunked`.
     #[error("the transfer coding is not supported; use `chunked`")]
     TransferCoding,
 }
--- a/crates/masticsill_http1/src/events.rs
+++ b/crates/masticsill_http1/src/events.rs
@@ -1,55 +1,55 @@
-//! Event streams (`text/event-stream`), cut into whole events.
+//! Splits event streams (`text/event-stream`) into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event, with the blank line that ends it.
+/// One complete event, including the blank line that ends it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// The bytes as they came.
+    /// The bytes as received.
     pub bytes: Bytes,
-    /// The number in its `id` line, if it has one.
+    /// The value of the first `id` line that holds a number, if there is one.
     pub id: Option<u64>,
 }
 
-/// Collects the bytes of a stream and gives out whole events.
+/// Buffers the bytes of a stream and returns complete events.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes at the front that hold no end of an event.
-    searched: usize,
+    /// Number of bytes at the front that were already searched for the end of an event.
+    scanned_bytes: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
-        self.searched = 0;
+        self.scanned_bytes = 0;
         let id = event_id(&bytes);
         Some(StreamEvent { bytes, id })
     }
 
-    /// Bytes of an event that is not whole.
+    /// Returns the number of buffered bytes.
     #[must_use]
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Drops what is left of a broken event.
+    /// Discards all buffered bytes, such as an incomplete event of a broken connection.
     pub fn reset(&mut self) {
         self.buffer.clear();
-        self.searched = 0;
+        self.scanned_bytes = 0;
     }
 
-    /// The end of the first event: a line end followed by an empty line.
+    /// Returns the end of the first event: a line end followed by an empty line.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer;
-        let mut position = self.searched;
+        let mut position = self.scanned_bytes;
         while position < bytes.len() {
             if bytes[position] == b'\n' {
                 match &bytes[position + 1..] {
@@ -61,7 +61,7 @@
             }
             position += 1;
         }
-        self.searched = position;
+        self.scanned_bytes = position;
         None
     }
 }
--- a/crates/masticsill_http1/src/head.rs
+++ b/crates/masticsill_http1/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses.
+//! Parses the heads of requests and responses.
 
 use bytes::{Buf, BytesMut};
 
@@ -6,8 +6,8 @@
 use crate::error::ParseError;
 use crate::headers::{HeaderList, parse_digits};
 
-/// Header fields of one message, at most.
-const MAX_FIELDS: usize = 96;
+/// Most header fields of one message.
+const MAX_HEADER_FIELDS: usize = 96;
 
 /// The head of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -16,11 +16,11 @@
     pub framing: Framing,
     /// The header fields.
     pub headers: HeaderList,
-    /// Whether the caller keeps the connection open afterwards.
+    /// Whether the caller keeps the connection open after this request.
     pub is_keep_alive: bool,
     /// The method.
     pub method: String,
-    /// Path and query, as they came.
+    /// The request target (path and query) as received.
     pub target: String,
 }
 
@@ -31,33 +31,35 @@
     pub framing: Framing,
     /// The header fields.
     pub headers: HeaderList,
-    /// Whether the sender keeps the connection open afterwards.
+    /// Whether the sender keeps the connection open after this response.
     pub is_keep_alive: bool,
     /// The status code.
     pub status: u16,
 }
 
-/// Takes a request's head off the front of a buffer; `None` while it is not whole.
+/// Removes the head of a request from the front of a buffer; returns `None` while the head is
+/// incomplete.
 ///
 /// # Errors
 ///
-/// [`ParseError`] when the bytes are no head, or one longer than `max_bytes`.
+/// [`ParseError`] if the head is malformed, its framing is ambiguous or it is longer than
+/// `max_bytes`.
 pub fn parse_request(
     buffer: &mut BytesMut,
     max_bytes: usize,
 ) -> Result<Option<RequestHead>, ParseError> {
     skip_blank_lines(buffer);
-    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let status = parsed.parse(buffer).map_err(head_error)?;
-    let Some(size_bytes) = size_of(status, buffer.len(), max_bytes)? else {
+    let Some(size_bytes) = head_size(status, buffer.len(), max_bytes)? else {
         return Ok(None);
     };
     let headers = HeaderList::from_parsed(parsed.headers);
-    let is_newer = parsed.version == Some(1);
+    let is_http_1_1 = parsed.version == Some(1);
     let head = RequestHead {
-        framing: request_framing(&headers, is_newer)?,
-        is_keep_alive: is_keep_alive(&headers, is_newer),
+        framing: request_framing(&headers, is_http_1_1)?,
+        is_keep_alive: is_keep_alive(&headers, is_http_1_1),
         method: parsed.method.ok_or(ParseError::Head)?.to_owned(),
         target: parsed.path.ok_or(ParseError::Head)?.to_owned(),
         headers,
@@ -66,27 +68,28 @@
     Ok(Some(head))
 }
 
-/// Takes the head of a response to `method` off the front of a buffer; `None` while it is not
-/// whole. Interim responses are skipped.
+/// Removes the head of a response to `method` from the front of a buffer; returns `None` while the
+/// head is incomplete. Interim responses (status 1xx) are skipped.
 ///
 /// # Errors
 ///
-/// [`ParseError`] when the bytes are no head, or one longer than `max_bytes`.
+/// [`ParseError`] if the head is malformed, its framing is ambiguous or it is longer than
+/// `max_bytes`.
 pub fn parse_response(
     buffer: &mut BytesMut,
     method: &str,
     max_bytes: usize,
 ) -> Result<Option<ResponseHead>, ParseError> {
     loop {
-        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut parsed = httparse::Response::new(&mut fields);
         let status = parsed.parse(buffer).map_err(head_error)?;
-        let Some(size_bytes) = size_of(status, buffer.len(), max_bytes)? else {
+        let Some(size_bytes) = head_size(status, buffer.len(), max_bytes)? else {
             return Ok(None);
         };
         let status = parsed.code.ok_or(ParseError::Head)?;
         let headers = HeaderList::from_parsed(parsed.headers);
-        let is_newer = parsed.version == Some(1);
+        let is_http_1_1 = parsed.version == Some(1);
         buffer.advance(size_bytes);
         if (100..200).contains(&status) {
             continue;
@@ -95,14 +98,14 @@
         let is_delimited = framing != Framing::UntilClose;
         return Ok(Some(ResponseHead {
             framing,
-            is_keep_alive: is_delimited && is_keep_alive(&headers, is_newer),
+            is_keep_alive: is_delimited && is_keep_alive(&headers, is_http_1_1),
             headers,
             status,
         }));
     }
 }
 
-/// Callers may send empty lines between requests.
+/// Skips empty lines, which callers may send between requests.
 fn skip_blank_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
         buffer.advance(2);
@@ -116,32 +119,33 @@
     }
 }
 
-fn size_of(
+fn head_size(
     status: httparse::Status<usize>,
-    have_bytes: usize,
+    buffered_bytes: usize,
     max_bytes: usize,
 ) -> Result<Option<usize>, ParseError> {
     match status {
         httparse::Status::Complete(size_bytes) if size_bytes <= max_bytes => Ok(Some(size_bytes)),
-        httparse::Status::Partial if have_bytes <= max_bytes => Ok(None),
+        httparse::Status::Partial if buffered_bytes <= max_bytes => Ok(None),
         _ => Err(ParseError::HeadTooLong),
     }
 }
 
-fn is_keep_alive(headers: &HeaderList, is_newer: bool) -> bool {
+fn is_keep_alive(headers: &HeaderList, is_http_1_1: bool) -> bool {
     if headers.has_token("connection", "close") {
         return false;
     }
-    is_newer || headers.has_token("connection", "keep-alive")
+    is_http_1_1 || headers.has_token("connection", "keep-alive")
 }
 
-fn request_framing(headers: &HeaderList, is_newer: bool) -> Result<Framing, ParseError> {
+fn request_framing(headers: &HeaderList, is_http_1_1: bool) -> Result<Framing, ParseError> {
     let length = content_length(headers)?;
     if !is_chunked(headers)? {
         return Ok(length.map_or(Framing::Empty, Framing::from_length));
     }
-    // Two ways to end one body are how one request is smuggled inside another.
-    if length.is_some() || !is_newer {
+    // A request with two body lengths can hide a second request (request smuggling). HTTP/1.0
+    // has no chunked coding.
+    if length.is_some() || !is_http_1_1 {
         return Err(ParseError::Framing);
     }
     Ok(Framing::Chunked)
--- a/crates/masticsill_http1/src/lib.rs
+++ b/crates/masticsill_http1/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 heads, bodies and event streams, read from and written to byte buffers.
+//! Parses HTTP/1.1 heads, bodies and event streams from byte buffers, and writes heads and chunks.
 //!
-//! No sockets: a connection's bytes go in, messages and their parts come out. Framing is strict,
-//! because a relay that reads a boundary differently from its peer joins two requests.
+//! The crate does no I/O: it takes the bytes of a connection and returns messages and their parts.
+//! Framing is strict, because a relay that finds another end of a message than its peer mixes up
+//! requests.
 
 mod body;
 mod error;
--- a/crates/masticsill_http1/src/write.rs
+++ b/crates/masticsill_http1/src/write.rs
@@ -1,4 +1,4 @@
-//! Writing heads and chunks.
+//! Writes heads and chunks.
 
 use std::fmt::{Display, Write};
 
@@ -6,14 +6,14 @@
 
 use crate::headers::Header;
 
-/// Writes a head, line by line.
+/// Writes a head line by line.
 #[derive(Debug)]
 pub struct HeadWriter {
     buffer: BytesMut,
 }
 
 impl HeadWriter {
-    /// Begins a request.
+    /// Starts the head of a request.
     #[must_use]
     pub fn request(method: &str, target: &str) -> Self {
         let mut buffer = BytesMut::with_capacity(512);
@@ -24,19 +24,19 @@
         Self { buffer }
     }
 
-    /// Begins a response.
+    /// Starts the head of a response.
     #[must_use]
     pub fn response(status: u16) -> Self {
         let mut buffer = BytesMut::with_capacity(512);
         buffer.put_slice(b"HTTP/1.1 ");
-        put_text(&mut buffer, status);
+        put_display(&mut buffer, status);
         buffer.put_u8(b' ');
         buffer.put_slice(reason_phrase(status).as_bytes());
         buffer.put_slice(b"\r\n");
         Self { buffer }
     }
 
-    /// Adds a field that came from elsewhere.
+    /// Adds a field copied from another message.
     pub fn copy(&mut self, header: &Header) {
         self.buffer.put_slice(header.name.as_bytes());
         self.buffer.put_slice(b": ");
@@ -44,15 +44,15 @@
         self.buffer.put_slice(b"\r\n");
     }
 
-    /// Adds a field.
+    /// Adds a field. The value is written unchanged.
     pub fn field(&mut self, name: &str, value: impl Display) {
         self.buffer.put_slice(name.as_bytes());
         self.buffer.put_slice(b": ");
-        put_text(&mut self.buffer, value);
+        put_display(&mut self.buffer, value);
         self.buffer.put_slice(b"\r\n");
     }
 
-    /// Ends the head.
+    /// Ends the head and returns its bytes.
     #[must_use]
     pub fn finish(mut self) -> BytesMut {
         self.buffer.put_slice(b"\r\n");
@@ -60,27 +60,27 @@
     }
 }
 
-/// Writes one chunk; an empty one would end the body, so it writes nothing then.
+/// Writes one chunk. Empty `data` writes nothing, because an empty chunk would end the body.
 pub fn write_chunk(buffer: &mut BytesMut, data: &[u8]) {
     if data.is_empty() {
         return;
     }
-    put_text(buffer, format_args!("{:x}\r\n", data.len()));
+    put_display(buffer, format_args!("{:x}\r\n", data.len()));
     buffer.put_slice(data);
     buffer.put_slice(b"\r\n");
 }
 
-/// Ends a body of chunks.
+/// Writes the empty chunk that ends a chunked body.
 pub fn write_last_chunk(buffer: &mut BytesMut) {
     buffer.put_slice(b"0\r\n\r\n");
 }
 
-fn put_text(buffer: &mut BytesMut, value: impl Display) {
-    // Writing into memory can't fail.
+fn put_display(buffer: &mut BytesMut, value: impl Display) {
+    // Writing into memory never fails.
     let _ = write!(buffer, "{value}");
 }
 
-/// The usual phrase of a status code.
+/// Returns the standard reason phrase of a status code, or `Status` if the code is not listed.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/masticsill_http1/tests/event_stream.rs
+++ b/crates/masticsill_http1/tests/event_stream.rs
@@ -1,9 +1,9 @@
-//! Cutting a stream into whole events.
+//! Splitting of event streams into complete events.
 
 use masticsill_http1::EventSplitter;
 
 #[test]
-fn an_event_is_given_out_only_whole() {
+fn an_event_is_returned_only_when_complete() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 4\ndata: a");
     assert_eq!(splitter.next_event(), None);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn events_split_at_any_byte_come_out_alike() {
+fn a_stream_split_at_any_byte_yields_the_same_events() {
     let text = b"id: 1\ndata: x\n\nid: 2\ndata: y\ndata: z\n\n: note\n\nid: 3\n\n";
     for cut in 0..text.len() {
         let mut splitter = EventSplitter::default();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_is_left_of_a_broken_event_is_dropped() {
+fn reset_drops_an_incomplete_event() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 7\ndata: bro");
     splitter.reset();
--- a/crates/masticsill_http1/tests/framing.rs
+++ b/crates/masticsill_http1/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Where messages begin and end, also when a peer tries to blur it.
+//! Message framing, including messages with ambiguous or malformed boundaries.
 
 use bytes::BytesMut;
 use masticsill_http1::{BodyDecoder, BodyStep, Framing, ParseError, parse_request, parse_response};
@@ -15,7 +15,7 @@
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
-        match decoder.step(&mut buffer).expect("the body is sound") {
+        match decoder.step(&mut buffer).expect("the body is well-formed") {
             BodyStep::Data(data) => body.extend_from_slice(&data),
             BodyStep::End | BodyStep::NeedMore => return (body, buffer.len()),
         }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_head_is_taken_only_once_it_is_whole() {
+fn a_head_is_parsed_only_when_complete() {
     let mut buffer = BytesMut::from("POST /a/b?c=1 HTTP/1.1\r\nHost: x\r\nContent-Len");
     assert_eq!(parse_request(&mut buffer, LIMIT_BYTES), Ok(None));
     buffer.extend_from_slice(b"gth: 3\r\n\r\nabc");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn two_lengths_are_refused() {
+fn ambiguous_body_lengths_are_refused() {
     let two = "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n";
     assert_eq!(request_error(two), ParseError::Framing);
     let both = "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn folded_headers_are_refused() {
+fn folded_headers_and_spaces_before_the_colon_are_refused() {
     let folded = "POST / HTTP/1.1\r\nA: b\r\n c: d\r\n\r\n";
     assert_eq!(request_error(folded), ParseError::Head);
     let spaced = "POST / HTTP/1.1\r\nContent-Length : 3\r\n\r\n";
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn chunks_end_where_the_empty_one_ends() {
+fn a_chunked_body_ends_after_the_trailers_of_the_empty_chunk() {
     let text = "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\nrest";
     let (body, left) = whole_body(Framing::Chunked, text);
     assert_eq!(body, b"abcde");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_body_cut_short_is_not_whole() {
+fn a_truncated_chunked_body_is_not_complete() {
     let mut buffer = BytesMut::from("3\r\nab");
     let mut decoder = BodyDecoder::new(Framing::Chunked);
     while let BodyStep::Data(_) = decoder.step(&mut buffer).unwrap() {}
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_fields_are_not_forwarded() {
     let text = "GET / HTTP/1.1\r\nConnection: X-Own, close\r\nX-Own: 1\r\nTE: a\r\nKeep: 2\r\n\r\n";
     let mut buffer = BytesMut::from(text);
     let head = parse_request(&mut buffer, LIMIT_BYTES).unwrap().unwrap();
--- a/crates/masticsill_runtime/src/cluster.rs
+++ b/crates/masticsill_runtime/src/cluster.rs
@@ -1,24 +1,24 @@
-//! The cluster that this process belongs to, for its whole life.
+//! The cluster that this process belongs to. It is set once and never changes.
 
 use std::sync::OnceLock;
 
 use masticsill_types::ClusterId;
 
-/// What names a cluster in a connection's preamble: a hash of its name.
+/// Identifies a cluster in the preamble of a connection: a hash of the cluster's name.
 pub type ClusterTag = [u8; 8];
 
 static CLUSTER: OnceLock<ClusterTag> = OnceLock::new();
 
-/// Names the cluster that this process belongs to, once, before any connection.
+/// Sets the cluster that this process belongs to. Call it once, before the first connection.
 ///
-/// Every connection between processes carries a tag of the name, and a listener closes those of
-/// other clusters: a seed that leads to the wrong place joins nothing. A second call changes
-/// nothing. Without a call the process belongs to the cluster without a name.
+/// Every connection between processes carries the tag of its cluster, and a listener closes
+/// connections of other clusters, so that a wrong seed address joins no foreign cluster. A second
+/// call has no effect. Until the first call the tag is all zeros.
 pub fn set_process_cluster(cluster: &ClusterId) {
     let _ = CLUSTER.set(cluster_tag(cluster));
 }
 
-/// The tag by which a connection names its cluster.
+/// Returns the tag of a cluster.
 #[must_use]
 pub fn cluster_tag(cluster: &ClusterId) -> ClusterTag {
     let mut tag = ClusterTag::default();
@@ -28,7 +28,7 @@
     tag
 }
 
-/// The tag of this process's cluster.
-pub(crate) fn own_tag() -> ClusterTag {
+/// Returns the tag of the cluster that this process belongs to, or zeros if none was set.
+pub(crate) fn process_cluster_tag() -> ClusterTag {
     CLUSTER.get().copied().unwrap_or_default()
 }
--- a/crates/masticsill_runtime/src/duty.rs
+++ b/crates/masticsill_runtime/src/duty.rs
@@ -1,4 +1,4 @@
-//! One thread for each duty.
+//! Duties: the long-running tasks of a process, each on a named thread of its own.
 
 use std::future::Future;
 use std::io;
@@ -8,7 +8,7 @@
 
 use crate::events;
 
-/// A running duty.
+/// Handle of a running duty.
 #[derive(Debug)]
 pub struct DutyHandle {
     name: &'static str,
@@ -16,23 +16,23 @@
 }
 
 impl DutyHandle {
-    /// The duty's name, which is also its thread's.
+    /// Returns the name of the duty, which is also the name of its thread.
     #[must_use]
     pub fn name(&self) -> &'static str {
         self.name
     }
 
-    /// Whether the duty has ended.
+    /// Returns whether the duty has ended.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for the duty's end.
+    /// Blocks until the duty has ended.
     ///
     /// # Errors
     ///
-    /// An error naming the duty when its thread panicked.
+    /// An error that names the duty if its thread panicked.
     pub fn join(self) -> io::Result<()> {
         let name = self.name;
         self.thread
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// The operating system's error when no thread can be started.
+/// The operating system's error if the thread can't be started.
 pub fn spawn_duty<F>(name: &'static str, duty: F) -> io::Result<DutyHandle>
 where
     F: FnOnce() + Send + 'static,
@@ -59,13 +59,13 @@
     Ok(DutyHandle { name, thread })
 }
 
-/// Starts a duty whose body is a future, on a thread with a runtime of its own.
+/// Starts an asynchronous duty on a thread with a single-threaded runtime of its own.
 ///
-/// The future may spawn local tasks; they end with it.
+/// The future may spawn local tasks, which are dropped when it completes.
 ///
 /// # Errors
 ///
-/// The operating system's error when no thread or runtime can be started.
+/// The operating system's error if the thread or the runtime can't be started.
 pub fn spawn_async_duty<F, Fut>(name: &'static str, duty: F) -> io::Result<DutyHandle>
 where
     F: FnOnce() -> Fut + Send + 'static,
--- a/crates/masticsill_runtime/src/http.rs
+++ b/crates/masticsill_runtime/src/http.rs
@@ -1,4 +1,4 @@
-//! Hosts an HTTP interface on a duty of its own.
+//! HTTP server that runs on a duty of its own.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -14,26 +14,26 @@
 
 use crate::duty::{DutyHandle, spawn_duty};
 
-/// Connections that one worker serves at the same time.
-const MAX_CONNECTIONS: usize = 8_192;
-/// Headers of one request.
+/// Most connections that one worker serves at a time.
+const MAX_CONNECTIONS_PER_WORKER: usize = 8_192;
+/// Most header fields in one request.
 const MAX_HEADERS: usize = 64;
-/// Bytes of one request's headers.
+/// Largest size of the head of a request.
 const MAX_HEADER_BYTES: usize = 32 * 1024;
-/// How long a caller may take to send its headers, whatever it trickles.
-const HEADER_TIMEOUT: Seconds = Seconds(10);
-/// How long an idle connection is kept.
-const KEEP_ALIVE: Seconds = Seconds(75);
-/// How long a caller may take without sending the least part of its body.
-const BODY_TIMEOUT: Seconds = Seconds(10);
-/// Longest time for a whole body.
-const LONGEST_BODY_TIMEOUT: Seconds = Seconds(60);
-/// How long answers that are already written may take to leave at the stop.
+/// Longest time for the head of a request, even if bytes keep arriving.
+const MAX_HEADER_DURATION: Seconds = Seconds(10);
+/// Time after which an idle connection is closed.
+const KEEP_ALIVE_TIMEOUT: Seconds = Seconds(75);
+/// Interval in which at least [`MIN_BODY_BYTES`] of a request body must arrive.
+const BODY_INTERVAL: Seconds = Seconds(10);
+/// Longest time for a complete request body.
+const MAX_BODY_DURATION: Seconds = Seconds(60);
+/// Time for sending responses that are already written when the server stops.
 const SHUTDOWN_TIMEOUT: Seconds = Seconds(5);
-/// Bytes that a body must bring in each [`BODY_TIMEOUT`].
-const BODY_RATE_BYTES: u32 = 1_024;
+/// Fewest bytes of a request body that must arrive in each [`BODY_INTERVAL`].
+const MIN_BODY_BYTES: u32 = 1_024;
 
-/// A running HTTP interface.
+/// A running HTTP server.
 #[derive(Debug)]
 pub struct HttpHost {
     address: SocketAddr,
@@ -42,13 +42,14 @@
 }
 
 impl HttpHost {
-    /// Binds `address` and serves what `configure` registers, on `workers` threads.
+    /// Binds `address` and serves the routes that `configure` registers, on `workers` threads.
     ///
-    /// Request headers, header time and connections are bounded; bodies are the handlers' to bound.
+    /// The size of request heads, the time to send them and the number of connections are bounded.
+    /// Bounding the size of a body is up to its handler.
     ///
     /// # Errors
     ///
-    /// The operating system's error when the address can't be bound or no thread can be started.
+    /// The operating system's error if the address can't be bound or the thread can't be started.
     pub fn start(
         name: &'static str,
         address: SocketAddr,
@@ -75,17 +76,18 @@
         })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets written answers leave, closes every connection and waits for the duty's end.
+    /// Sends the responses that are already written, closes all connections and blocks until the
+    /// duty has ended.
     ///
     /// # Errors
     ///
-    /// An error when the duty panicked.
+    /// An error if the duty panicked.
     pub fn stop(self) -> io::Result<()> {
         drop(self.stop);
         self.duty.join()
@@ -101,14 +103,14 @@
     let limits = HttpServiceConfig::new()
         .set_max_headers(MAX_HEADERS)
         .set_max_buf_size(MAX_HEADER_BYTES)
-        .set_keepalive(KEEP_ALIVE)
-        .set_headers_read_rate(Seconds(1), HEADER_TIMEOUT, 256)
-        .set_payload_read_rate(BODY_TIMEOUT, LONGEST_BODY_TIMEOUT, BODY_RATE_BYTES);
+        .set_keepalive(KEEP_ALIVE_TIMEOUT)
+        .set_headers_read_rate(Seconds(1), MAX_HEADER_DURATION, 256)
+        .set_payload_read_rate(BODY_INTERVAL, MAX_BODY_DURATION, MIN_BODY_BYTES);
     let config = SharedCfg::new("http").add(IoConfig::new()).add(limits);
     let server = HttpServer::new(factory)
         .workers(workers)
         .shutdown_timeout(SHUTDOWN_TIMEOUT)
-        .maxconn(MAX_CONNECTIONS)
+        .maxconn(MAX_CONNECTIONS_PER_WORKER)
         .config(config)
         .disable_signals()
         .listen(listener)?
--- a/crates/masticsill_runtime/src/http_client.rs
+++ b/crates/masticsill_runtime/src/http_client.rs
@@ -1,10 +1,10 @@
-//! What an HTTP client's error proves.
+//! Classifies errors of the HTTP client.
 
 use std::io;
 
 use ntex::client::error::{ClientError, ConnectError};
 
-/// Whether an error proves that no byte of the request was sent.
+/// Returns whether an error proves that no byte of the request was sent.
 #[must_use]
 pub fn is_unsent(error: &ClientError) -> bool {
     let ClientError::Connect(error) = error else {
@@ -12,7 +12,8 @@
     };
     match error {
         ConnectError::Disconnected(Some(error)) => {
-            // Only a connection that was never made is refused; a reset may follow the request.
+            // A refused connection was never established. Another error, such as a reset, may
+            // come after the request was sent.
             error.kind() == io::ErrorKind::ConnectionRefused
         }
         ConnectError::Resolver(_)
--- a/crates/masticsill_runtime/src/lib.rs
+++ b/crates/masticsill_runtime/src/lib.rs
@@ -1,6 +1,8 @@
-//! Threads, bounded rings, RPC listeners and clients, metrics and signals.
+//! Building blocks of a process: threads, bounded queues, RPC and HTTP listeners, logging, metrics
+//! and signals.
 //!
-//! A process is a set of duties, each on a thread of its own, joined by [`Ring`]s.
+//! A process is a set of duties: long-running tasks, each on a thread of its own, that pass items
+//! to each other through [`Ring`]s.
 
 mod cluster;
 mod duty;
--- a/crates/masticsill_runtime/src/metrics.rs
+++ b/crates/masticsill_runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over `StatsD`, by `cadence`.
+//! Metrics sent to a `StatsD` listener.
 
 use std::fmt;
 use std::net::{SocketAddr, UdpSocket};
@@ -9,10 +9,12 @@
     StatsdClient, Timed,
 };
 
+/// Prefix of all metric names.
 const PREFIX: &str = "masticsill";
-const QUEUED_METRICS: usize = 4096;
+/// Most metrics that wait to be sent; further ones are dropped.
+const MAX_QUEUED_METRICS: usize = 4096;
 
-/// Why metrics could not be started.
+/// The socket to the `StatsD` listener could not be set up.
 #[derive(Debug)]
 pub struct MetricsError(MetricError);
 
@@ -35,7 +37,7 @@
 }
 
 impl Metrics {
-    /// Metrics that go nowhere.
+    /// Returns a client that discards all metrics.
     #[must_use]
     pub fn disabled() -> Self {
         let client = StatsdClient::from_sink(PREFIX, NopMetricSink);
@@ -44,11 +46,12 @@
         }
     }
 
-    /// Metrics to a `StatsD` listener over UDP, through a bounded queue and its own thread.
+    /// Returns a client that sends metrics to a `StatsD` listener over UDP, through a bounded queue
+    /// and a thread of its own.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] when no socket can be opened.
+    /// [`MetricsError`] if no socket can be opened.
     pub fn to_statsd(address: SocketAddr) -> Result<Self, MetricsError> {
         let bind = if address.is_ipv4() {
             "0.0.0.0:0"
@@ -57,24 +60,24 @@
         };
         let socket = UdpSocket::bind(bind).map_err(|error| MetricsError(error.into()))?;
         let sink = BufferedUdpMetricSink::from(address, socket).map_err(MetricsError)?;
-        let queue = QueuingMetricSink::with_capacity(sink, QUEUED_METRICS);
+        let queue = QueuingMetricSink::with_capacity(sink, MAX_QUEUED_METRICS);
         let client = StatsdClient::from_sink(PREFIX, queue);
         Ok(Self {
             client: Arc::new(client),
         })
     }
 
-    /// Adds to a counter. A metric that can't be sent is dropped.
+    /// Adds `amount` to a counter. A metric that can't be sent is dropped.
     pub fn count(&self, name: &str, amount: u64) {
         let _ = self.client.count(name, amount);
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge. A metric that can't be sent is dropped.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = self.client.gauge(name, value);
     }
 
-    /// Records a duration.
+    /// Records a duration in milliseconds. A metric that can't be sent is dropped.
     pub fn time_ms(&self, name: &str, duration_ms: u64) {
         let _ = self.client.time(name, duration_ms);
     }
--- a/crates/masticsill_runtime/src/ring.rs
+++ b/crates/masticsill_runtime/src/ring.rs
@@ -1,4 +1,4 @@
-//! Bounded rings between duties.
+//! Bounded ring buffers that connect duties.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,7 +6,7 @@
 use crossbeam_queue::ArrayQueue;
 use tokio::sync::Notify;
 
-/// The ring had no room; the item comes back to its sender.
+/// The ring is full or closed; holds the item that was not added.
 #[derive(Debug)]
 pub struct RingFull<T>(pub T);
 
@@ -19,7 +19,7 @@
 
 /// A bounded queue with many senders and one receiver. Clones share the queue.
 ///
-/// Sending never waits: a full ring is the sender's to handle, so memory stays bounded.
+/// Sending never waits. The sender must handle a full ring, so memory stays bounded.
 #[derive(Debug)]
 pub struct Ring<T> {
     shared: Arc<Shared<T>>,
@@ -34,11 +34,11 @@
 }
 
 impl<T> Ring<T> {
-    /// A ring with room for `capacity` items.
+    /// Creates a ring with room for `capacity` items.
     ///
     /// # Panics
     ///
-    /// When `capacity` is zero.
+    /// If `capacity` is zero.
     #[must_use]
     pub fn with_capacity(capacity: usize) -> Self {
         let shared = Shared {
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// [`RingFull`] with the item when the ring is full or closed.
+    /// [`RingFull`] with the item if the ring is full or closed.
     pub fn push(&self, item: T) -> Result<(), RingFull<T>> {
         if self.is_closed() {
             return Err(RingFull(item));
@@ -65,15 +65,15 @@
         Ok(())
     }
 
-    /// Takes the oldest item, if there is one.
+    /// Removes and returns the oldest item, if there is one.
     #[must_use]
     pub fn try_pop(&self) -> Option<T> {
         self.shared.items.pop()
     }
 
-    /// Waits for the oldest item; `None` once the ring is closed and empty.
+    /// Waits for an item and removes the oldest; returns `None` once the ring is closed and empty.
     ///
-    /// Cancel safe: a dropped wait loses no item.
+    /// Cancel safe: dropping the future loses no item.
     pub async fn pop(&self) -> Option<T> {
         loop {
             if let Some(item) = self.try_pop() {
@@ -86,31 +86,31 @@
         }
     }
 
-    /// Closes the ring: no item is accepted any more, those inside can still be taken.
+    /// Closes the ring. No further item is accepted; the items in the ring can still be taken.
     pub fn close(&self) {
         self.shared.is_closed.store(true, Ordering::Release);
         self.shared.wake.notify_one();
     }
 
-    /// Whether the ring is closed.
+    /// Returns whether the ring is closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.shared.is_closed.load(Ordering::Acquire)
     }
 
-    /// Items inside.
+    /// Returns the number of items in the ring.
     #[must_use]
     pub fn len(&self) -> usize {
         self.shared.items.len()
     }
 
-    /// Whether no item is inside.
+    /// Returns whether the ring holds no item.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.shared.items.is_empty()
     }
 
-    /// Items that the ring can hold.
+    /// Returns the number of items that the ring can hold.
     #[must_use]
     pub fn capacity(&self) -> usize {
         self.shared.items.capacity()
--- a/crates/masticsill_runtime/src/rpc.rs
+++ b/crates/masticsill_runtime/src/rpc.rs
@@ -1,7 +1,8 @@
 //! TCP transports for `tarpc` services.
 //!
-//! A process has one listener for all its services; a preamble tells them apart and names the cluster. The duty
-//! that accepts hands each connection as a [`ServiceStream`] to the duty that serves it.
+//! A process has one listener for all its services. Each connection starts with a preamble that
+//! names the service and the cluster. The accepting duty passes the connection as a
+//! [`ServiceStream`] to the duty that runs the service.
 
 use std::io;
 use std::net::{self, SocketAddr};
@@ -20,21 +21,21 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::LengthDelimitedCodec;
 
-use crate::cluster::{ClusterTag, own_tag};
+use crate::cluster::{ClusterTag, process_cluster_tag};
 use crate::events;
 
-/// How long a peer may take to name the service.
+/// Longest time for the preamble of a connection.
 const PREAMBLE_TIMEOUT_MS: u64 = 2_000;
-/// Connections that may be waiting for their preamble at once.
-const MAX_UNNAMED_CONNECTIONS: usize = 512;
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Most accepted connections whose preamble is pending; further connections are closed.
+const MAX_PENDING_PREAMBLES: usize = 512;
+/// Pause after a failed accept, so that the loop does not spin when file descriptors run out.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
-/// A transport that carries `Item`s in and `SinkItem`s out.
+/// A transport that receives `Item`s and sends `SinkItem`s.
 pub type RpcTransport<Item, SinkItem> =
     Transport<TcpStream, Item, SinkItem, PostcardCodec<Item, SinkItem>>;
 
-fn frame<Item, SinkItem>(stream: TcpStream) -> RpcTransport<Item, SinkItem>
+fn framed_transport<Item, SinkItem>(stream: TcpStream) -> RpcTransport<Item, SinkItem>
 where
     Item: DeserializeOwned,
     SinkItem: Serialize,
@@ -45,7 +46,7 @@
     serde_transport::new(framed, PostcardCodec::default())
 }
 
-/// The context of a call that is given up after `timeout_ms`.
+/// Returns the context of a call that times out after `timeout_ms`.
 #[must_use]
 pub fn call_context(timeout_ms: u64) -> Context {
     let mut context = tarpc::context::current();
@@ -53,11 +54,11 @@
     context
 }
 
-/// Connects to a peer's service within this process's cluster.
+/// Connects to a service of a peer in the cluster of this process.
 ///
 /// # Errors
 ///
-/// The connection's error, or `TimedOut` after `timeout_ms`.
+/// The error of the connection, or [`io::ErrorKind::TimedOut`] after `timeout_ms`.
 pub async fn connect_transport<Item, SinkItem>(
     address: SocketAddr,
     kind: ServiceKind,
@@ -67,10 +68,11 @@
     Item: DeserializeOwned,
     SinkItem: Serialize,
 {
-    connect_to_cluster(address, kind, own_tag(), timeout_ms).await
+    connect_to_cluster(address, kind, process_cluster_tag(), timeout_ms).await
 }
 
-/// Connects to a service of the cluster that a tag names; for tools that belong to none.
+/// Connects to a service of a peer in the cluster given by `tag`, for tools that belong to no
+/// cluster.
 ///
 /// # Errors
 ///
@@ -96,47 +98,48 @@
     let stream = timeout(Duration::from_millis(timeout_ms), connecting)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    Ok(frame(stream))
+    Ok(framed_transport(stream))
 }
 
-/// An accepted connection whose service is known. It may be sent to another duty.
+/// An accepted connection whose preamble was read. It can be sent to another thread.
 #[derive(Debug)]
 pub struct ServiceStream {
     stream: net::TcpStream,
 }
 
 impl ServiceStream {
-    fn release(stream: TcpStream) -> io::Result<Self> {
+    fn detach(stream: TcpStream) -> io::Result<Self> {
         let stream = stream.into_std()?;
         Ok(Self { stream })
     }
 
-    /// The connection as a transport of the duty that calls this, inside its runtime.
+    /// Turns the connection into a transport on the runtime of the calling duty.
     ///
     /// # Errors
     ///
-    /// The operating system's error when the runtime can't watch the connection.
+    /// The operating system's error if the connection can't be registered with the runtime.
     pub fn into_transport<Item, SinkItem>(self) -> io::Result<RpcTransport<Item, SinkItem>>
     where
         Item: DeserializeOwned,
         SinkItem: Serialize,
     {
         let stream = TcpStream::from_std(self.stream)?;
-        Ok(frame(stream))
+        Ok(framed_transport(stream))
     }
 }
 
-/// Accepts peers' connections to all services of a process.
+/// Accepts the connections of peers to all services of a process.
 #[derive(Debug)]
 pub struct RpcListener {
     listener: net::TcpListener,
 }
 
-/// Listens for peers. It needs no runtime yet, so that a process can bind before its duties run.
+/// Binds the listener for peers. It needs no runtime, so that a process can bind before its duties
+/// start.
 ///
 /// # Errors
 ///
-/// The operating system's error when the address can't be bound.
+/// The operating system's error if the address can't be bound.
 pub fn listen(address: SocketAddr) -> io::Result<RpcListener> {
     let listener = net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -144,30 +147,30 @@
 }
 
 impl RpcListener {
-    /// The bound address, with the port that the system chose for port zero.
+    /// Returns the bound address, with the port that the system chose if port zero was given.
     ///
     /// # Errors
     ///
-    /// The operating system's error.
+    /// The operating system's error if the address can't be read.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Accepts connections, reads their preambles and hands them to `dispatch`.
+    /// Accepts connections, reads their preambles and passes them to `dispatch`.
     ///
-    /// It runs inside a local task set, until its future is dropped. A connection that
+    /// Must run inside a local task set, and runs until the future is dropped. A connection that
     /// `dispatch` drops is closed.
     ///
     /// # Errors
     ///
-    /// The operating system's error when the runtime can't watch the listener.
+    /// The operating system's error if the listener can't be registered with the runtime.
     pub async fn serve<F>(self, dispatch: F) -> io::Result<()>
     where
         F: Fn(ServiceKind, ServiceStream) + 'static,
     {
         let listener = TcpListener::from_std(self.listener)?;
         let dispatch = Rc::new(dispatch);
-        let unnamed = Rc::new(Semaphore::new(MAX_UNNAMED_CONNECTIONS));
+        let pending_preambles = Rc::new(Semaphore::new(MAX_PENDING_PREAMBLES));
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
@@ -178,9 +181,9 @@
                 }
             };
             let dispatch = Rc::clone(&dispatch);
-            let unnamed = Rc::clone(&unnamed);
+            let pending_preambles = Rc::clone(&pending_preambles);
             spawn_local(async move {
-                let Ok(_permit) = unnamed.try_acquire() else {
+                let Ok(_permit) = pending_preambles.try_acquire() else {
                     return;
                 };
                 match read_preamble(stream).await {
@@ -204,9 +207,9 @@
     let (kind, tag) = timeout(Duration::from_millis(PREAMBLE_TIMEOUT_MS), reading)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    if tag != own_tag() {
+    if tag != process_cluster_tag() {
         let detail = "the peer belongs to another cluster; correct its `seeds` or `cluster`";
         return Err(io::Error::new(io::ErrorKind::PermissionDenied, detail));
     }
-    Ok((kind, ServiceStream::release(stream)?))
+    Ok((kind, ServiceStream::detach(stream)?))
 }
--- a/crates/masticsill_runtime/src/shutdown.rs
+++ b/crates/masticsill_runtime/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The request to end gracefully.
+//! Graceful shutdown of a process, and its signals.
 
 use std::io;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::duty::{DutyHandle, spawn_duty};
 use crate::events;
 
-/// Tells every duty that the process is to end. Clones share one state.
+/// Tells the duties of a process to shut down. Clones share one state.
 #[derive(Clone, Debug)]
 pub struct ShutdownSignal {
     is_requested: Arc<AtomicBool>,
@@ -29,13 +29,13 @@
 }
 
 impl ShutdownSignal {
-    /// Requests the shutdown; repeating it changes nothing.
+    /// Requests the shutdown. Further calls have no effect.
     pub fn request(&self) {
         self.is_requested.store(true, Ordering::Release);
         self.sender.send_replace(true);
     }
 
-    /// Whether the shutdown was requested.
+    /// Returns whether the shutdown was requested.
     #[must_use]
     pub fn is_requested(&self) -> bool {
         self.is_requested.load(Ordering::Acquire)
@@ -48,12 +48,13 @@
     }
 }
 
-/// Starts the duty that turns `SIGTERM` and `SIGINT` into a shutdown request, and calls
-/// `on_hangup` at `SIGHUP`, which ends a process that does not expect it.
+/// Starts the duty that turns `SIGTERM` and `SIGINT` into a shutdown request and calls `on_hangup`
+/// on `SIGHUP`, which would otherwise terminate the process.
 ///
 /// # Errors
 ///
-/// The operating system's error when signals can't be registered.
+/// The operating system's error if the signal handlers can't be registered or the thread can't be
+/// started.
 pub fn watch_signals(
     shutdown: ShutdownSignal,
     on_hangup: impl Fn() + Send + 'static,
--- a/crates/masticsill_runtime/src/structured.rs
+++ b/crates/masticsill_runtime/src/structured.rs
@@ -1,9 +1,9 @@
-//! Structured log lines on standard output: one JSON object a line.
+//! Structured log lines on standard output, one JSON object per line.
 //!
-//! Writing never delays a duty: lines go through bounded queues to a thread of their own, and
-//! what does not fit, or exceeds the lines a second, is left out and counted. Warnings and errors,
-//! which tell of requests and dependencies that failed, have a queue of their own, so that a
-//! flood of ordinary lines leaves none of them out.
+//! Logging never blocks the caller: lines go through bounded queues to a writer thread. A line that
+//! does not fit into its queue or exceeds the rate limit is dropped and counted. Warnings and
+//! errors, which report failed requests and dependencies, have a queue and a rate limit of their
+//! own, so that a flood of other lines displaces none of them.
 
 use std::fmt::Write as _;
 use std::io::{self, Write};
@@ -20,44 +20,46 @@
 use crate::duty::{DutyHandle, spawn_duty};
 use crate::events;
 
-/// Lines of each kind that may wait to be written.
-const QUEUED_LINES: usize = 2_048;
-/// Lines of each kind in one second. At 300 bytes a line this is 300 KB/s at most, and about 1%
-/// of a core.
-const LINES_PER_SECOND: u64 = 500;
-/// Bytes of one line; a longer one is cut before its last fields.
+/// Most lines that wait in each queue.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// Most lines per second for each queue. At 300 bytes per line the two queues together write at
+/// most 300 KB/s, which takes about 1% of a core.
+const MAX_LINES_PER_SECOND: u64 = 500;
+/// Size of a line beyond which no further field is written, and most characters of one text.
 const MAX_LINE_BYTES: usize = 2_048;
-/// Pause between writes, so that many lines share one.
+/// Pause before a write, so that many lines share one write call.
 const WRITE_INTERVAL: Duration = Duration::from_millis(20);
-/// Polls for the end of the writer: half a second.
-const END_POLLS: u32 = 25;
-/// Digits of a number that every reader of JSON holds exactly.
+/// Most polls, one per [`WRITE_INTERVAL`], for the end of the writer: half a second in all.
+const MAX_STOP_POLLS: u32 = 25;
+/// Most digits of a number that every JSON parser represents exactly. Longer numbers are quoted.
 const MAX_NUMBER_DIGITS: usize = 15;
-/// Fields of every line. An event's own field of such a name is written with a prefix: a reader
-/// of JSON would take one of the two.
-const LINE_FIELDS: [&str; 5] = ["wall_ms", "up_ms", "line", "level", "node"];
-/// Fields that are names also where they consist of digits only.
-const NAME_FIELDS: [&str; 4] = ["request", "endpoint", "node", "route"];
+/// Fields that every line has. A field of an event with one of these names gets the prefix
+/// `event_`, because a JSON parser would keep only one of two fields with the same name.
+const RESERVED_FIELDS: [&str; 5] = ["wall_ms", "up_ms", "line", "level", "node"];
+/// Fields that are always quoted, because they hold identifiers, which may consist of digits only.
+const TEXT_FIELDS: [&str; 4] = ["request", "endpoint", "node", "route"];
 
-/// Lines of one kind, bounded in number and rate.
+/// Queue of lines, bounded in size and in lines per second.
 #[derive(Debug)]
-struct Lines {
-    left_out: AtomicU64,
+struct LineQueue {
+    /// Lines dropped since the last report.
+    dropped: AtomicU64,
+    /// Lines with their sequence numbers.
     queue: ArrayQueue<(u64, String)>,
-    /// The second that is counted, above, and its lines, below.
+    /// The current second in the upper 32 bits, and its number of lines in the lower 32 bits.
     rate: AtomicU64,
 }
 
-impl Lines {
+impl LineQueue {
     fn new() -> Self {
         Self {
-            left_out: AtomicU64::new(0),
-            queue: ArrayQueue::new(QUEUED_LINES),
+            dropped: AtomicU64::new(0),
+            queue: ArrayQueue::new(MAX_QUEUED_LINES),
             rate: AtomicU64::new(0),
         }
     }
 
-    /// Whether one more line fits into this second.
+    /// Counts a line and returns whether it is within the rate limit of the current second.
     fn admit(&self, now_ms: u64) -> bool {
         let second = (now_ms / 1_000) << u32::BITS;
         let before = self
@@ -68,12 +70,12 @@
             });
         let before = before.unwrap_or_default();
         let is_same = before >> u32::BITS == second >> u32::BITS;
-        !is_same || (before & u64::from(u32::MAX)) < LINES_PER_SECOND
+        !is_same || (before & u64::from(u32::MAX)) < MAX_LINES_PER_SECOND
     }
 
     fn push(&self, now_ms: u64, number: u64, line: impl FnOnce() -> String) {
         if !self.admit(now_ms) || self.queue.push((number, line())).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -82,33 +84,36 @@
 #[derive(Debug)]
 struct StructuredLog {
     clock: MonotonicClock,
-    failures: Lines,
-    /// Number of the next line, by which readers put the lines of one process in order.
+    /// Warnings and errors.
+    failures: LineQueue,
+    /// Sequence number of the next line, by which readers order the lines of one process.
     next_number: AtomicU64,
     node: String,
-    ordinary: Lines,
+    /// Lines below the level of a warning.
+    ordinary: LineQueue,
+    /// The writer thread, to be unparked when a line was queued.
     writer: OnceLock<Thread>,
 }
 
-/// Ends the log: what waits is written first.
+/// Stops the log writer when dropped. Queued lines are written first, for half a second at most.
 #[derive(Debug)]
 pub struct LogGuard {
     duty: Option<DutyHandle>,
-    is_ending: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
     log: Option<&'static StructuredLog>,
 }
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        self.is_ending.store(true, Ordering::Release);
+        self.is_stopping.store(true, Ordering::Release);
         if let Some(writer) = self.log.and_then(|log| log.writer.get()) {
             writer.unpark();
         }
-        // A standard output that nobody reads must not hold the end up.
+        // A standard output that nobody reads must not delay the end of the process.
         let Some(duty) = self.duty.take() else {
             return;
         };
-        for _ in 0..END_POLLS {
+        for _ in 0..MAX_STOP_POLLS {
             if duty.is_finished() {
                 return;
             }
@@ -117,69 +122,69 @@
     }
 }
 
-/// Starts to log to standard output. A second call in one process changes nothing.
+/// Starts logging to standard output. A second call in one process has no effect.
 ///
 /// # Errors
 ///
-/// The operating system's error when no thread can be started.
+/// The operating system's error if the writer thread can't be started.
 pub fn start_structured_logging(node: &str) -> io::Result<LogGuard> {
     start_structured_logging_to(node, io::stdout())
 }
 
-/// Starts to log to any output; tests give one that stalls.
+/// Starts logging to `output`, for tests of an output that blocks.
 ///
 /// # Errors
 ///
-/// The operating system's error when no thread can be started.
+/// The operating system's error if the writer thread can't be started.
 pub fn start_structured_logging_to(
     node: &str,
     output: impl Write + Send + 'static,
 ) -> io::Result<LogGuard> {
     let log: &'static StructuredLog = Box::leak(Box::new(StructuredLog {
         clock: MonotonicClock::start(),
-        failures: Lines::new(),
+        failures: LineQueue::new(),
         next_number: AtomicU64::new(0),
         node: node.to_owned(),
-        ordinary: Lines::new(),
+        ordinary: LineQueue::new(),
         writer: OnceLock::new(),
     }));
-    let is_ending = Arc::new(AtomicBool::new(false));
+    let is_stopping = Arc::new(AtomicBool::new(false));
     if log::set_logger(log).is_err() {
         return Ok(LogGuard {
             duty: None,
-            is_ending,
+            is_stopping,
             log: None,
         });
     }
     log::set_max_level(LevelFilter::Info);
-    let ending = Arc::clone(&is_ending);
-    let duty = spawn_duty("log_writer", move || log.write_until(output, &ending))?;
+    let stopping = Arc::clone(&is_stopping);
+    let duty = spawn_duty("log_writer", move || log.write_until(output, &stopping))?;
     Ok(LogGuard {
         duty: Some(duty),
-        is_ending,
+        is_stopping,
         log: Some(log),
     })
 }
 
 impl StructuredLog {
-    fn write_until(&self, mut output: impl Write, is_ending: &AtomicBool) {
+    fn write_until(&self, mut output: impl Write, is_stopping: &AtomicBool) {
         let _ = self.writer.set(thread::current());
         let mut batch = String::new();
         loop {
             batch.clear();
             self.collect(&mut batch);
             if batch.is_empty() {
-                if is_ending.load(Ordering::Acquire) {
+                if is_stopping.load(Ordering::Acquire) {
                     return;
                 }
                 thread::park();
                 thread::sleep(WRITE_INTERVAL);
                 continue;
             }
-            // A closed standard output leaves nobody to tell.
+            // If standard output is closed, the error can't be reported anywhere.
             let _ = output.write_all(batch.as_bytes());
             let _ = output.flush();
-            self.report_left_out();
+            self.report_dropped();
         }
     }
 
@@ -193,9 +198,9 @@
         }
     }
 
-    fn report_left_out(&self) {
-        let failures = self.failures.left_out.swap(0, Ordering::Relaxed);
-        let ordinary = self.ordinary.left_out.swap(0, Ordering::Relaxed);
+    fn report_dropped(&self) {
+        let failures = self.failures.dropped.swap(0, Ordering::Relaxed);
+        let ordinary = self.ordinary.dropped.swap(0, Ordering::Relaxed);
         if failures + ordinary > 0 {
             log_event!(
                 warn,
@@ -235,7 +240,7 @@
     }
 
     fn log(&self, record: &Record<'_>) {
-        // Libraries, whose lines have no number, speak only where something is wrong.
+        // Lines of libraries have no event number; only their warnings and errors are logged.
         let is_event = record.key_values().get(Key::from("number")).is_some();
         if !self.enabled(record.metadata()) || !is_event && record.level() > Level::Warn {
             return;
@@ -255,7 +260,7 @@
     fn flush(&self) {}
 }
 
-/// Writes the fields of one record.
+/// Visitor that appends the fields of one record to a line.
 struct Fields<'a> {
     count: usize,
     line: &'a mut String,
@@ -267,7 +272,7 @@
             return Ok(());
         }
         self.count += 1;
-        let prefix = if LINE_FIELDS.contains(&key.as_str()) {
+        let prefix = if RESERVED_FIELDS.contains(&key.as_str()) {
             "event_"
         } else {
             ""
@@ -283,14 +288,14 @@
     }
 }
 
-/// Whether a value is written without quotes.
+/// Returns whether a value is written without quotes: a boolean or a number.
 fn is_literal(key: &str, text: &str) -> bool {
     if text == "true" || text == "false" {
         return true;
     }
     let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     let is_plain = text.len() <= MAX_NUMBER_DIGITS && (text == "0" || !text.starts_with('0'));
-    is_number && is_plain && !NAME_FIELDS.contains(&key)
+    is_number && is_plain && !TEXT_FIELDS.contains(&key)
 }
 
 fn push_text(line: &mut String, text: &str) {
--- a/crates/masticsill_runtime/src/text_metrics.rs
+++ b/crates/masticsill_runtime/src/text_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics served as text, for whoever collects them.
+//! Metrics served over HTTP in the OpenMetrics text format.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 
 use crate::http::HttpHost;
 
-/// Where the text is served.
+/// HTTP path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Serves a registry as text on a duty of its own.
+/// Serves the metrics of a registry as text on a duty of its own.
 ///
 /// # Errors
 ///
-/// The operating system's error when the address can't be bound or no thread can be started.
+/// The operating system's error if the address can't be bound or the thread can't be started.
 pub fn serve_text_metrics(address: SocketAddr, registry: Registry) -> io::Result<HttpHost> {
     let registry = Arc::new(registry);
     HttpHost::start("metrics", address, 1, move |config| {
--- a/crates/masticsill_runtime/tests/service_preamble.rs
+++ b/crates/masticsill_runtime/tests/service_preamble.rs
@@ -1,4 +1,4 @@
-//! One listener serves several services.
+//! One listener serves several services; the preamble of a connection selects the service.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 use masticsill_wire::ServiceKind;
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const BOUND: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Accepted = Ring<(ServiceKind, ServiceStream)>;
 
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_connection_does_not_hold_up_the_next() {
+async fn a_silent_connection_does_not_delay_the_next() {
     let (address, accepted) = start();
     let silent = TcpStream::connect(address).unwrap();
     let _client = connect_transport::<(), ()>(address, ServiceKind::Node, 20_000)
@@ -65,13 +65,13 @@
 }
 
 #[tokio::test]
-async fn an_unknown_preamble_is_closed() {
+async fn a_connection_with_an_unknown_preamble_is_closed() {
     let (address, accepted) = start();
-    let mut stranger = TcpStream::connect(address).unwrap();
-    stranger.set_read_timeout(Some(BOUND)).unwrap();
-    stranger.write_all(b"G").unwrap();
+    let mut client = TcpStream::connect(address).unwrap();
+    client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    client.write_all(b"G").unwrap();
     let mut answer = [0; 1];
-    assert_eq!(stranger.read(&mut answer).unwrap(), 0);
+    assert_eq!(client.read(&mut answer).unwrap(), 0);
     assert!(accepted.is_empty());
 }
 
@@ -79,11 +79,11 @@
 async fn a_connection_of_another_cluster_is_closed() {
     let (address, accepted) = start();
     let other = cluster_tag(&ClusterId::new("other").unwrap());
-    let mut stranger = TcpStream::connect(address).unwrap();
-    stranger.set_read_timeout(Some(BOUND)).unwrap();
+    let mut client = TcpStream::connect(address).unwrap();
+    client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     let preamble = [&[ServiceKind::Node.preamble()], other.as_slice()].concat();
-    stranger.write_all(&preamble).unwrap();
+    client.write_all(&preamble).unwrap();
     let mut answer = [0; 1];
-    assert_eq!(stranger.read(&mut answer).unwrap(), 0);
+    assert_eq!(client.read(&mut answer).unwrap(), 0);
     assert!(accepted.is_empty());
 }
--- a/crates/masticsill_runtime/tests/structured_log.rs
+++ b/crates/masticsill_runtime/tests/structured_log.rs
@@ -1,6 +1,6 @@
-//! Structured log lines: their form, their bound, and a standard output that nobody reads.
+//! Structured log lines: their format, their rate limit, and an output that blocks.
 //!
-//! One test, because a process has one logger.
+//! This is a single test, because a process has only one logger.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex};
@@ -11,7 +11,7 @@
 
 const EXAMPLE: Event = Event::new(9_999, "example");
 
-/// An output that can be made to stall.
+/// An output whose writes can be made to block.
 #[derive(Clone, Default)]
 struct Output {
     shared: Arc<(Mutex<State>, Condvar)>,
@@ -40,12 +40,15 @@
     }
 
     fn await_line(&self, is_wanted: impl Fn(&serde_json::Value) -> bool) -> serde_json::Value {
-        let bound = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         loop {
             if let Some(line) = self.lines().into_iter().find(|line| is_wanted(line)) {
                 return line;
             }
-            assert!(Instant::now() < bound, "no such line came");
+            assert!(
+                Instant::now() < deadline,
+                "the expected line was not written within 10 s"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn lines_are_objects_bounded_and_never_waited_for() {
+fn log_lines_are_json_objects_bounded_in_rate_and_never_block_the_caller() {
     let output = Output::default();
     let _guard = start_structured_logging_to("node-1", output.clone()).unwrap();
 
@@ -87,7 +90,10 @@
     assert_eq!(line["node"], "node-1");
     assert_eq!(line["event_node"], "another");
     assert_eq!(line["level"], "info");
-    assert_eq!(line["request"], "0123", "an id stays text");
+    assert_eq!(
+        line["request"], "0123",
+        "an identifier of digits stays a string"
+    );
     assert_eq!(line["count"], 7);
     assert_eq!(line["is_so"], true);
     assert_eq!(line["text"], text);
@@ -100,7 +106,7 @@
     log_event!(warn, EXAMPLE, failure = "kept");
     assert!(
         began.elapsed() < Duration::from_secs(5),
-        "a stalled output stalls nobody"
+        "a blocked output must not block the callers"
     );
     output.stall(false);
     output.await_line(|line| line["failure"] == "kept");
--- a/crates/masticsill_settings/src/check.rs
+++ b/crates/masticsill_settings/src/check.rs
@@ -1,4 +1,4 @@
-//! From the file's values to checked settings.
+//! Converts the values of a settings file into checked settings.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -15,20 +15,26 @@
     RoleSettings, Settings, VoterSettings,
 };
 
-const DURATION_MS: RangeInclusive<u64> = 0..=86_400_000;
-const LEASE_MS: RangeInclusive<u64> = 500..=60_000;
-const SILENCE_MS: RangeInclusive<u64> = 100..=60_000;
-const ELECTION_TIMEOUT_MS: RangeInclusive<u64> = 50..=10_000;
-const WORKERS: RangeInclusive<usize> = 1..=64;
-const BODY_BYTES: RangeInclusive<usize> = 1_024..=64 * 1024 * 1024;
-const VOTER_COUNTS: [usize; 4] = [1, 3, 5, 7];
+/// Durations without a narrower range: up to one day.
+const DURATION_RANGE_MS: RangeInclusive<u64> = 0..=86_400_000;
+const LEASE_RANGE_MS: RangeInclusive<u64> = 500..=60_000;
+const SILENCE_RANGE_MS: RangeInclusive<u64> = 100..=60_000;
+const ELECTION_TIMEOUT_RANGE_MS: RangeInclusive<u64> = 50..=10_000;
+const WORKERS_RANGE: RangeInclusive<usize> = 1..=64;
+const MAX_BODY_RANGE_BYTES: RangeInclusive<usize> = 1_024..=64 * 1024 * 1024;
+const ALLOWED_VOTER_COUNTS: [usize; 4] = [1, 3, 5, 7];
+/// Hexadecimal digits of a BLAKE3 hash.
 const TOKEN_HASH_DIGITS: usize = 64;
 
 impl TryFrom<SettingsFile> for Settings {
     type Error = SettingsError;
 
     fn try_from(file: SettingsFile) -> Result<Self, Self::Error> {
-        let lease_ms = in_range("catalogue_lease_ms", file.catalogue_lease_ms, &LEASE_MS)?;
+        let lease_ms = in_range(
+            "catalogue_lease_ms",
+            file.catalogue_lease_ms,
+            &LEASE_RANGE_MS,
+        )?;
         Ok(Self {
             advertised_rpc_address: optional_address(
                 "advertised_rpc_address",
@@ -74,14 +80,18 @@
         balancer_grace_ms: in_range(
             "entry.balancer_grace_ms",
             file.balancer_grace_ms,
-            &DURATION_MS,
+            &DURATION_RANGE_MS,
         )?,
-        drain_ms: in_range("entry.drain_ms", file.drain_ms, &DURATION_MS)?,
+        drain_ms: in_range("entry.drain_ms", file.drain_ms, &DURATION_RANGE_MS)?,
         http_address: address("entry.http_address", &file.http_address)?,
-        max_body_bytes: in_range("entry.max_body_bytes", file.max_body_bytes, &BODY_BYTES)?,
-        reattach_ms: in_range("entry.reattach_ms", file.reattach_ms, &DURATION_MS)?,
-        silence_ms: in_range("entry.silence_ms", file.silence_ms, &SILENCE_MS)?,
-        workers: in_range("entry.workers", file.workers, &WORKERS)?,
+        max_body_bytes: in_range(
+            "entry.max_body_bytes",
+            file.max_body_bytes,
+            &MAX_BODY_RANGE_BYTES,
+        )?,
+        reattach_ms: in_range("entry.reattach_ms", file.reattach_ms, &DURATION_RANGE_MS)?,
+        silence_ms: in_range("entry.silence_ms", file.silence_ms, &SILENCE_RANGE_MS)?,
+        workers: in_range("entry.workers", file.workers, &WORKERS_RANGE)?,
     })
 }
 
@@ -103,9 +113,9 @@
         },
     };
     Ok(AgentSettings {
-        drain_ms: in_range("agent.drain_ms", file.drain_ms, &DURATION_MS)?,
+        drain_ms: in_range("agent.drain_ms", file.drain_ms, &DURATION_RANGE_MS)?,
         endpoint,
-        orphan_ms: in_range("agent.orphan_ms", file.orphan_ms, &DURATION_MS)?,
+        orphan_ms: in_range("agent.orphan_ms", file.orphan_ms, &DURATION_RANGE_MS)?,
     })
 }
 
@@ -122,7 +132,7 @@
         election_timeout_ms: in_range(
             "control.election_timeout_ms",
             file.election_timeout_ms,
-            &ELECTION_TIMEOUT_MS,
+            &ELECTION_TIMEOUT_RANGE_MS,
         )?,
         http_address: address("control.http_address", &file.http_address)?,
         operators: check_operators(&file.operators)?,
@@ -131,7 +141,7 @@
 }
 
 fn check_voters(files: &[VoterFile]) -> Result<Vec<VoterSettings>, SettingsError> {
-    if !VOTER_COUNTS.contains(&files.len()) {
+    if !ALLOWED_VOTER_COUNTS.contains(&files.len()) {
         return Err(SettingsError::refused(
             "control.voters",
             format!("{} voters", files.len()),
--- a/crates/masticsill_settings/src/error.rs
+++ b/crates/masticsill_settings/src/error.rs
@@ -1,36 +1,36 @@
-//! What can be wrong with a settings file.
+//! Errors of reading a settings file.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why settings were refused.
+/// Reason why settings were refused.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("settings file `{path}` can't be read: {source}; check its path and permissions")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The file isn't JSON of the expected shape.
+    /// The file is not valid JSON, or a field is missing, unknown or of the wrong type.
     #[error("field `{field}`: {problem}; correct it as docs/SETTINGS.md describes")]
     Malformed {
         /// Path of the field within the file.
         field: String,
-        /// What the parser found, with line and column.
+        /// Message of the parser, with line and column.
         problem: String,
     },
-    /// A value is outside what the field allows.
+    /// A value is not allowed for its field.
     #[error("field `{field}`: value `{value}` is refused; {remedy}")]
     Refused {
         /// Path of the field within the file.
         field: String,
-        /// The value found.
+        /// The refused value.
         value: String,
-        /// What to write instead.
+        /// How to correct the value.
         remedy: String,
     },
 }
--- a/crates/masticsill_settings/src/file.rs
+++ b/crates/masticsill_settings/src/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as written: plain JSON values, not yet checked.
+//! The structure of a settings file: JSON values that are parsed but not yet checked.
 
 use serde::Deserialize;
 
--- a/crates/masticsill_settings/src/lib.rs
+++ b/crates/masticsill_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! JSON settings of a process, checked as a whole.
+//! Settings of a process, read from a JSON file and checked.
 //!
 //! One file describes one process. [`Settings::read`] refuses unknown fields and checks every
-//! value; each message names the field, the value and the remedy.
+//! value. Each error message names the field, the value and the remedy.
 
 mod check;
 mod error;
--- a/crates/masticsill_settings/src/settings.rs
+++ b/crates/masticsill_settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process, checked.
+//! The checked settings of a process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -9,26 +9,27 @@
 use crate::error::SettingsError;
 use crate::file::SettingsFile;
 
-/// Everything that one process is told at its start.
+/// Settings of one process, read at its start.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// The address that peers reach the RPC listener by; `rpc_address` unless told otherwise.
+    /// The address at which peers reach the RPC listener; the bound `rpc_address` if not set.
     pub advertised_rpc_address: Option<SocketAddr>,
-    /// How long a copy of the catalogue may be acted on without a new proof, in milliseconds.
+    /// Lease on a copy of the catalogue, in milliseconds: how long the copy may be used before its
+    /// lease must be renewed.
     pub catalogue_lease_ms: u64,
-    /// The cluster that the process belongs to; a data folder of another one is refused.
+    /// The cluster that the process belongs to. A data folder of another cluster is refused.
     pub cluster: ClusterId,
-    /// The process's name, unique among all processes.
+    /// The name of the process, unique in the cluster.
     pub node: NodeId,
-    /// What the process does.
+    /// The role of the process and its settings.
     pub role: RoleSettings,
-    /// Where peers reach the process; port zero lets the system choose.
+    /// Address of the RPC listener. For port zero, the system chooses the port.
     pub rpc_address: SocketAddr,
-    /// Peers to make the first contact with; never a list of endpoints.
+    /// RPC addresses of peers to contact first. This is not a list of endpoints.
     pub seeds: Vec<SocketAddr>,
-    /// Where a control replica serves its metrics as text, if anywhere.
+    /// Address where a control replica serves its metrics as text; not served if not set.
     pub metrics_address: Option<SocketAddr>,
-    /// Where metrics go, if anywhere.
+    /// Address of the `StatsD` listener for metrics; none are sent if not set.
     pub statsd_address: Option<SocketAddr>,
     /// The availability zone that the process runs in.
     pub zone: ZoneId,
@@ -37,40 +38,40 @@
 /// The role of a process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RoleSettings {
-    /// Stands beside an endpoint.
+    /// Represents one endpoint and runs requests on it.
     Agent(AgentSettings),
-    /// Keeps the catalogue.
+    /// Replicates the catalogue.
     Control(ControlSettings),
-    /// Serves callers.
+    /// Serves the requests of callers.
     Entry(EntrySettings),
 }
 
 /// Settings of the agent role.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AgentSettings {
-    /// Longest wait for running work at a planned stop, in milliseconds.
+    /// Longest wait for running work at a graceful shutdown, in milliseconds.
     pub drain_ms: u64,
-    /// The endpoint.
+    /// The endpoint of the agent.
     pub endpoint: EndpointSettings,
-    /// A generation that nobody pulls for this long is cancelled, in milliseconds.
+    /// Time in milliseconds after which a generation whose output nobody pulls is cancelled.
     pub orphan_ms: u64,
 }
 
-/// The endpoint beside an agent.
+/// The endpoint of an agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointSettings {
     /// A model engine.
     Engine {
-        /// Its HTTP address.
+        /// HTTP address of the engine.
         address: SocketAddr,
-        /// Whether it refuses orders with an old fencing number by itself.
+        /// Whether the engine itself refuses orders with an outdated fencing number.
         is_checking_fencing: bool,
     },
     /// A plain service.
     PlainService {
-        /// Its HTTP address.
+        /// HTTP address of the service.
         address: SocketAddr,
-        /// The name that catalogue entries refer to.
+        /// The name by which catalogue entries refer to the service.
         service: ModelId,
     },
 }
@@ -78,56 +79,58 @@
 /// Settings of the entry role.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntrySettings {
-    /// How long requests are still accepted after readiness is off, in milliseconds.
+    /// Time in milliseconds for which requests are still accepted after the readiness check starts
+    /// to fail, so that load balancers can react.
     pub balancer_grace_ms: u64,
-    /// Longest wait for running streams at a planned stop, in milliseconds.
+    /// Longest wait for running streams at a graceful shutdown, in milliseconds.
     pub drain_ms: u64,
-    /// Where callers reach the entry.
+    /// Address of the HTTP listener for callers.
     pub http_address: SocketAddr,
     /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a generation goes on after its caller's connection is lost, in milliseconds.
+    /// Time in milliseconds for which a generation continues after its caller's connection is lost.
     pub reattach_ms: u64,
-    /// Silence of an agent after which its streams are moved, in milliseconds.
+    /// Time in milliseconds without a message from an agent after which its streams are moved to
+    /// another agent.
     pub silence_ms: u64,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
 }
 
 /// Settings of the control role.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ControlSettings {
-    /// The folder of all durable state.
+    /// Folder of all durable state.
     pub data_folder: PathBuf,
-    /// Shortest time without a leader before an election, in milliseconds.
+    /// Shortest time without a leader before an election starts, in milliseconds.
     pub election_timeout_ms: u64,
-    /// Where operators reach the administration API.
+    /// Address of the HTTP listener for the administration API.
     pub http_address: SocketAddr,
-    /// Who may change the catalogue.
+    /// The operators that may use the administration API.
     pub operators: Vec<OperatorSettings>,
-    /// The replicas that form a new quorum.
+    /// The replicas that form the quorum of a new cluster.
     pub voters: Vec<VoterSettings>,
 }
 
-/// One control replica.
+/// One voter of a new cluster.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VoterSettings {
-    /// Its name.
+    /// Node name of the replica.
     pub node: NodeId,
-    /// Its RPC address.
+    /// RPC address of the replica.
     pub rpc_address: SocketAddr,
 }
 
 /// One operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OperatorSettings {
-    /// Whether every workspace and the replicas may be changed.
+    /// Whether the operator may change the entries of every workspace and the control replicas.
     pub is_administrator: bool,
-    /// The operator's name in the audit trail.
+    /// Name of the operator in the audit trail.
     pub name: OperatorId,
-    /// BLAKE3 hash of the bearer token, 64 hexadecimal digits.
+    /// BLAKE3 hash of the bearer token as 64 lower-case hexadecimal digits.
     pub token_blake3: String,
-    /// Workspaces whose entries may be changed.
+    /// Workspaces whose entries the operator may change.
     pub workspaces: Vec<WorkspaceId>,
 }
 
@@ -136,7 +139,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] naming the first field that is wrong, its value and the remedy.
+    /// [`SettingsError`] if the file can't be read or a field is invalid; names the first invalid
+    /// field, its value and the remedy.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.display().to_string(),
@@ -149,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Settings::read`].
+    /// [`SettingsError::Malformed`] or [`SettingsError::Refused`] for the first invalid field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut deserializer = serde_json::Deserializer::from_str(text);
         let file: SettingsFile =
--- a/crates/masticsill_settings/tests/bad_fields.rs
+++ b/crates/masticsill_settings/tests/bad_fields.rs
@@ -1,4 +1,4 @@
-//! Wrong settings are refused by a message that names field, value and remedy.
+//! Invalid settings are refused with a message that names the field, the value and the remedy.
 
 use masticsill_settings::{RoleSettings, Settings, SettingsError};
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn each_mistake_names_field_value_and_remedy() {
+fn an_invalid_value_is_refused_with_field_value_and_remedy() {
     let cases = [
         (
             r#""127.0.0.1:7001""#,
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_process_holds_exactly_one_role() {
+fn settings_without_exactly_one_role_are_refused() {
     let text = ENTRY.replace(r#""entry":{"http_address":"127.0.0.1:0"}"#, r#""seeds":[]"#);
     let text = text.replacen(r#""seeds":["127.0.0.1:7001"],"#, "", 1);
     let message = Settings::parse(&text).unwrap_err().to_string();
