--- a/crates/masticsill/src/arguments.rs
+++ b/crates/masticsill/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The daemon's command line.
+//! Parses the command line of the daemon.
 
 use std::path::PathBuf;
 
 use lexopt::prelude::{Long, Short, Value};
 
-/// What `--help` prints.
+/// Output of `--help`.
 pub(crate) const HELP: &str = "\
 masticsill: serves long generations on engines that fail
 
@@ -32,29 +32,29 @@
   2  the arguments are wrong
 ";
 
-/// What the daemon was asked to do.
+/// The command to run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Command {
     /// Check a settings file.
     Check(PathBuf),
-    /// Check the platform's settings of a process.
+    /// Check the settings file of a platform process.
     CheckPlatform(PathBuf),
     /// Print the help.
     Help,
-    /// Run a process of the platform.
+    /// Run a platform process with its settings file.
     Platform(PathBuf),
-    /// Make a control replica the only voter.
+    /// Make a control replica the only voter, after the majority was lost permanently.
     Recover(PathBuf),
-    /// Run a process.
+    /// Run one process with its settings file.
     Run(PathBuf),
     /// Print the version.
     Version,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 pub(crate) fn parse_arguments() -> Result<Command, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
-    let mut words: Vec<String> = Vec::new();
+    let mut positional: Vec<String> = Vec::new();
     let mut is_loss_accepted = false;
     let mut is_check = false;
     while let Some(argument) = parser.next()? {
@@ -63,21 +63,21 @@
             Short('V') | Long("version") => return Ok(Command::Version),
             Long("accept-loss") => is_loss_accepted = true,
             Long("check") => is_check = true,
-            Value(word) => words.push(word.into_string()?),
+            Value(word) => positional.push(word.into_string()?),
             Long(_) | Short(_) => return Err(argument.unexpected()),
         }
     }
-    match words.as_slice() {
-        [verb, file] if verb == "run" => Ok(Command::Run(PathBuf::from(file))),
-        [verb, file] if verb == "check" => Ok(Command::Check(PathBuf::from(file))),
-        [verb, file] if verb == "platform" && is_check => {
+    match positional.as_slice() {
+        [command, file] if command == "run" => Ok(Command::Run(PathBuf::from(file))),
+        [command, file] if command == "check" => Ok(Command::Check(PathBuf::from(file))),
+        [command, file] if command == "platform" && is_check => {
             Ok(Command::CheckPlatform(PathBuf::from(file)))
         }
-        [verb, file] if verb == "platform" => Ok(Command::Platform(PathBuf::from(file))),
-        [verb, file] if verb == "recover" && is_loss_accepted => {
+        [command, file] if command == "platform" => Ok(Command::Platform(PathBuf::from(file))),
+        [command, file] if command == "recover" && is_loss_accepted => {
             Ok(Command::Recover(PathBuf::from(file)))
         }
-        [verb, _] if verb == "recover" => {
+        [command, _] if command == "recover" => {
             Err("`recover` can lose accepted changes; add --accept-loss once you have read docs/OPERATIONS.md".into())
         }
         _ => Err("give `run FILE`, `check FILE`, `platform FILE` or `recover FILE --accept-loss`".into()),
--- a/crates/masticsill/src/main.rs
+++ b/crates/masticsill/src/main.rs
@@ -1,4 +1,4 @@
-//! The masticsill daemon: one process, one role, one settings file.
+//! The masticsill daemon. Each process runs one role, described by one settings file.
 
 mod arguments;
 mod node;
@@ -14,15 +14,15 @@
 
 use crate::arguments::{Command, HELP, parse_arguments};
 
-/// Exit code of wrong arguments.
-const USAGE: u8 = 2;
+/// Exit code for invalid arguments.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let command = match parse_arguments() {
         Ok(command) => command,
         Err(error) => {
             eprintln!("masticsill: {error}\n\n{HELP}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(USAGE_EXIT_CODE);
         }
     };
     match execute(&command) {
--- a/crates/masticsill/src/node.rs
+++ b/crates/masticsill/src/node.rs
@@ -1,4 +1,4 @@
-//! Runs one process: its mesh and its role, until it is asked to end.
+//! Runs one process, with its mesh and its role, until a shutdown is requested.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,11 +25,12 @@
 
 use crate::settings_map::{to_agent_config, to_control_config, to_entry_config};
 
-/// Connections to the role's service that wait to be served.
-const CONNECTION_RING_ITEMS: usize = 1_024;
-const POLL: Duration = Duration::from_millis(20);
+/// Most accepted connections that wait for the service of the role.
+const CONNECTION_RING_CAPACITY: usize = 1_024;
+/// Interval at which the main thread checks for a shutdown request.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What every role needs of its process.
+/// State that the process sets up before it starts its role.
 struct Process {
     address: SocketAddr,
     clock: MonotonicClock,
@@ -40,22 +41,22 @@
     shutdown: ShutdownSignal,
 }
 
-/// A running mesh.
+/// A running mesh and its duty.
 struct RunningMesh {
     duty: DutyHandle,
     handle: MeshHandle,
 }
 
-/// Runs the process that the settings describe, until it is asked to end.
+/// Runs the process that the settings describe, until a shutdown is requested.
 ///
 /// # Errors
 ///
-/// An error that names what could not be started, or the duty that failed.
+/// An error that names the part that could not be started, or the duty that failed.
 pub(crate) fn run(settings: Settings, path: PathBuf) -> eyre::Result<()> {
     set_process_cluster(&settings.cluster);
     let shutdown = ShutdownSignal::default();
-    let started = settings.clone();
-    watch_signals(shutdown.clone(), move || check_reload(&path, &started))
+    let initial = settings.clone();
+    watch_signals(shutdown.clone(), move || check_reload(&path, &initial))
         .wrap_err("signals can't be watched")?;
     let listener = listen(settings.rpc_address)
         .wrap_err_with(|| format!("rpc_address {} can't be bound", settings.rpc_address))?;
@@ -63,7 +64,7 @@
     let process = Process {
         address: settings.advertised_rpc_address.unwrap_or(bound),
         clock: MonotonicClock::start(),
-        connections: Ring::with_capacity(CONNECTION_RING_ITEMS),
+        connections: Ring::with_capacity(CONNECTION_RING_CAPACITY),
         listener,
         metrics: start_metrics(&settings)?,
         settings,
@@ -81,10 +82,11 @@
     Ok(())
 }
 
-/// Says what a changed settings file means for a process that reads it only at its start.
-fn check_reload(path: &Path, started: &Settings) {
+/// Checks the settings file again and logs the result. A running process does not apply changes;
+/// they need a restart.
+fn check_reload(path: &Path, initial: &Settings) {
     match Settings::read(path) {
-        Ok(settings) if settings == *started => {
+        Ok(settings) if settings == *initial => {
             log_event!(info, events::SETTINGS_RELOADED, change = "none");
         }
         Ok(_) => {
@@ -128,7 +130,7 @@
         agent: Some(connections.clone()),
         ..ServiceRoutes::default()
     };
-    let role = Role::Agent(first_profile(&agent.endpoint));
+    let role = Role::Agent(initial_profile(&agent.endpoint));
     let mesh = start_mesh(process, role, routes, None)?;
     let handle = AgentRole::start(
         config,
@@ -150,7 +152,7 @@
 fn drain_agent(handle: &AgentHandle) {
     handle.leave();
     while !handle.is_drained() {
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
 }
 
@@ -181,7 +183,7 @@
     println!("listening http on {}", role.http_address());
     println!("ready");
     while !shutdown.is_requested() && !role.has_failed() {
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
     if role.has_failed() {
         role.abort()?;
@@ -197,12 +199,12 @@
 
 fn await_shutdown(shutdown: &ShutdownSignal) {
     while !shutdown.is_requested() {
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
 }
 
-/// What is announced before the endpoint was asked: nothing is loaded yet.
-fn first_profile(endpoint: &EndpointSettings) -> EndpointProfile {
+/// Returns the profile to announce until the endpoint has been queried: no model is loaded.
+fn initial_profile(endpoint: &EndpointSettings) -> EndpointProfile {
     let kind = match endpoint {
         EndpointSettings::Engine {
             is_checking_fencing,
--- a/crates/masticsill/src/settings_map.rs
+++ b/crates/masticsill/src/settings_map.rs
@@ -1,4 +1,4 @@
-//! From checked settings to the roles' configurations.
+//! Converts checked settings into the configurations of the roles.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
     AgentSettings, ControlSettings, EndpointSettings, EntrySettings, OperatorSettings, Settings,
 };
 
-/// How long an agent remembers plain calls: longer than the quorum remembers claims, so that no
-/// tombstone is forgotten while its claim could still be moved.
-const CALL_WINDOW_MS: u64 = 25 * 60 * 60 * 1_000;
+/// Time for which an agent keeps the keys of plain calls. It exceeds the time for which the quorum
+/// keeps claims, so that no tombstone is dropped while its claim can still be reassigned.
+const CALL_RETENTION_MS: u64 = 25 * 60 * 60 * 1_000;
 
-/// The entry role's configuration.
+/// Returns the configuration of the entry role.
 pub(crate) fn to_entry_config(settings: &Settings, entry: &EntrySettings) -> EntryConfig {
     EntryConfig {
         balancer_grace_ms: entry.balancer_grace_ms,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The agent role's configuration.
+/// Returns the configuration of the agent role.
 pub(crate) fn to_agent_config(settings: &Settings, agent: &AgentSettings) -> AgentConfig {
     let (endpoint, endpoint_address) = match &agent.endpoint {
         EndpointSettings::Engine {
@@ -56,7 +56,7 @@
     };
     let mut limits = AgentLimits::default();
     limits.book.orphan_ms = agent.orphan_ms;
-    limits.calls.key_window_ms = CALL_WINDOW_MS;
+    limits.calls.key_window_ms = CALL_RETENTION_MS;
     limits.drain_ms = agent.drain_ms;
     AgentConfig {
         endpoint,
@@ -66,11 +66,11 @@
     }
 }
 
-/// The control role's configuration; `address` is where peers reach this process.
+/// Returns the configuration of the control role; `address` is where peers reach this process.
 ///
 /// # Errors
 ///
-/// An error when an operator's token hash is not one.
+/// An error if the token hash of an operator is invalid.
 pub(crate) fn to_control_config(
     settings: &Settings,
     control: &ControlSettings,
@@ -116,7 +116,8 @@
     })
 }
 
-/// Keeps the quorum's order of periods: heartbeat, lease, election.
+/// Derives the periods of the quorum. They must increase in this order: heartbeat, lease, election
+/// timeout.
 fn to_replica_settings(election_timeout_ms: u64) -> ReplicaSettings {
     ReplicaSettings {
         election_max_ms: election_timeout_ms * 2,
--- a/crates/masticsill/tests/event_catalogue.rs
+++ b/crates/masticsill/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! docs/EVENTS.md and the code list the same events.
+//! docs/EVENTS.md lists exactly the events that the code declares.
 
 use std::fs;
 use std::path::Path;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn no_number_stands_for_two_events() {
+fn event_numbers_are_unique() {
     let events = declared();
     for pair in events.windows(2) {
         assert_ne!(
@@ -83,7 +83,8 @@
     }
 }
 
-/// The constant that declares an event, as in `pub const NAME: Event = Event::new(1001, ...`.
+/// Returns the name of the constant that declares an event, as in
+/// `pub const NAME: Event = Event::new(1001, ...`.
 fn event_constant(source: &str, event: Event) -> &str {
     let declaration = format!("Event::new({},", event.number);
     let line = source.lines().find(|line| line.contains(&declaration));
--- a/crates/masticsill/tests/example_settings.rs
+++ b/crates/masticsill/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! Every example settings file is sound, and the daemon says so.
+//! The daemon's `check` command accepts every example settings file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -26,9 +26,12 @@
 }
 
 #[test]
-fn every_example_is_sound() {
+fn every_example_settings_file_is_valid() {
     let files = example_files();
-    assert!(files.len() >= 20, "both sites have their files");
+    assert!(
+        files.len() >= 20,
+        "expected at least 20 example files for the two sites"
+    );
     for file in files {
         let (is_sound, text) = check(&file);
         assert!(is_sound, "{}: {text}", file.display());
--- a/crates/masticsill/tests/metric_catalogue.rs
+++ b/crates/masticsill/tests/metric_catalogue.rs
@@ -1,4 +1,4 @@
-//! docs/METRICS.md and the code list the same metrics.
+//! docs/METRICS.md lists exactly the metrics that the code sends.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/masticsill/tests/proofs_table.rs
+++ b/crates/masticsill/tests/proofs_table.rs
@@ -1,4 +1,4 @@
-//! docs/PROOFS.md names only tests that exist, and claims nothing without one.
+//! docs/PROOFS.md names only tests that exist, and makes no claim without a test.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 const VERDICTS: [&str; 3] = ["proved", "partly", "not proved"];
 const CELLS: usize = 5;
 
-/// A row: the point, its mechanism, its tests, the trial and the verdict.
+/// A row of the table. Its cells: the point, the mechanism, the tests, the trial and the verdict.
 #[derive(Debug)]
 struct Row {
     point: String,
@@ -15,7 +15,7 @@
     verdict: String,
 }
 
-/// A test as the page names it: `package::file::function`.
+/// A test as named on the page: `package::file::function`.
 #[derive(Debug)]
 struct TestName {
     file: String,
@@ -62,7 +62,7 @@
     })
 }
 
-/// Every file of a name in a folder and those below it.
+/// Returns all files with this name in a folder and its subfolders.
 fn find_files(folder: &Path, name: &str) -> Vec<PathBuf> {
     let Ok(items) = fs::read_dir(folder) else {
         return Vec::new();
@@ -79,13 +79,13 @@
     found.collect()
 }
 
-/// Whether a source holds a function that the test runner runs.
-fn holds_test(source: &str, function: &str) -> bool {
-    let head = format!("fn {function}(");
+/// Returns whether a source file contains this function as a test that is not ignored.
+fn contains_test(source: &str, function: &str) -> bool {
+    let signature = format!("fn {function}(");
     let lines: Vec<&str> = source.lines().map(str::trim).collect();
     let is_head = |line: &&str| {
         let line = line.strip_prefix("async ").unwrap_or(line);
-        line.starts_with(&head)
+        line.starts_with(&signature)
     };
     let found = lines.iter().position(is_head);
     found.is_some_and(|place| {
@@ -97,16 +97,17 @@
     })
 }
 
-fn exists(test: &TestName) -> bool {
+fn test_exists(test: &TestName) -> bool {
     let folder = match test.package.as_str() {
-        // It stands beside the crates, where only it may know the platform's names.
+        // The platform package lies outside the `crates` folder, because only this package may use
+        // the names of the platform.
         "masticsill_platform" => crates_folder().join("../platform/tests"),
         package => crates_folder().join(package).join("tests"),
     };
     let files = find_files(&folder, &format!("{}.rs", test.file));
     files
         .iter()
-        .any(|file| holds_test(&fs::read_to_string(file).unwrap(), &test.function))
+        .any(|file| contains_test(&fs::read_to_string(file).unwrap(), &test.function))
 }
 
 #[test]
@@ -114,12 +115,12 @@
     let rows = read_rows();
     assert!(!rows.is_empty(), "the page has no rows");
     let tests = rows.iter().flat_map(|row| &row.tests);
-    let missing: Vec<&TestName> = tests.filter(|test| !exists(test)).collect();
+    let missing: Vec<&TestName> = tests.filter(|test| !test_exists(test)).collect();
     assert!(missing.is_empty(), "{missing:#?}");
 }
 
 #[test]
-fn nothing_is_claimed_without_a_test_and_a_trial() {
+fn every_claim_has_a_test_and_a_trial() {
     for row in read_rows() {
         let verdict = row.verdict.split(':').next().unwrap_or_default();
         let (verdict, rest) = (verdict, &row.verdict[verdict.len()..]);
@@ -127,7 +128,7 @@
         let is_claimed = verdict != "not proved";
         assert!(!is_claimed || !row.tests.is_empty(), "{row:?}");
         assert!(verdict != "proved" || !row.trial.is_empty(), "{row:?}");
-        // What is missing has to be said.
+        // Any other verdict must state what is missing.
         assert!(verdict == "proved" || rest.len() > 2, "{row:?}");
         assert!(!row.point.is_empty(), "{row:?}");
     }
@@ -145,6 +146,6 @@
         ("run", false),
     ];
     for (function, is_found) in cases {
-        assert_eq!(holds_test(source, function), is_found, "{function}");
+        assert_eq!(contains_test(source, function), is_found, "{function}");
     }
 }
--- a/crates/masticsill/tests/system/calls_cut.rs
+++ b/crates/masticsill/tests/system/calls_cut.rs
@@ -1,4 +1,4 @@
-//! Agents and links that are lost while a service runs a call that may not be repeated.
+//! Agents and connections lost while a service runs a call that must not be repeated.
 
 use std::thread;
 
@@ -6,16 +6,17 @@
 use serde_json::json;
 
 use crate::calls_once::{CallSystem, outcome};
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
-/// How long a service takes for a call, so that its agent is lost meanwhile.
+/// Duration of a call at the service, long enough to lose the agent during the call.
 const SERVICE_MS: u64 = 1_500;
 
-/// Orders an item; once a service runs it, `lose` strikes that service's agent.
-fn order_and_lose(
+/// Orders an item and calls `fail_agent` with the agent of the service once the service runs the
+/// order.
+fn order_and_fail_agent(
     system: &mut CallSystem,
     item: &str,
-    lose: impl FnOnce(&mut CallSystem, &str),
+    fail_agent: impl FnOnce(&mut CallSystem, &str),
 ) -> CallerAnswer {
     let before: Vec<u64> = runs_of_each(system);
     let address = system.deployment.http("entry-0");
@@ -24,14 +25,14 @@
     let request = request.idempotency_key(item);
     let call = thread::spawn(move || {
         let caller = Caller::start().expect("a thread can be started");
-        caller.call(request, BOUND_MS)
+        caller.call(request, WAIT_TIMEOUT_MS)
     });
-    let is_running = wait_until(BOUND_MS, || system.runs(item) == 1);
+    let is_running = wait_until(WAIT_TIMEOUT_MS, || system.runs(item) == 1);
     assert!(is_running, "the order reached a service");
     let after = runs_of_each(system);
     let busy = after.iter().zip(&before).position(|(now, then)| now > then);
     let agent = format!("agent-{}", busy.expect("a service runs it"));
-    lose(system, &agent);
+    fail_agent(system, &agent);
     let answer = call.join().expect("the caller's thread ends");
     answer.expect("the entry answers")
 }
@@ -43,7 +44,8 @@
     system.services.iter().map(runs).collect()
 }
 
-/// The caller is told that nobody knows, also when it asks again, and the call ran once.
+/// Asserts that the outcome is reported as unknown, also for a repeated call, and that the call ran
+/// exactly once.
 #[track_caller]
 fn assert_unknown(system: &CallSystem, item: &str, answer: &CallerAnswer) {
     assert_eq!(
@@ -68,7 +70,7 @@
     for service in &system.services {
         service.set_delay(SERVICE_MS);
     }
-    let answer = order_and_lose(&mut system, "pallet", |system, agent| {
+    let answer = order_and_fail_agent(&mut system, "pallet", |system, agent| {
         system.deployment.node_mut(agent).process.kill();
     });
     assert_unknown(&system, "pallet", &answer);
@@ -81,7 +83,7 @@
         service.set_delay(SERVICE_MS);
     }
     let mut cut = String::new();
-    let answer = order_and_lose(&mut system, "grout", |system, agent| {
+    let answer = order_and_fail_agent(&mut system, "grout", |system, agent| {
         let proxy = &system.deployment.node(agent).proxy;
         proxy.set_mode(ProxyMode::Cut);
         agent.clone_into(&mut cut);
--- a/crates/masticsill/tests/system/calls_once.rs
+++ b/crates/masticsill/tests/system/calls_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated run at most once, and callers are told the truth.
+//! Calls that must not be repeated run at most once, and their outcome is reported correctly.
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -9,7 +9,7 @@
 };
 use serde_json::{Value, json};
 
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
 pub(crate) struct CallSystem {
     pub(crate) deployment: Deployment,
@@ -42,10 +42,12 @@
         system
     }
 
-    /// Waits until an entry passes a call on.
+    /// Waits until an entry forwards a call to a service.
     fn await_service(&self, entry: &str) {
         let key = format!("probe-{entry}");
-        let is_served = wait_until(BOUND_MS, || self.order(entry, &key, "probe").status == 200);
+        let is_served = wait_until(WAIT_TIMEOUT_MS, || {
+            self.order(entry, &key, "probe").status == 200
+        });
         assert!(is_served, "{}", self.deployment.node(entry).process.log());
     }
 
@@ -54,11 +56,11 @@
         let path = "/v1/services/tile-orders/order";
         let request = CallerRequest::post(address, path, &json!({"item": item}));
         let request = request.idempotency_key(key);
-        let answer = self.deployment.caller().call(request, BOUND_MS);
+        let answer = self.deployment.caller().call(request, WAIT_TIMEOUT_MS);
         answer.expect("the entry answers")
     }
 
-    /// How often an order reached a service, over all services.
+    /// Returns how often an order reached a service, summed over all services.
     pub(crate) fn runs(&self, item: &str) -> u64 {
         let body = json!({"item": item}).to_string();
         let counts = self.services.iter().map(|service| {
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn a_repeat_gets_the_first_answer_through_any_entry() {
+fn a_repeated_key_gets_the_first_answer_through_any_entry() {
     let system = CallSystem::start(3, 2, 2);
     let first = system.order("entry-0", "key-1", "pallet");
     let again = system.order("entry-0", "key-1", "pallet");
@@ -107,14 +109,14 @@
 }
 
 #[test]
-fn a_call_that_never_left_is_not_run_and_moves_on() {
+fn a_call_that_was_never_sent_is_retried_at_another_agent() {
     let mut system = CallSystem::start(1, 1, 1);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let dead = listener.local_addr().expect("the port is bound");
     drop(listener);
     let deployment = &mut system.deployment;
     deployment.start_service_agent("agent-dead", "zone-0", dead, "orders");
-    let is_known = wait_until(BOUND_MS, || {
+    let is_known = wait_until(WAIT_TIMEOUT_MS, || {
         let log = system.deployment.node("entry-0").process.log();
         log.contains("node=agent-dead")
     });
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn a_dead_agent_gives_a_true_answer() {
+fn the_reported_outcome_is_correct_after_an_agent_is_lost() {
     let mut system = CallSystem::start(1, 1, 2);
     system.deployment.node_mut("agent-0").process.kill();
     for number in 0..6 {
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn an_entry_lost_in_the_middle_leaves_no_second_run() {
+fn an_entry_lost_during_a_call_causes_no_second_run() {
     let mut system = CallSystem::start(1, 2, 2);
     for service in &system.services {
         service.set_delay(800);
@@ -157,8 +159,8 @@
     let request = CallerRequest::post(address, path, &json!({"item": "sink"}));
     let request = request.idempotency_key("key-5");
     let caller = Caller::start().expect("a thread can be started");
-    let first = std::thread::spawn(move || caller.call(request, BOUND_MS));
-    let is_running = wait_until(BOUND_MS, || system.runs("sink") == 1);
+    let first = std::thread::spawn(move || caller.call(request, WAIT_TIMEOUT_MS));
+    let is_running = wait_until(WAIT_TIMEOUT_MS, || system.runs("sink") == 1);
     assert!(is_running, "the order reached a service");
     system.deployment.node_mut("entry-0").process.kill();
     let _ = first.join();
--- a/crates/masticsill/tests/system/catalogue_force.rs
+++ b/crates/masticsill/tests/system/catalogue_force.rs
@@ -1,4 +1,4 @@
-//! Accepted changes are in force at every entry, or the entry starts nothing.
+//! An entry applies accepted changes, or starts no request once its catalogue lease has expired.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -12,10 +12,10 @@
 use tempfile::TempDir;
 
 use crate::operators::{CONTROLS, ENTRY_PATH, change, leader, put, put_body};
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
-/// Requests to each entry while no replica can be asked.
-const ASKED_WHILE_CUT: usize = 50;
+/// Requests to each entry while no control replica is reachable.
+const REQUESTS_WHILE_CUT: usize = 50;
 const CHANGES_WHILE_AWAY: u64 = 300;
 const ENTRIES: [&str; 2] = ["entry-0", "entry-1"];
 const LEASE: Duration = Duration::from_secs(4);
@@ -32,7 +32,7 @@
     _folder: TempDir,
 }
 
-/// What an entry made of a request.
+/// Result of a request to an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Served {
     Refused(Value),
@@ -85,14 +85,14 @@
         let body = request_body("which version", TOKENS, false);
         let address = self.deployment.http(entry);
         let request = CallerRequest::post(address, "/v1/completions", &body);
-        let answer = self.deployment.caller().call(request, BOUND_MS);
+        let answer = self.deployment.caller().call(request, WAIT_TIMEOUT_MS);
         served(&answer.expect("the entry answers").json())
     }
 
-    /// Asks until an entry answers as wanted; what it answers until then is returned.
+    /// Sends requests until an entry answers as wanted, and returns all its answers.
     fn await_served(&self, entry: &str, wanted: &Served) -> Vec<Served> {
         let mut before = Vec::new();
-        let is_served = wait_until(BOUND_MS, || {
+        let is_served = wait_until(WAIT_TIMEOUT_MS, || {
             let served = self.ask(entry);
             let is_wanted = served == *wanted;
             before.push(served);
@@ -104,7 +104,7 @@
 
     fn await_refusal(&self, entry: &str, kind: &str) -> Value {
         let mut last = None;
-        let is_refused = wait_until(BOUND_MS, || {
+        let is_refused = wait_until(WAIT_TIMEOUT_MS, || {
             let served = self.ask(entry);
             let is_refused = matches!(&served, Served::Refused(error) if error["kind"] == kind);
             last = Some(served);
@@ -116,7 +116,7 @@
         error
     }
 
-    /// A counter of the engines, over all of them.
+    /// Returns the sum of a counter over all engines.
     fn count(&self, counter: impl Fn(&EngineStats) -> u64) -> u64 {
         let caller = self.deployment.caller();
         let stats = self.engines.iter().map(|engine| engine.stats(caller));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The versions that an entry noted in its log under an event, oldest first.
+    /// Returns the versions that an entry logged with an event, oldest first.
     fn logged_versions(&self, entry: &str, event: &str) -> Vec<u64> {
         let log = self.deployment.node(entry).process.log();
         let lines = log.lines().filter(|line| line.contains(event));
@@ -142,11 +142,11 @@
     }
 }
 
-/// Waits until every proof from before a change's acceptance has lapsed: until then a peer that
-/// does not know the change yet may still prove the version before it.
-fn await_lapse(accepted_at: Instant) {
-    let has_lapsed = wait_until(BOUND_MS, || accepted_at.elapsed() > LEASE);
-    assert!(has_lapsed, "the lease is shorter than the bound");
+/// Waits until all leases granted before a change was accepted have expired. Until then, a peer
+/// that does not know the change may still confirm the previous version.
+fn wait_for_lease_expiry(accepted_at: Instant) {
+    let has_expired = wait_until(WAIT_TIMEOUT_MS, || accepted_at.elapsed() > LEASE);
+    assert!(has_expired, "the lease must be shorter than the timeout");
 }
 
 fn accepted(answer: (u16, Value)) -> u64 {
@@ -176,7 +176,7 @@
     })
 }
 
-/// Tells by the answer's text which version made it.
+/// Determines from the text of the answer which version generated it.
 fn served(answer: &Value) -> Served {
     let Some(text) = answer["choices"][0]["text"].as_str() else {
         return Served::Refused(answer["error"].clone());
@@ -190,7 +190,7 @@
     matches!(served, Served::Refused(error) if error["kind"] == "catalogue_stale")
 }
 
-/// A refusal that is true and tells when to come back.
+/// Asserts a refusal because of a stale catalogue, with the outcome `not_run` and a retry time.
 #[track_caller]
 fn assert_stale_refusal(error: &Value) {
     assert_eq!(error["kind"], "catalogue_stale");
@@ -198,7 +198,7 @@
     assert!(error["retry_after_ms"].is_u64(), "{error}");
 }
 
-/// No answer of the old version, nor one that denies the entry, before the new version.
+/// Asserts that every answer is of the new version or a refusal because of a stale catalogue.
 #[track_caller]
 fn assert_nothing_old(answers: &[Served]) {
     for answer in answers {
@@ -250,12 +250,12 @@
 }
 
 #[test]
-fn without_a_proof_nothing_new_starts_and_what_runs_goes_on() {
+fn after_the_lease_expires_nothing_new_starts_and_running_streams_continue() {
     let system = VersionedSystem::start();
     let body = request_body("long", LONG_TOKENS, true);
     let address = system.deployment.http("entry-0");
     let request = CallerRequest::post(address, "/v1/completions", &body);
-    let stream = system.deployment.caller().open(request, BOUND_MS);
+    let stream = system.deployment.caller().open(request, WAIT_TIMEOUT_MS);
     let mut stream = stream.expect("the entry answers");
     assert_eq!(stream.status(), 200);
     system.set_controls(ProxyMode::Cut);
@@ -266,7 +266,9 @@
     let started = system.count(|stats| stats.started);
     let running = system.count(|stats| stats.running);
     assert_eq!(running, 1, "the stream outlasts the lease");
-    let events = stream.collect_events(BOUND_MS).expect("the stream goes on");
+    let events = stream
+        .collect_events(WAIT_TIMEOUT_MS)
+        .expect("the stream goes on");
     let texts = events.iter().filter_map(|event| text_of(&event.data));
     assert_eq!(
         texts.collect::<String>(),
@@ -286,13 +288,13 @@
 }
 
 #[test]
-fn an_entry_paused_past_its_lease_admits_nothing_old() {
+fn an_entry_paused_past_its_lease_does_not_serve_an_old_version() {
     let mut system = VersionedSystem::start();
     let process = &mut system.deployment.node_mut("entry-1").process;
     process.pause().expect("the entry runs");
     system.put_version("second", "v2", 1);
     let accepted_at = Instant::now();
-    // These wait in the paused entry's listener.
+    // These requests wait in the listen backlog of the paused entry.
     let body = request_body("which version", TOKENS, false);
     let address = system.deployment.http("entry-1");
     let waiting: Vec<_> = (0..8)
@@ -300,12 +302,14 @@
             let request = CallerRequest::post(address, "/v1/completions", &body);
             std::thread::spawn(move || {
                 let caller = masticsill_testkit::Caller::start().expect("a thread can be started");
-                let answer = caller.call(request, BOUND_MS).expect("the entry answers");
+                let answer = caller
+                    .call(request, WAIT_TIMEOUT_MS)
+                    .expect("the entry answers");
                 served(&answer.json())
             })
         })
         .collect();
-    await_lapse(accepted_at);
+    wait_for_lease_expiry(accepted_at);
     let process = &mut system.deployment.node_mut("entry-1").process;
     process.resume().expect("the entry runs");
     let answers: Vec<Served> = waiting
@@ -317,10 +321,10 @@
 }
 
 #[test]
-fn an_entry_that_was_away_for_hundreds_of_changes_admits_nothing_before_it_is_current() {
+fn an_entry_that_missed_hundreds_of_changes_serves_nothing_until_it_is_current() {
     let mut system = VersionedSystem::start();
     system.deployment.node_mut("entry-1").process.kill();
-    // The other entry sleeps as well, so that it holds an old copy when it is asked.
+    // The other entry is paused as well, so that it holds an old copy when it is queried.
     let process = &mut system.deployment.node_mut("entry-0").process;
     process.pause().expect("the entry runs");
     let mut version = system.put_version("second", "v2", 1);
@@ -334,13 +338,13 @@
         let path = "/v1/catalogue/other";
         version = accepted(change(&system.deployment, control, "PUT", path, &body));
     }
-    // No replica can be asked when both come back, only peers whose proofs have lapsed.
+    // When both return, no control replica is reachable, only peers whose leases have expired.
     system.set_controls(ProxyMode::Cut);
-    await_lapse(Instant::now());
+    wait_for_lease_expiry(Instant::now());
     let process = &mut system.deployment.node_mut("entry-0").process;
     process.resume().expect("the entry runs");
     system.deployment.restart("entry-1");
-    for _ in 0..ASKED_WHILE_CUT {
+    for _ in 0..REQUESTS_WHILE_CUT {
         for entry in ENTRIES {
             let Served::Refused(error) = system.ask(entry) else {
                 panic!("{entry} served without a proof");
@@ -358,7 +362,10 @@
         assert_nothing_old(&rest.cloned().collect::<Vec<Served>>());
     }
     let acted_on = system.logged_versions("entry-1", "catalogue_fresh");
-    assert!(acted_on.len() >= 2, "both lives of the entry were current");
+    assert!(
+        acted_on.len() >= 2,
+        "the entry must be current before and after its restart"
+    );
     assert!(acted_on.is_sorted(), "entry-1 went back: {acted_on:?}");
     assert_eq!(acted_on.last(), Some(&version));
 }
--- a/crates/masticsill/tests/system/control_losses.rs
+++ b/crates/masticsill/tests/system/control_losses.rs
@@ -1,4 +1,4 @@
-//! Control replicas as real processes that are killed or paused.
+//! Control replicas that are killed, paused or isolated.
 
 use std::path::Path;
 use std::thread;
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::operators::{CONTROLS, ENTRY_PATH, is_leading, leader, put, put_body, send_once};
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
 fn start() -> Deployment {
     let mut deployment = Deployment::new(Path::new(env!("CARGO_BIN_EXE_masticsill")));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_change_is_answered_alike_after_its_leader_was_killed() {
+fn a_repeated_change_gets_the_same_answer_after_its_leader_was_killed() {
     let mut deployment = start();
     let former = leader(&deployment, None);
     let body = put_body("once", "v1", 0);
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn a_leader_paused_past_its_lease_accepts_nothing_it_had_in_hand() {
+fn a_leader_paused_past_its_lease_accepts_no_pending_change() {
     let mut deployment = start();
     let former = leader(&deployment, None);
     let address = deployment.http(former);
     deployment.node_mut(former).process.pause().unwrap();
-    // These reach the paused leader, which finds them when it goes on.
-    let in_hand: Vec<_> = (0..4)
+    // These changes reach the paused leader, which reads them when it is resumed.
+    let pending_calls: Vec<_> = (0..4)
         .map(|number| {
             let body = put_body(&format!("late-{number}"), "late", 0);
             thread::spawn(move || send_once(address, &body))
@@ -51,38 +51,41 @@
     let first = put(&deployment, next, &put_body("first", "v1", 0));
     assert_eq!(first, (200, json!({"version": 1})));
     deployment.node_mut(former).process.resume().unwrap();
-    for call in in_hand {
+    for call in pending_calls {
         let answer = call.join().unwrap().unwrap();
         assert_eq!(answer.status, 409, "{}", answer.json());
         assert_eq!(answer.json()["in_force"], 1);
     }
-    let held = deployment.ask_operator(former, "GET", ENTRY_PATH, &json!({}));
-    assert_eq!(held.unwrap().json()["entry"]["back_end"]["version"], "v1");
+    let current = deployment.ask_operator(former, "GET", ENTRY_PATH, &json!({}));
+    assert_eq!(
+        current.unwrap().json()["entry"]["back_end"]["version"],
+        "v1"
+    );
 }
 
 #[test]
-fn of_operators_racing_at_every_replica_one_wins() {
+fn of_concurrent_changes_at_all_replicas_exactly_one_is_accepted() {
     let deployment = start();
     leader(&deployment, None);
     let answers = thread::scope(|scope| {
-        let racers: Vec<_> = (0..9)
+        let callers: Vec<_> = (0..9)
             .map(|number| {
                 let address = deployment.http(CONTROLS[number % CONTROLS.len()]);
                 let body = put_body(&format!("race-{number}"), "v1", 0);
                 scope.spawn(move || send_once(address, &body).unwrap().status)
             })
             .collect();
-        let answers = racers.into_iter().map(|racer| racer.join().unwrap());
+        let answers = callers.into_iter().map(|caller| caller.join().unwrap());
         answers.collect::<Vec<u16>>()
     });
     assert_eq!(answers.iter().filter(|status| **status == 200).count(), 1);
     assert_eq!(answers.iter().filter(|status| **status == 409).count(), 8);
 }
 
-/// The audit trail without its times: action, change id and outcome, oldest first.
+/// Returns the action, change id and outcome of all audit records, oldest first.
 fn audit(deployment: &Deployment, control: &str) -> Vec<(String, String, String)> {
     let mut page = None;
-    wait_until(BOUND_MS, || {
+    wait_until(WAIT_TIMEOUT_MS, || {
         let answer = deployment.ask_operator(control, "GET", "/v1/audit?limit=100", &json!({}));
         page = answer.ok().filter(|answer| answer.status == 200);
         page.is_some()
@@ -100,18 +103,18 @@
 }
 
 fn expect_entry(deployment: &Deployment, control: &str, model_version: &str, version: u64) {
-    let mut held = Value::Null;
-    let is_held = wait_until(BOUND_MS, || {
+    let mut current = Value::Null;
+    let is_current = wait_until(WAIT_TIMEOUT_MS, || {
         let answer = deployment.ask_operator(control, "GET", ENTRY_PATH, &json!({}));
-        held = answer.map_or(Value::Null, |answer| answer.json());
-        held["version"] == version
+        current = answer.map_or(Value::Null, |answer| answer.json());
+        current["version"] == version
     });
-    assert!(is_held, "{control} holds {held}");
-    assert_eq!(held["entry"]["back_end"]["version"], model_version);
+    assert!(is_current, "{control} holds {held}");
+    assert_eq!(current["entry"]["back_end"]["version"], model_version);
 }
 
 #[test]
-fn the_loser_of_a_race_is_told_the_version_in_force_and_both_are_in_the_trail() {
+fn a_version_conflict_reports_the_version_in_force_and_is_audited() {
     let deployment = start();
     let control = leader(&deployment, None);
     let first = put(&deployment, control, &put_body("winner", "v1", 0));
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn replicas_cut_from_each_other_accept_nothing_and_lose_nothing() {
+fn isolated_replicas_accept_nothing_and_lose_nothing() {
     let deployment = start();
     let former = leader(&deployment, None);
     let first = put(&deployment, former, &put_body("before", "v1", 0));
@@ -143,9 +146,12 @@
         assert_eq!(answer.status, 503, "{}", answer.json());
     }
     let is_believed = || CONTROLS.iter().any(|name| is_leading(&deployment, name));
-    assert!(wait_until(BOUND_MS, || !is_believed()), "nobody leads");
+    assert!(
+        wait_until(WAIT_TIMEOUT_MS, || !is_believed()),
+        "nobody leads"
+    );
     cut(ProxyMode::Pass);
-    // Whether it was taken in or not, sending it again makes one change of it.
+    // Whether or not the change was accepted, sending it again results in exactly one change.
     for control in CONTROLS {
         let answer = put(&deployment, control, &body);
         assert_eq!(answer, (200, json!({"version": 2})));
@@ -158,14 +164,14 @@
 }
 
 #[test]
-fn a_leader_that_hears_nobody_is_followed_by_another() {
+fn an_isolated_leader_is_replaced() {
     let deployment = start();
     let former = leader(&deployment, None);
     let first = put(&deployment, former, &put_body("before", "v1", 0));
     assert_eq!(first, (200, json!({"version": 1})));
     let proxy = &deployment.node(former).proxy;
     proxy.set_mode(ProxyMode::BlackHole(None));
-    // It may pass this one on to the next leader; an answer that it gives holds.
+    // The former leader may forward this change to the next leader; its answer must be correct.
     let body = put_body("in-doubt", "v2", 1);
     let in_doubt = send_once(deployment.http(former), &body).unwrap();
     match in_doubt.status {
@@ -175,7 +181,7 @@
     let next = leader(&deployment, Some(former));
     let second = put(&deployment, next, &body);
     assert_eq!(second, (200, json!({"version": 2})));
-    let is_down = wait_until(BOUND_MS, || !is_leading(&deployment, former));
+    let is_down = wait_until(WAIT_TIMEOUT_MS, || !is_leading(&deployment, former));
     assert!(is_down, "the former leader steps down");
     proxy.set_mode(ProxyMode::Pass);
     for control in CONTROLS {
@@ -187,7 +193,7 @@
     }
 }
 
-/// Name, folder number and standing of each replica, as one replica shows them.
+/// Returns name, folder number and standing of each replica, as reported by one replica.
 fn replicas(deployment: &Deployment, control: &str) -> Vec<[String; 3]> {
     let answer = deployment.ask_operator(control, "GET", "/v1/replicas", &json!({}));
     let view = answer.map_or(Value::Null, |answer| answer.json());
@@ -198,7 +204,7 @@
 }
 
 #[test]
-fn a_second_loss_right_after_a_repair_is_borne() {
+fn a_second_loss_right_after_a_replacement_is_tolerated() {
     let mut deployment = start();
     let control = leader(&deployment, None);
     let first = put(&deployment, control, &put_body("before", "v1", 0));
@@ -211,20 +217,20 @@
     deployment.lose_data(lost);
     deployment.restart(lost);
     let join = json!({"node": lost, "replaces": lost});
-    let is_accepted = wait_until(BOUND_MS, || {
+    let is_accepted = wait_until(WAIT_TIMEOUT_MS, || {
         let answer = deployment.ask_operator(control, "POST", "/v1/replicas", &join);
         answer.is_ok_and(|answer| answer.status == 202)
     });
     assert!(is_accepted, "the replacement is accepted");
-    // The repair is done once the new folder votes and the lost one, which still counts towards
-    // the majority while it is leaving, is gone.
-    let is_replaced = wait_until(BOUND_MS, || {
+    // The replacement is complete once the new folder votes and the lost one is removed. While the
+    // lost one is leaving, it still counts towards the majority.
+    let is_replaced = wait_until(WAIT_TIMEOUT_MS, || {
         let now = replicas(&deployment, control);
         let is_gone = now.iter().all(|replica| replica[1] != old_folder);
         now.len() == 3 && is_gone && now.iter().all(|replica| replica[2] == "voter")
     });
     assert!(is_replaced, "{:?}", replicas(&deployment, control));
-    // The second loss: the leader, so that the new replica's vote is needed.
+    // The second loss is the leader, so that the vote of the new replica is needed.
     deployment.node_mut(control).process.kill();
     let next = leader(&deployment, Some(control));
     let second = put(&deployment, next, &put_body("after", "v2", 1));
--- a/crates/masticsill/tests/system/double_losses.rs
+++ b/crates/masticsill/tests/system/double_losses.rs
@@ -1,4 +1,4 @@
-//! Two losses at once, and a second one right after a repair.
+//! Streams continue after two losses at once, or two in quick succession.
 
 use crate::support::{Draft, End, SmallSystem};
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_entry_and_an_agent_lost_at_once_are_told_truly() {
+fn after_an_entry_and_an_agent_are_lost_at_once_the_resume_is_refused_with_410() {
     let mut system = SmallSystem::start(2, 2);
     let draft = Draft::new("entry and agent", TOKENS);
     let mut reader = system.open("entry-0", &draft);
@@ -65,6 +65,6 @@
     assert_eq!(
         again.status(),
         410,
-        "its part is void and the caller is told"
+        "the resume must be refused, because the attempt was lost with its agent"
     );
 }
--- a/crates/masticsill/tests/system/engine_orders.rs
+++ b/crates/masticsill/tests/system/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: what gets loaded, and which orders must not pass.
+//! Orders to engines: which models are loaded, and which orders must be rejected.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,13 +17,13 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use crate::support::{BOUND_MS, Draft, End, open_draft};
+use crate::support::{Draft, End, WAIT_TIMEOUT_MS, open_draft};
 
 const AGENT: &str = "agent-0";
-/// At ten milliseconds a token it outlasts the grace after which an old version is unloaded.
+/// At 10 ms per token, the stream outlasts the grace period after which an old version is unloaded.
 const LONG_TOKENS: u32 = 1_500;
 
-/// Engines that hold the model `other`, each beside an agent in a zone of its own.
+/// Engines with the model `other`, each with an agent in a zone of its own.
 struct OrderSystem {
     controls: Vec<String>,
     deployment: Deployment,
@@ -60,7 +60,11 @@
 
     fn get(&self, engine: usize, path: &str) -> Value {
         let request = CallerRequest::get(self.engines[engine].address("http"), path);
-        let answer = self.deployment.caller().call(request, BOUND_MS).unwrap();
+        let answer = self
+            .deployment
+            .caller()
+            .call(request, WAIT_TIMEOUT_MS)
+            .unwrap();
         answer.json()
     }
 
@@ -73,25 +77,29 @@
         serde_json::from_value(self.get(engine, "/stats")).unwrap()
     }
 
-    /// Lets an engine load for as long as the test wants.
+    /// Makes an engine hold its orders open, or release them.
     fn hold_orders(&self, engine: usize, is_holding: bool) {
         let address = self.engines[engine].address("http");
         let body = json!({"hold_orders": is_holding});
         let request = CallerRequest::post(address, "/fault", &body);
-        let answer = self.deployment.caller().call(request, BOUND_MS).unwrap();
+        let answer = self
+            .deployment
+            .caller()
+            .call(request, WAIT_TIMEOUT_MS)
+            .unwrap();
         assert_eq!(answer.status, 200);
     }
 
     fn await_loaded(&self, engine: usize, names: &[(&str, &str)]) {
         let wanted: Vec<_> = names.iter().map(|it| model_target(it.0, it.1)).collect();
-        let is_loaded = wait_until(BOUND_MS, || self.loaded(engine) == wanted);
+        let is_loaded = wait_until(WAIT_TIMEOUT_MS, || self.loaded(engine) == wanted);
         assert!(is_loaded, "engine {engine} holds {:?}", self.loaded(engine));
     }
 
-    /// The replica that leads, other than one that was lost, and its term.
+    /// Waits for a leader other than the lost replica, and returns its name and term.
     fn leader(&self, lost: Option<&str>) -> (String, Term) {
         let mut leader = None;
-        wait_until(BOUND_MS, || {
+        wait_until(WAIT_TIMEOUT_MS, || {
             let others = self.controls.iter().filter(|it| Some(it.as_str()) != lost);
             leader = others.cloned().find_map(|name| {
                 let term = self.led_term(&name)?;
@@ -108,7 +116,7 @@
         (answer["is_leading"] == true).then(|| Term(answer["term"].as_u64().unwrap()))
     }
 
-    /// Puts an entry through one replica.
+    /// Puts a catalogue entry in force through one replica.
     fn put_at(&self, control: &str, entry: &Value, expected_version: u64) {
         let id = entry["id"].as_str().unwrap();
         let body = json!({
@@ -117,15 +125,15 @@
             "expected_version": expected_version,
         });
         let path = format!("/v1/catalogue/{id}");
-        let is_accepted = wait_until(BOUND_MS, || {
+        let is_accepted = wait_until(WAIT_TIMEOUT_MS, || {
             let answer = self.deployment.ask_operator(control, "PUT", &path, &body);
             answer.is_ok_and(|answer| answer.status == 200)
         });
         assert!(is_accepted, "{id} is accepted");
     }
 
-    /// Sends an order to the first agent, as if a leader's bytes arrived now.
-    fn replay(&self, term: Term, sequence: u64, order: EngineOrder) -> OrderReply {
+    /// Sends an order to the first agent, as if the delayed bytes of a leader arrived now.
+    fn send_delayed_order(&self, term: Term, sequence: u64, order: EngineOrder) -> OrderReply {
         let address = self.deployment.node(AGENT).process.address("rpc");
         let fencing = FencingNumber { term, sequence };
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -138,11 +146,11 @@
 }
 
 async fn send_order(address: SocketAddr, tag: ClusterTag, request: OrderRequest) -> OrderReply {
-    let transport = connect_to_cluster(address, ServiceKind::Agent, tag, BOUND_MS).await;
+    let transport = connect_to_cluster(address, ServiceKind::Agent, tag, WAIT_TIMEOUT_MS).await;
     let config = tarpc::client::Config::default();
     let client = AgentServiceClient::new(config, transport.unwrap()).spawn();
     let mut context = tarpc::context::current();
-    context.deadline = Instant::now() + Duration::from_millis(BOUND_MS);
+    context.deadline = Instant::now() + Duration::from_millis(WAIT_TIMEOUT_MS);
     client.order(context, request).await.unwrap()
 }
 
@@ -170,7 +178,7 @@
 }
 
 #[test]
-fn another_version_is_loaded_and_the_old_one_finishes_what_it_has() {
+fn a_new_version_is_loaded_and_the_old_one_finishes_its_generations() {
     let mut system = OrderSystem::start(1, 1, false);
     system
         .deployment
@@ -183,19 +191,19 @@
     reader.read_bytes(20);
     system.deployment.put(&draft_entry("v2", 1), 1);
     let v2 = model_target("draft", "v2");
-    let is_loaded = wait_until(BOUND_MS, || system.loaded(0).contains(&v2));
+    let is_loaded = wait_until(WAIT_TIMEOUT_MS, || system.loaded(0).contains(&v2));
     assert!(is_loaded, "engine holds {:?}", system.loaded(0));
     assert_eq!(reader.read_to_end(), End::Done);
     assert_eq!(reader.text, draft.expected());
     let v1 = model_target("draft", "v1");
-    let is_unloaded = wait_until(BOUND_MS, || !system.loaded(0).contains(&v1));
+    let is_unloaded = wait_until(WAIT_TIMEOUT_MS, || !system.loaded(0).contains(&v1));
     assert!(is_unloaded, "engine holds {:?}", system.loaded(0));
 }
 
-fn check_thawed_leader(is_checking: bool) {
+fn check_resumed_leader(is_checking: bool) {
     let mut system = OrderSystem::start(3, 1, is_checking);
     let (former, former_term) = system.leader(None);
-    // The former leader wants to load v1 and finds no way, until it is paused.
+    // The former leader tries to load v1, but can't reach the agent until it is paused.
     system.deployment.node(AGENT).proxy.set_mode(ProxyMode::Cut);
     system.put_at(&former, &draft_entry("v1", 1), 0);
     system.deployment.node_mut(&former).process.pause().unwrap();
@@ -208,7 +216,7 @@
         .proxy
         .set_mode(ProxyMode::Pass);
     let v2 = model_target("draft", "v2");
-    let is_loaded = wait_until(BOUND_MS, || system.loaded(0).contains(&v2));
+    let is_loaded = wait_until(WAIT_TIMEOUT_MS, || system.loaded(0).contains(&v2));
     assert!(is_loaded, "engine holds {:?}", system.loaded(0));
     system
         .deployment
@@ -216,18 +224,18 @@
         .process
         .resume()
         .unwrap();
-    let is_in_line = wait_until(BOUND_MS, || system.led_term(&former).is_none());
-    assert!(is_in_line, "the former leader notices");
-    // Its bytes may also have been on their way all the time.
+    let is_in_line = wait_until(WAIT_TIMEOUT_MS, || system.led_term(&former).is_none());
+    assert!(is_in_line, "the former leader steps down");
+    // An order of the former leader may also have been in flight all the time.
     let late = EngineOrder::Load(model_target("draft", "v1"));
-    let reply = system.replay(former_term, 1_000, late);
+    let reply = system.send_delayed_order(former_term, 1_000, late);
     assert_matches!(reply, OrderReply::Fenced(highest) if highest.term >= next_term);
     let last = engine_entry("last", "patient_draft", "last", "v1");
     system.put_at(&next, &last, 0);
     let expected = [("other", "v1"), ("draft", "v2"), ("last", "v1")];
     let expected = expected.map(|it| model_target(it.0, it.1));
     let last = &expected[2];
-    wait_until(BOUND_MS, || system.loaded(0).contains(last));
+    wait_until(WAIT_TIMEOUT_MS, || system.loaded(0).contains(last));
     let v1 = model_target("draft", "v1");
     let loaded = system.loaded(0);
     assert!(loaded.contains(last), "engine holds {loaded:?}");
@@ -235,17 +243,17 @@
 }
 
 #[test]
-fn a_thawed_leaders_order_does_not_reach_an_engine_that_ignores_the_number() {
-    check_thawed_leader(false);
+fn a_resumed_leaders_order_is_fenced_for_an_engine_that_ignores_the_number() {
+    check_resumed_leader(false);
 }
 
 #[test]
-fn a_thawed_leaders_order_does_not_reach_an_engine_that_checks_the_number() {
-    check_thawed_leader(true);
+fn a_resumed_leaders_order_is_fenced_for_an_engine_that_checks_the_number() {
+    check_resumed_leader(true);
 }
 
 #[test]
-fn a_restarted_agent_passes_no_order_from_before() {
+fn a_restarted_agent_rejects_orders_from_before_the_restart() {
     let mut system = OrderSystem::start(1, 1, false);
     system.deployment.put(&draft_entry("v1", 1), 0);
     system.await_loaded(0, &[("other", "v1"), ("draft", "v1")]);
@@ -259,16 +267,16 @@
         .set_mode(ProxyMode::Cut);
     system.deployment.restart(AGENT);
     let old = || EngineOrder::Unload(model_target("draft", "v1"));
-    // Without a leader to ask the agent can't know which numbers are old.
-    let mut reply = system.replay(term, 1, old());
+    // Until the agent reaches a leader, it can't know which fencing numbers are outdated.
+    let mut reply = system.send_delayed_order(term, 1, old());
     assert_eq!(reply, OrderReply::Refused(OrderRefusal::Closed));
     system
         .deployment
         .node(&control)
         .proxy
         .set_mode(ProxyMode::Pass);
-    let is_open = wait_until(BOUND_MS, || {
-        reply = system.replay(term, 1, old());
+    let is_open = wait_until(WAIT_TIMEOUT_MS, || {
+        reply = system.send_delayed_order(term, 1, old());
         reply != OrderReply::Refused(OrderRefusal::Closed)
     });
     assert!(is_open, "the agent learns the highest number");
@@ -281,12 +289,12 @@
     let last = engine_entry("last", "patient_draft", "last", "v1");
     system.deployment.put(&last, 0);
     let last = model_target("last", "v1");
-    let is_loaded = wait_until(BOUND_MS, || system.loaded(0).contains(&last));
+    let is_loaded = wait_until(WAIT_TIMEOUT_MS, || system.loaded(0).contains(&last));
     assert!(is_loaded, "new orders pass: {:?}", system.loaded(0));
 }
 
 #[test]
-fn a_new_leader_loads_nothing_beside_its_predecessors_load() {
+fn a_new_leader_starts_no_load_beside_its_predecessors_pending_load() {
     let mut system = OrderSystem::start(3, 2, false);
     for engine in 0..2 {
         system.hold_orders(engine, true);
@@ -294,7 +302,7 @@
     let (former, _) = system.leader(None);
     system.put_at(&former, &draft_entry("v1", 2), 0);
     let mut loading = None;
-    wait_until(BOUND_MS, || {
+    wait_until(WAIT_TIMEOUT_MS, || {
         loading = (0..2).find(|engine| system.stats(*engine).orders_held > 0);
         loading.is_some()
     });
@@ -304,7 +312,7 @@
     system.deployment.node_mut(&former).process.kill();
     let (next, _) = system.leader(Some(&former));
     system.hold_orders(other, false);
-    // Loads take turns, so between these two `draft` had its own.
+    // Models are loaded in turn, so `draft` had its turn between these two.
     let mut expected = vec![("other", "v1")];
     for model in ["last", "later"] {
         let mut entry = engine_entry(model, "patient_draft", model, "v1");
@@ -317,7 +325,7 @@
     system.hold_orders(loading, false);
     let draft = model_target("draft", "v1");
     for engine in [loading, other] {
-        let is_loaded = wait_until(BOUND_MS, || system.loaded(engine).contains(&draft));
+        let is_loaded = wait_until(WAIT_TIMEOUT_MS, || system.loaded(engine).contains(&draft));
         assert!(is_loaded, "engine holds {:?}", system.loaded(engine));
     }
 }
--- a/crates/masticsill/tests/system/load_system.rs
+++ b/crates/masticsill/tests/system/load_system.rs
@@ -1,4 +1,4 @@
-//! A system with more callers than slots, and how their requests ended.
+//! A system under load, and the results of the requests sent to it.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,52 +13,57 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
-/// Patience for one answer under load; no verdict depends on it unless the answer never comes.
-const ANSWER_BOUND_MS: u64 = 120_000;
+/// Timeout for one answer under load. It affects a test only if the answer never arrives.
+const ANSWER_TIMEOUT_MS: u64 = 120_000;
 const STEP_MS: u64 = 10;
 const SEED: u64 = 7;
 pub(crate) const ZONE: &str = "zone-0";
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum End {
-    /// It was refused, not run, with a time to come back.
+    /// Refused without being run, with a time after which to retry.
     NotRun,
-    /// The whole answer came.
-    Whole,
-    /// Anything else.
+    /// The complete answer arrived.
+    Complete,
+    /// Any other result.
     Wrong(String),
 }
 
-/// Callers of some entries, and how their requests ended, in that order.
-pub(crate) struct Crowd {
+/// Sends requests to the entries and collects their results in the order in which they ended.
+pub(crate) struct LoadGenerator {
     caller: Caller,
     ends: Mutex<Vec<(&'static str, End)>>,
     entries: Vec<SocketAddr>,
-    /// What every prompt begins with.
+    /// Common prefix of all prompts.
     prompt_start: String,
 }
 
-impl Crowd {
-    /// Sends requests of one model, each in a thread of its own, to each entry in turn.
-    pub(crate) fn send(self: &Arc<Self>, model: &'static str, count: usize, tokens: u32) -> Sent {
+impl LoadGenerator {
+    /// Sends requests for one model to the entries in turn, each from a thread of its own.
+    pub(crate) fn send(
+        self: &Arc<Self>,
+        model: &'static str,
+        count: usize,
+        tokens: u32,
+    ) -> OpenRequests {
         let send = |number| {
-            let crowd = Arc::clone(self);
-            thread::spawn(move || crowd.ask(model, number, tokens))
+            let load = Arc::clone(self);
+            thread::spawn(move || load.ask(model, number, tokens))
         };
-        Sent((0..count).map(send).collect())
+        OpenRequests((0..count).map(send).collect())
     }
 
-    /// Sends a request and waits for its end.
+    /// Sends one request and waits for its result.
     pub(crate) fn ask(&self, model: &'static str, number: usize, tokens: u32) {
         let prompt = format!("{}{model} {number}", self.prompt_start);
         let body = json!({"model": model, "prompt": prompt, "max_tokens": tokens, "seed": SEED});
         let address = self.entries[number % self.entries.len()];
         let request = CallerRequest::post(address, "/v1/completions", &body);
-        let end = match self.caller.call(request, ANSWER_BOUND_MS) {
-            Ok(answer) => judge(&answer.json(), prompt, tokens),
+        let end = match self.caller.call(request, ANSWER_TIMEOUT_MS) {
+            Ok(answer) => classify(&answer.json(), prompt, tokens),
             Err(error) => End::Wrong(error.to_string()),
         };
         let mut ends = self.ends.lock().expect("no thread panics with the lock");
@@ -70,17 +75,17 @@
         ends.expect("no thread panics with the lock").clone()
     }
 
-    pub(crate) fn assert_all_whole(&self) {
+    pub(crate) fn assert_all_complete(&self) {
         let ends = self.ends();
-        let is_whole = |one: &(&str, End)| one.1 == End::Whole;
-        assert!(ends.iter().all(is_whole), "{ends:?}");
+        let is_complete = |one: &(&str, End)| one.1 == End::Complete;
+        assert!(ends.iter().all(is_complete), "{ends:?}");
     }
 }
 
-/// Requests that are open.
-pub(crate) struct Sent(Vec<JoinHandle<()>>);
+/// Threads of the requests that are still open.
+pub(crate) struct OpenRequests(Vec<JoinHandle<()>>);
 
-impl Sent {
+impl OpenRequests {
     pub(crate) fn join(self) {
         for thread in self.0 {
             thread.join().expect("a caller does not panic");
@@ -88,7 +93,7 @@
     }
 }
 
-fn judge(told: &Value, prompt: String, max_tokens: u32) -> End {
+fn classify(answer: &Value, prompt: String, max_tokens: u32) -> End {
     let expected = expected_text(&AnswerSpec {
         adapter: None,
         max_tokens,
@@ -97,17 +102,17 @@
         seed: SEED,
         version: VersionId::new("v1").expect("a valid name"),
     });
-    let error = &told["error"];
-    if told["choices"][0]["text"] == json!(expected) {
-        End::Whole
+    let error = &answer["error"];
+    if answer["choices"][0]["text"] == json!(expected) {
+        End::Complete
     } else if error["outcome"] == json!("not_run") && error["retry_after_ms"].is_u64() {
         End::NotRun
     } else {
-        End::Wrong(told.to_string())
+        End::Wrong(answer.to_string())
     }
 }
 
-/// Engines with one model behind agents, and entries that know all of them.
+/// Entries, and engines with one model behind one agent each.
 pub(crate) struct LoadedSystem {
     pub(crate) deployment: Deployment,
     pub(crate) engines: Vec<EngineProcess>,
@@ -160,13 +165,13 @@
         self.engines.push(engine);
     }
 
-    /// Waits until an entry knows every engine's model and all entries.
+    /// Waits until an entry knows the models of all agents, and all other entries.
     fn await_nodes(&self, entry: &str, entry_count: usize) {
         let entries = (0..entry_count).map(|index| (format!("entry-{index}"), 0));
         let agents = (0..self.engines.len()).map(|index| (format!("agent-{index}"), 1));
         let others = entries.filter(|(node, _)| node != entry);
         let wanted: Vec<(String, usize)> = others.chain(agents).collect();
-        let is_known = wait_until(BOUND_MS, || {
+        let is_known = wait_until(WAIT_TIMEOUT_MS, || {
             let log = self.deployment.node(entry).process.log();
             let has_seen = |(node, models): &(String, usize)| {
                 let (node, models) = (format!(" node={node} "), format!(" models={models}"));
@@ -179,13 +184,17 @@
         assert!(is_known, "{entry} does not know all nodes: {log}");
     }
 
-    pub(crate) fn crowd(&self, entry_count: usize) -> Arc<Crowd> {
-        self.crowd_with_prompt(entry_count, "")
+    pub(crate) fn load(&self, entry_count: usize) -> Arc<LoadGenerator> {
+        self.load_with_prompt(entry_count, "")
     }
 
-    pub(crate) fn crowd_with_prompt(&self, entry_count: usize, prompt_start: &str) -> Arc<Crowd> {
+    pub(crate) fn load_with_prompt(
+        &self,
+        entry_count: usize,
+        prompt_start: &str,
+    ) -> Arc<LoadGenerator> {
         let address = |index| self.deployment.http(&format!("entry-{index}"));
-        Arc::new(Crowd {
+        Arc::new(LoadGenerator {
             caller: Caller::start().expect("a thread can be started"),
             ends: Mutex::default(),
             entries: (0..entry_count).map(address).collect(),
@@ -193,14 +202,14 @@
         })
     }
 
-    /// A counter summed over living engines.
+    /// Returns the sum of a counter over the engines that answer.
     pub(crate) fn sum(&self, count: impl Fn(EngineStats) -> u64) -> u64 {
         let caller = self.deployment.caller();
         let stats = self.engines.iter().filter_map(|one| one.stats(caller));
         stats.map(count).sum()
     }
 
-    /// Generations that each engine took in.
+    /// Returns the number of generations that each engine has started.
     pub(crate) fn started(&self) -> Vec<u64> {
         let caller = self.deployment.caller();
         let stats = self.engines.iter().map(|one| one.stats(caller));
@@ -210,7 +219,9 @@
     }
 
     pub(crate) fn await_running(&self, running: u64) {
-        let is_running = wait_until(BOUND_MS, || self.sum(|stats| stats.running) >= running);
+        let is_running = wait_until(WAIT_TIMEOUT_MS, || {
+            self.sum(|stats| stats.running) >= running
+        });
         assert!(is_running, "{running} generations run");
     }
 }
--- a/crates/masticsill/tests/system/lost_entries.rs
+++ b/crates/masticsill/tests/system/lost_entries.rs
@@ -1,13 +1,13 @@
-//! Callers that come back through another entry.
+//! Callers that resume their streams through another entry.
 
 use masticsill_testkit::wait_until;
 
-use crate::support::{BOUND_MS, Draft, End, Reader, SmallSystem};
+use crate::support::{Draft, End, Reader, SmallSystem, WAIT_TIMEOUT_MS};
 
 const TOKENS: u32 = 150;
 
 #[test]
-fn the_rest_comes_through_another_entry() {
+fn a_lost_entrys_stream_is_resumed_through_another_entry() {
     let mut system = SmallSystem::start(2, 2);
     let draft = Draft::new("lost entry", TOKENS);
     let mut reader = system.open("entry-0", &draft);
@@ -20,12 +20,12 @@
     let started = system.started(0) + system.started(1);
     assert_eq!(
         started, 1,
-        "the running attempt is continued, not begun again"
+        "the running attempt must be continued, not started again"
     );
 }
 
 #[test]
-fn a_living_entry_gives_its_generation_up() {
+fn a_resume_at_another_entry_takes_the_generation_over() {
     let system = SmallSystem::start(2, 2);
     let draft = Draft::new("moved caller", TOKENS);
     let mut reader = system.open("entry-0", &draft);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn two_entries_never_both_go_on() {
+fn of_two_concurrent_resumes_only_one_continues() {
     let mut system = SmallSystem::start(3, 2);
     let draft = Draft::new("raced", TOKENS);
     let mut reader = system.open("entry-0", &draft);
@@ -62,19 +62,19 @@
 }
 
 #[test]
-fn another_key_does_not_open_a_generation() {
+fn a_resume_with_another_idempotency_key_is_refused() {
     let system = SmallSystem::start(1, 1);
     let draft = Draft::new("secret", TOKENS);
     let mut reader = system.open("entry-0", &draft);
     reader.read_bytes(20);
-    let thief = Draft::new("thief", TOKENS);
-    let stolen = system.reopen("entry-0", &thief, &reader.last_id);
-    assert_eq!(stolen.status(), 422);
+    let other = Draft::new("thief", TOKENS);
+    let refused = system.reopen("entry-0", &other, &reader.last_id);
+    assert_eq!(refused.status(), 422);
     assert_eq!(reader.read_to_end(), End::Done);
 }
 
 #[test]
-fn a_caller_that_left_for_good_costs_nothing_more() {
+fn a_generation_is_cancelled_when_its_caller_does_not_return() {
     let mut system = SmallSystem::start(0, 1);
     let extra = serde_json::json!({"reattach_ms": 300});
     system.deployment.start_entry("entry-9", "zone-0", &extra);
@@ -83,6 +83,6 @@
     let mut reader = system.open("entry-9", &draft);
     reader.read_bytes(20);
     drop(reader);
-    let is_idle = wait_until(BOUND_MS, || system.running(0) == 0);
+    let is_idle = wait_until(WAIT_TIMEOUT_MS, || system.running(0) == 0);
     assert!(is_idle, "the generation is cancelled");
 }
--- a/crates/masticsill/tests/system/main.rs
+++ b/crates/masticsill/tests/system/main.rs
@@ -1,4 +1,4 @@
-//! The whole system as real processes, behind fault proxies.
+//! System tests: real processes that communicate through fault-injecting proxies.
 
 mod bad_input;
 mod balancer_grace;
--- a/crates/masticsill/tests/system/operator_pages.rs
+++ b/crates/masticsill/tests/system/operator_pages.rs
@@ -1,4 +1,4 @@
-//! The procedures of docs/OPERATIONS.md, run as written.
+//! Runs the procedures of docs/OPERATIONS.md.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 
 use masticsill_testkit::{Deployment, OPERATOR_TOKEN, built_binary, engine_entry, wait_until};
 
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
 fn start_controls() -> Deployment {
     let mut deployment = Deployment::new(Path::new(env!("CARGO_BIN_EXE_masticsill")));
@@ -15,7 +15,7 @@
     deployment
 }
 
-/// Runs the operators' tool against one control replica.
+/// Runs `masticsillctl` against one control replica.
 fn operate(deployment: &Deployment, control: &str, arguments: &[&str]) -> Output {
     Command::new(built_binary("masticsillctl"))
         .args(["--address", &deployment.http(control).to_string()])
@@ -32,7 +32,7 @@
 
 fn await_voters(deployment: &Deployment, control: &str, count: usize) {
     let mut last = String::new();
-    let is_reached = wait_until(BOUND_MS, || {
+    let is_reached = wait_until(WAIT_TIMEOUT_MS, || {
         let output = operate(deployment, control, &["--json", "replicas"]);
         last = text(&output);
         last.matches("\"voter\"").count() == count
@@ -55,7 +55,7 @@
     for lost in ["control-0", "control-1"] {
         deployment.node_mut(lost).process.kill();
     }
-    let is_listed = wait_until(BOUND_MS, || {
+    let is_listed = wait_until(WAIT_TIMEOUT_MS, || {
         text(&operate(&deployment, "control-5", &["list"])).contains("draft")
     });
     assert!(is_listed, "three of five go on after two losses at once");
@@ -64,7 +64,7 @@
 #[test]
 fn a_lost_majority_is_recovered_by_the_survivor() {
     let mut deployment = start_controls();
-    let is_everywhere = wait_until(BOUND_MS, || {
+    let is_everywhere = wait_until(WAIT_TIMEOUT_MS, || {
         text(&operate(&deployment, "control-2", &["list"])).contains("draft")
     });
     assert!(is_everywhere);
--- a/crates/masticsill/tests/system/operators.rs
+++ b/crates/masticsill/tests/system/operators.rs
@@ -1,4 +1,4 @@
-//! Operators of a quorum of three control replicas.
+//! Helpers for operators of a quorum of three control replicas.
 
 use masticsill_testkit::{
     Caller, CallerAnswer, CallerError, CallerRequest, Deployment, OPERATOR_TOKEN, engine_entry,
@@ -6,16 +6,16 @@
 };
 use serde_json::{Value, json};
 
-use crate::support::BOUND_MS;
+use crate::support::WAIT_TIMEOUT_MS;
 
 pub(crate) const CONTROLS: [&str; 3] = ["control-0", "control-1", "control-2"];
 pub(crate) const ENTRY_PATH: &str = "/v1/catalogue/draft";
-const PROBE_BOUND_MS: u64 = 1_000;
+const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-/// The replica that leads, other than one that was lost.
+/// Waits for a leader other than the lost replica, and returns its name.
 pub(crate) fn leader(deployment: &Deployment, lost: Option<&str>) -> &'static str {
     let mut leader = None;
-    wait_until(BOUND_MS, || {
+    wait_until(WAIT_TIMEOUT_MS, || {
         let mut others = CONTROLS.into_iter().filter(|name| Some(*name) != lost);
         leader = others.find(|name| is_leading(deployment, name));
         leader.is_some()
@@ -23,10 +23,10 @@
     leader.expect("a leader is elected")
 }
 
-/// Whether a replica believes that it leads.
+/// Returns whether a replica reports that it is the leader.
 pub(crate) fn is_leading(deployment: &Deployment, name: &str) -> bool {
     let request = CallerRequest::get(deployment.http(name), "/readyz");
-    let answer = deployment.caller().call(request, PROBE_BOUND_MS);
+    let answer = deployment.caller().call(request, PROBE_TIMEOUT_MS);
     answer.is_ok_and(|answer| answer.json()["is_leading"] == true)
 }
 
@@ -38,7 +38,7 @@
     })
 }
 
-/// Sends a change to one replica until it is answered.
+/// Sends a change to one replica, again after each status 503, until it is answered.
 pub(crate) fn change(
     deployment: &Deployment,
     control: &str,
@@ -47,7 +47,7 @@
     body: &Value,
 ) -> (u16, Value) {
     let mut answered = None;
-    wait_until(BOUND_MS, || {
+    wait_until(WAIT_TIMEOUT_MS, || {
         let answer = deployment.ask_operator(control, method, path, body);
         let answer = answer.ok().filter(|answer| answer.status != 503);
         answered = answer.map(|answer| (answer.status, answer.json()));
@@ -56,12 +56,12 @@
     answered.expect("the change is answered")
 }
 
-/// Sends a change of the entry `draft` to one replica until it is answered.
+/// Like [`change`], for the entry `draft`.
 pub(crate) fn put(deployment: &Deployment, control: &str, body: &Value) -> (u16, Value) {
     change(deployment, control, "PUT", ENTRY_PATH, body)
 }
 
-/// Sends a change of the entry `draft` once, as an operator of its own.
+/// Sends a change of the entry `draft` once, from a caller of its own.
 pub(crate) fn send_once(
     address: std::net::SocketAddr,
     body: &Value,
@@ -70,5 +70,5 @@
     let request = CallerRequest::post(address, ENTRY_PATH, body)
         .method("PUT")
         .header("Authorization", &format!("Bearer {OPERATOR_TOKEN}"));
-    caller.call(request, BOUND_MS)
+    caller.call(request, WAIT_TIMEOUT_MS)
 }
--- a/crates/masticsill/tests/system/planned_stops.rs
+++ b/crates/masticsill/tests/system/planned_stops.rs
@@ -1,9 +1,9 @@
-//! Planned stops cut nothing.
+//! A graceful shutdown of a process interrupts no stream.
 
 use masticsill_testkit::wait_until;
 use serde_json::json;
 
-use crate::support::{BOUND_MS, Draft, End, SmallSystem};
+use crate::support::{Draft, End, SmallSystem, WAIT_TIMEOUT_MS};
 
 const TOKENS: u32 = 150;
 
@@ -20,7 +20,9 @@
     assert_eq!(reader.read_to_end(), End::Done);
     assert_eq!(reader.text, draft.expected());
     let process = &mut system.deployment.node_mut(&agent).process;
-    let status = process.wait_for_end(BOUND_MS).expect("the agent ends");
+    let status = process
+        .wait_for_end(WAIT_TIMEOUT_MS)
+        .expect("the agent ends");
     assert!(status.success());
     let before = system.started(busy);
     for number in 0..4 {
@@ -28,11 +30,14 @@
         assert_eq!(system.open("entry-0", &draft).read_to_end(), End::Done);
     }
     let after = system.started(busy);
-    assert_eq!(after, before, "nothing new reaches the endpoint that left");
+    assert_eq!(
+        after, before,
+        "an endpoint that left must get no new generation"
+    );
 }
 
 #[test]
-fn an_agent_that_may_not_wait_hands_over() {
+fn an_agent_whose_drain_time_ends_hands_its_stream_over() {
     let mut system = SmallSystem::start(1, 0);
     for index in 0..2 {
         system.add_engine(index, &json!({"drain_ms": 100}));
@@ -55,12 +60,14 @@
     reader.read_bytes(20);
     let process = &mut system.deployment.node_mut("entry-0").process;
     process.request_stop().expect("the entry runs");
-    let is_off = wait_until(BOUND_MS, || !system.deployment.is_ready("entry-0"));
+    let is_off = wait_until(WAIT_TIMEOUT_MS, || !system.deployment.is_ready("entry-0"));
     assert!(is_off, "readiness goes off first");
     assert_eq!(reader.read_to_end(), End::Done);
     assert_eq!(reader.text, draft.expected());
     let process = &mut system.deployment.node_mut("entry-0").process;
-    let status = process.wait_for_end(BOUND_MS).expect("the entry ends");
+    let status = process
+        .wait_for_end(WAIT_TIMEOUT_MS)
+        .expect("the entry ends");
     assert!(status.success());
 }
 
@@ -68,6 +75,8 @@
 fn a_leaving_control_replica_hands_leadership_over() {
     let mut system = SmallSystem::start(1, 1);
     let process = &mut system.deployment.node_mut("control-0").process;
-    let status = process.terminate(BOUND_MS).expect("the replica ends");
+    let status = process
+        .terminate(WAIT_TIMEOUT_MS)
+        .expect("the replica ends");
     assert!(status.success());
 }
--- a/crates/masticsill/tests/system/restarted_agents.rs
+++ b/crates/masticsill/tests/system/restarted_agents.rs
@@ -1,8 +1,8 @@
-//! Agents that begin another life.
+//! Restarted agents.
 
 use masticsill_testkit::wait_until;
 
-use crate::support::{BOUND_MS, Draft, End, SmallSystem};
+use crate::support::{Draft, End, SmallSystem, WAIT_TIMEOUT_MS};
 
 #[test]
 fn a_killed_agent_gets_work_again_after_its_restart() {
@@ -12,11 +12,11 @@
     system.deployment.node_mut("agent-0").process.kill();
     system.deployment.restart("agent-0");
     let mut count = 0;
-    let is_served = wait_until(BOUND_MS, || {
+    let is_served = wait_until(WAIT_TIMEOUT_MS, || {
         count += 1;
         let draft = Draft::new(&format!("after the restart {count}"), 5);
         let mut reader = system.open("entry-0", &draft);
         reader.status() == 200 && reader.read_to_end() == End::Done
     });
-    assert!(is_served, "the agent's second life gets nothing");
+    assert!(is_served, "the restarted agent gets no work");
 }
--- a/crates/masticsill/tests/system/single_losses.rs
+++ b/crates/masticsill/tests/system/single_losses.rs
@@ -1,13 +1,13 @@
-//! One loss at a time, in the middle of an answer.
+//! A single loss or fault while an answer is streamed.
 
 use masticsill_testkit::{Direction, ProxyMode, wait_until};
 
-use crate::support::{BOUND_MS, Draft, End, Reader, SmallSystem};
+use crate::support::{Draft, End, Reader, SmallSystem, WAIT_TIMEOUT_MS};
 
 const TOKENS: u32 = 150;
 
-/// Begins an answer and returns once some of it has come, with the agent that runs it.
-fn begin(system: &SmallSystem, draft: &Draft) -> (Reader, String, usize) {
+/// Opens a stream, reads its first bytes and returns it with the agent and engine that run it.
+fn start_answer(system: &SmallSystem, draft: &Draft) -> (Reader, String, usize) {
     let mut reader = system.open("entry-0", draft);
     reader.read_bytes(20);
     let busy = system.busy_engine();
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn a_frozen_engine_is_left_and_its_late_tokens_are_dropped() {
+fn a_frozen_engines_stream_moves_and_its_late_tokens_are_dropped() {
     let mut system = SmallSystem::start(1, 2);
     let draft = Draft::new("frozen", TOKENS);
-    let (mut reader, _, busy) = begin(&system, &draft);
+    let (mut reader, _, busy) = start_answer(&system, &draft);
     let engine = &mut system.engines[busy].process;
     engine.pause().expect("the engine runs");
     reader.read_bytes(draft.expected().len() / 2);
@@ -34,42 +34,42 @@
 }
 
 #[test]
-fn a_lost_instance_is_left() {
+fn a_lost_instances_stream_moves() {
     let mut system = SmallSystem::start(1, 2);
     let draft = Draft::new("instance", TOKENS);
-    let (reader, agent, busy) = begin(&system, &draft);
+    let (reader, agent, busy) = start_answer(&system, &draft);
     system.deployment.node_mut(&agent).process.kill();
     system.engines[busy].process.kill();
     assert_whole(reader, &draft);
 }
 
 #[test]
-fn a_dead_agent_is_left_though_its_engine_lives() {
+fn a_lost_agents_stream_moves_and_its_engine_stops() {
     let mut system = SmallSystem::start(1, 2);
     let draft = Draft::new("agent", TOKENS);
-    let (reader, agent, busy) = begin(&system, &draft);
+    let (reader, agent, busy) = start_answer(&system, &draft);
     system.deployment.node_mut(&agent).process.kill();
     assert_whole(reader, &draft);
-    let is_idle = wait_until(BOUND_MS, || system.running(busy) == 0);
+    let is_idle = wait_until(WAIT_TIMEOUT_MS, || system.running(busy) == 0);
     assert!(is_idle, "the dead agent's engine stops its generation");
 }
 
 #[test]
-fn a_paused_agent_is_left_and_changes_nothing_when_it_goes_on() {
+fn a_paused_agents_stream_moves_and_its_old_attempt_ends() {
     let mut system = SmallSystem::start(1, 2);
     let draft = Draft::new("paused", TOKENS);
-    let (reader, agent, busy) = begin(&system, &draft);
+    let (reader, agent, busy) = start_answer(&system, &draft);
     let process = &mut system.deployment.node_mut(&agent).process;
     process.pause().expect("the agent runs");
     assert_whole(reader, &draft);
     let process = &mut system.deployment.node_mut(&agent).process;
     process.resume().expect("the agent runs");
-    let is_idle = wait_until(BOUND_MS, || system.running(busy) == 0);
+    let is_idle = wait_until(WAIT_TIMEOUT_MS, || system.running(busy) == 0);
     assert!(is_idle, "the abandoned attempt is ended");
 }
 
 #[test]
-fn a_cut_between_entry_and_agent_is_bridged() {
+fn a_network_cut_between_entry_and_agent_does_not_break_the_stream() {
     let cuts = [
         ("cut", ProxyMode::Cut),
         ("silent", ProxyMode::BlackHole(None)),
@@ -78,26 +78,26 @@
     for (name, mode) in cuts {
         let system = SmallSystem::start(1, 2);
         let draft = Draft::new(name, TOKENS);
-        let (reader, agent, _) = begin(&system, &draft);
+        let (reader, agent, _) = start_answer(&system, &draft);
         system.deployment.node(&agent).proxy.set_mode(mode);
         assert_whole(reader, &draft);
     }
 }
 
 #[test]
-fn a_reset_connection_is_made_again() {
+fn a_reset_connection_does_not_break_the_stream() {
     let system = SmallSystem::start(1, 2);
     let draft = Draft::new("reset", TOKENS);
-    let (reader, agent, _) = begin(&system, &draft);
+    let (reader, agent, _) = start_answer(&system, &draft);
     system.deployment.node(&agent).proxy.reset();
     assert_whole(reader, &draft);
 }
 
 #[test]
-fn a_paused_entry_moves_nothing() {
+fn a_paused_entry_does_not_move_its_streams() {
     let mut system = SmallSystem::start(1, 2);
     let draft = Draft::new("entry paused", TOKENS);
-    let (reader, _, busy) = begin(&system, &draft);
+    let (reader, _, busy) = start_answer(&system, &draft);
     let other = 1 - busy;
     let entry = &mut system.deployment.node_mut("entry-0").process;
     entry.pause().expect("the entry runs");
@@ -108,6 +108,6 @@
     assert_eq!(
         system.started(other),
         0,
-        "its own pause is not a peer's silence"
+        "an entry must not take its own pause for the silence of an agent"
     );
 }
--- a/crates/masticsill/tests/system/support.rs
+++ b/crates/masticsill/tests/system/support.rs
@@ -1,4 +1,4 @@
-//! A small system and callers that check their whole answer.
+//! A small system, and callers that check the complete text of their answers.
 
 use std::path::Path;
 
@@ -10,8 +10,8 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// Patience of every wait; no verdict depends on it unless the condition never comes.
-pub(crate) const BOUND_MS: u64 = 30_000;
+/// Timeout of every wait. It affects a test only if the awaited condition never holds.
+pub(crate) const WAIT_TIMEOUT_MS: u64 = 30_000;
 const STEP_MS: u64 = 10;
 const SEED: u64 = 7;
 
@@ -61,23 +61,23 @@
         self.engines.push(engine);
     }
 
-    /// The engine that runs a generation; between two engines it waits for the next one.
+    /// Returns the engine that runs a generation, and waits while none does.
     pub(crate) fn busy_engine(&self) -> usize {
         let mut position = None;
-        wait_until(BOUND_MS, || {
+        wait_until(WAIT_TIMEOUT_MS, || {
             position = (0..self.engines.len()).find(|engine| self.running(*engine) > 0);
             position.is_some()
         });
         position.expect("an engine runs the generation")
     }
 
-    /// Generations that an engine decodes now; none when it is dead.
+    /// Returns the number of generations that an engine is running, or 0 if the engine is dead.
     pub(crate) fn running(&self, engine: usize) -> u64 {
         let stats = self.engines[engine].stats(self.deployment.caller());
         stats.map_or(0, |stats| stats.running)
     }
 
-    /// Generations that a living engine has taken in.
+    /// Returns the number of generations that an engine has started. The engine must be alive.
     pub(crate) fn started(&self, engine: usize) -> u64 {
         let stats = self.engines[engine].stats(self.deployment.caller());
         stats.expect("the engine answers").started
@@ -98,7 +98,7 @@
     }
 }
 
-/// Asks an entry for a draft.
+/// Requests a draft from an entry.
 pub(crate) fn open_draft(deployment: &Deployment, entry: &str, request: &Draft) -> Reader {
     let address = deployment.http(entry);
     let call = CallerRequest::post(address, "/v1/completions", &request.body());
@@ -106,7 +106,7 @@
 }
 
 fn open_call(deployment: &Deployment, call: CallerRequest) -> Reader {
-    let stream = deployment.caller().open(call, BOUND_MS);
+    let stream = deployment.caller().open(call, WAIT_TIMEOUT_MS);
     Reader {
         last_id: String::new(),
         stream: stream.expect("the entry answers"),
@@ -114,7 +114,7 @@
     }
 }
 
-/// A draft whose answer is known.
+/// A request whose expected answer is known.
 pub(crate) struct Draft {
     pub(crate) max_tokens: u32,
     pub(crate) prompt: String,
@@ -150,7 +150,7 @@
     }
 }
 
-/// How an answer ended.
+/// How a streamed answer ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum End {
     Cut,
@@ -158,7 +158,7 @@
     Refused(String),
 }
 
-/// A streamed answer as far as it was read.
+/// A streamed answer and the text read so far.
 pub(crate) struct Reader {
     pub(crate) last_id: String,
     stream: CallerStream,
@@ -170,7 +170,7 @@
         self.stream.status()
     }
 
-    /// Reads until at least `length` bytes of text have come.
+    /// Reads until at least `length` bytes of text have arrived.
     pub(crate) fn read_bytes(&mut self, length: usize) {
         while self.text.len() < length {
             assert_eq!(
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Reads to the end.
+    /// Reads to the end of the answer.
     pub(crate) fn read_to_end(&mut self) -> End {
         loop {
             if let Some(end) = self.read_event() {
@@ -192,7 +192,7 @@
     }
 
     fn read_event(&mut self) -> Option<End> {
-        let Ok(event) = self.stream.next_event(BOUND_MS) else {
+        let Ok(event) = self.stream.next_event(WAIT_TIMEOUT_MS) else {
             return Some(End::Cut);
         };
         let Some(event) = event else {
--- a/crates/masticsill/tests/system/whole_path.rs
+++ b/crates/masticsill/tests/system/whole_path.rs
@@ -1,9 +1,9 @@
-//! One request through caller, entry, agent and engine.
+//! One request on its whole path: caller, entry, agent and engine.
 
 use masticsill_testkit::CallerRequest;
 use serde_json::json;
 
-use crate::support::{BOUND_MS, Draft, End, SmallSystem};
+use crate::support::{Draft, End, SmallSystem, WAIT_TIMEOUT_MS};
 
 #[test]
 fn a_streamed_answer_is_whole() {
@@ -23,14 +23,14 @@
     body["stream"] = json!(false);
     let address = system.deployment.http("entry-0");
     let request = CallerRequest::post(address, "/v1/completions", &body);
-    let answer = system.deployment.caller().call(request, BOUND_MS);
+    let answer = system.deployment.caller().call(request, WAIT_TIMEOUT_MS);
     let answer = answer.expect("the entry answers").json();
     assert_eq!(answer["choices"][0]["text"], json!(draft.expected()));
     assert_eq!(answer["usage"]["completion_tokens"], json!(30));
 }
 
 #[test]
-fn a_dead_engine_is_not_noticed_by_the_caller() {
+fn the_loss_of_an_engine_is_not_noticed_by_the_caller() {
     let mut system = SmallSystem::start(1, 2);
     let draft = Draft::new("tiles", 120);
     let mut reader = system.open("entry-0", &draft);
