--- a/crates/masticsill/tests/system/catalogue_force.rs
+++ b/crates/masticsill/tests/system/catalogue_force.rs
@@ -268,7 +268,7 @@
     assert_eq!(running, 1, "the stream outlasts the lease");
     let events = stream
         .collect_events(WAIT_TIMEOUT_MS)
-        .expect("the stream goes on");
+        .expect("the stream continues");
     let texts = events.iter().filter_map(|event| text_of(&event.data));
     assert_eq!(
         texts.collect::<String>(),
--- a/crates/masticsill/tests/system/control_losses.rs
+++ b/crates/masticsill/tests/system/control_losses.rs
@@ -109,7 +109,7 @@
         current = answer.map_or(Value::Null, |answer| answer.json());
         current["version"] == version
     });
-    assert!(is_current, "{control} holds {held}");
+    assert!(is_current, "{control} holds {current}");
     assert_eq!(current["entry"]["back_end"]["version"], model_version);
 }
 
--- a/crates/masticsill/tests/system/load_system.rs
+++ b/crates/masticsill/tests/system/load_system.rs
@@ -214,7 +214,7 @@
         let caller = self.deployment.caller();
         let stats = self.engines.iter().map(|one| one.stats(caller));
         stats
-            .map(|stats| stats.expect("it lives").started)
+            .map(|stats| stats.expect("the engine answers").started)
             .collect()
     }
 
--- a/crates/masticsill/tests/system/routing_load.rs
+++ b/crates/masticsill/tests/system/routing_load.rs
@@ -46,7 +46,10 @@
     open_requests.join();
     load.assert_all_complete();
     let after = system.engines[0].stats(system.deployment.caller());
-    let (before, after) = (before.expect("it lives"), after.expect("it lives"));
+    let (before, after) = (
+        before.expect("the engine answers"),
+        after.expect("the engine answers"),
+    );
     assert_eq!(after.started, before.started, "nothing new was started");
     assert_eq!(after.cancelled, 0, "nothing was cut");
     assert_eq!(system.sum(|stats| stats.started), 20);
@@ -80,7 +83,7 @@
     load.send("draft", 24, 40).join();
     load.assert_all_complete();
     let stats = system.engines[0].stats(system.deployment.caller());
-    assert_eq!(stats.expect("it lives").most_open, 5);
+    assert_eq!(stats.expect("the engine answers").most_open, 5);
 }
 
 #[test]
