--- a/crates/masticsill_runtime/src/text_metrics.rs
+++ b/crates/masticsill_runtime/src/text_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics served over HTTP in the OpenMetrics text format.
+//! Metrics served over HTTP in the `OpenMetrics` text format.
 
 use std::io;
 use std::net::SocketAddr;
