--- a/crates/masticsill_control/tests/watch_news.rs
+++ b/crates/masticsill_control/tests/watch_news.rs
@@ -1,4 +1,4 @@
-//! What watchers hear of endpoints, how soon and in how many answers.
+//! Which updates of endpoints watchers receive, how soon and in how many answers.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use masticsill_types::{NodeId, ZoneId};
 use masticsill_wire::control::{WatchReply, WatchRequest};
 
-/// Watchers: with 2 ms for each, news that can wait are told after 200 ms.
+/// With a delay of 2 ms for each watcher, updates that are not urgent are sent after 200 ms.
 const WATCHERS: usize = 100;
 const ENDPOINTS: u16 = 40;
-/// Far longer than any pause.
+/// Far longer than the delay of any update.
 const WAIT_MS: u64 = 1_500;
 
 fn zone() -> ZoneId {
@@ -51,8 +51,8 @@
     }
 }
 
-/// A replica with many watchers, and the first answer to one of them.
-async fn watched(client: &ControlClient, address: SocketAddr) -> WatchReply {
+/// Registers many watchers at a replica; returns the first answer to one of them.
+async fn register_watchers(client: &ControlClient, address: SocketAddr) -> WatchReply {
     for number in 1..WATCHERS {
         client.watch(address, &request(number, None, 0)).await;
     }
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn endpoints_that_begin_at_once_share_an_answer() {
+fn simultaneous_endpoint_registrations_share_watch_replies() {
     let cluster = Cluster::start(1);
     let address = cluster.address(&node(1));
     block_on(async {
         let client = cluster.client();
-        let mut reply = watched(&client, address).await;
+        let mut reply = register_watchers(&client, address).await;
         let announcing = cluster.client();
         let announced = async {
             for number in 0..ENDPOINTS {
@@ -76,42 +76,42 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        let listened = async {
-            let (mut answers, mut heard) = (0, 0);
-            while heard < usize::from(ENDPOINTS) {
-                let asked = request(0, Some(&reply), WAIT_MS);
-                reply = client.watch(address, &asked).await.unwrap();
+        let collected = async {
+            let (mut answers, mut received) = (0, 0);
+            while received < usize::from(ENDPOINTS) {
+                let watch_request = request(0, Some(&reply), WAIT_MS);
+                reply = client.watch(address, &watch_request).await.unwrap();
                 answers += 1;
-                heard += reply.endpoints.len();
+                received += reply.endpoints.len();
             }
             answers
         };
-        let ((), answers) = tokio::join!(announced, listened);
+        let ((), answers) = tokio::join!(announced, collected);
         assert!(answers <= 5, "{answers} answers");
     });
 }
 
 #[test]
-fn an_endpoint_that_leaves_is_told_at_once() {
+fn an_endpoint_departure_is_reported_without_delay() {
     let cluster = Cluster::start(1);
     let address = cluster.address(&node(1));
     block_on(async {
         let client = cluster.client();
         client.announce(address, &endpoint(0), WAIT_MS).await;
-        let reply = watched(&client, address).await;
+        let reply = register_watchers(&client, address).await;
         let leaving = cluster.client();
         let began = Instant::now();
-        let left = async {
+        let departed = async {
             let id = endpoint(0).id;
             leaving.depart(address, &id, WAIT_MS).await
         };
-        let told = async {
-            let asked = request(0, Some(&reply), WAIT_MS);
-            let told = client.watch(address, &asked).await.unwrap();
-            assert_eq!(told.endpoints.len(), 1);
+        let notified = async {
+            let watch_request = request(0, Some(&reply), WAIT_MS);
+            let notified = client.watch(address, &watch_request).await.unwrap();
+            assert_eq!(notified.endpoints.len(), 1);
             began.elapsed()
         };
-        let (_, told_after) = tokio::join!(left, told);
-        assert!(told_after < Duration::from_millis(150), "{told_after:?}");
+        let (_, elapsed) = tokio::join!(departed, notified);
+        assert!(elapsed < Duration::from_millis(150), "{elapsed:?}");
     });
 }
