--- a/crates/masticsill_wire/src/agent.rs
+++ b/crates/masticsill_wire/src/agent.rs
@@ -1,7 +1,7 @@
-//! The service that agents offer to entries.
+//! RPC service of agents.
 //!
-//! Tokens travel by pull: one outstanding call for each (entry, agent) pair names every stream
-//! and the next index wanted. A pull is idempotent, so it is repeated after any lost answer.
+//! Entries pull tokens: each (entry, agent) pair has one call in flight, which lists every stream
+//! and the next token index wanted. A pull is idempotent and is retried when its reply is lost.
 
 use masticsill_types::{
     AttemptState, FencingNumber, GenerationId, GenerationSpec, Incarnation, Lineage, LoadReport,
@@ -16,26 +16,26 @@
 pub struct StartRequest {
     /// Tokens accepted under earlier attempts; the engine continues after them.
     pub accepted: Vec<Token>,
-    /// The owner.
+    /// The entry that owns the generation.
     pub entry: NodeId,
-    /// The record's history; the last segment is the attempt to start.
+    /// The record's segments in order; the last one is the attempt to start.
     pub history: Vec<Segment>,
-    /// What to generate.
+    /// Specification of the generation.
     pub spec: GenerationSpec,
 }
 
-/// The answer to a start. Repeating a start gives the same answer.
+/// The reply to a start. A repeated start gets the same reply.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StartReply {
-    /// The attempt runs, or ran before.
+    /// The attempt is running, or has already run.
     Accepted,
-    /// A higher lineage of this generation is known here.
+    /// The agent has seen this higher lineage of the generation.
     Fenced(Lineage),
     /// Nothing was sent to the engine.
     Refused(Refusal),
 }
 
-/// Where an entry stands in one stream.
+/// An entry's position in one stream.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PullCursor {
     /// The generation.
@@ -57,22 +57,22 @@
     pub wait_ms: u64,
 }
 
-/// News of one stream.
+/// New tokens and state of one stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Progress {
-    /// Index of the first token below.
+    /// Index of the first token in `tokens`.
     pub first_index: TokenIndex,
     /// The generation.
     pub id: GenerationId,
     /// The lineage that produced the tokens.
     pub lineage: Lineage,
-    /// Where the attempt stands once the tokens below are taken.
+    /// State of the attempt after the tokens in `tokens`.
     pub state: ProgressState,
     /// The tokens from `first_index` on.
     pub tokens: Vec<Token>,
 }
 
-/// Where a stream stands, seen from the agent.
+/// The state of a stream as the agent knows it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ProgressState {
     /// The attempt's own state.
@@ -83,20 +83,20 @@
     Unknown,
 }
 
-/// The answer to a pull, sent at the first news or when the wait is over.
+/// The reply to a pull, sent on the first progress or after `wait_ms`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PullReply {
-    /// The agent's life; a change means that it forgot all streams.
+    /// The agent's incarnation; a new one has lost all streams of the one before.
     pub incarnation: Incarnation,
     /// Whether the endpoint is leaving.
     pub is_leaving: bool,
     /// The engine's last load report.
     pub load: LoadReport,
-    /// News, one for each stream that has some.
+    /// One item for each stream with progress since its cursor.
     pub progress: Vec<Progress>,
 }
 
-/// Takes a generation over for a new owner and fences the former one.
+/// Transfers a generation to a new owner and fences the previous one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AttachRequest {
     /// The new owner.
@@ -105,42 +105,42 @@
     pub id: GenerationId,
     /// The next token index that the caller wants.
     pub next_index: TokenIndex,
-    /// Random number of the new owner, part of its epoch.
+    /// Random nonce of the new owner, part of its epoch.
     pub nonce: u32,
     /// The lineage under which the caller received its last token.
     pub seen: Lineage,
 }
 
-/// A record as handed to a new owner.
+/// A generation's record as sent to its new owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordSnapshot {
-    /// The record's history; the last segment is the new owner's.
+    /// The record's segments in order; the last one is the new owner's.
     pub history: Vec<Segment>,
-    /// What is generated.
+    /// Specification of the generation.
     pub spec: GenerationSpec,
-    /// Where the attempt stands.
+    /// State of the attempt.
     pub state: AttemptState,
     /// Every token of the answer so far, from index zero.
     pub tokens: Vec<Token>,
 }
 
-/// The answer to an attach.
+/// The reply to an attach.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum AttachReply {
-    /// The caller's entry owns the generation from now on.
+    /// The requesting entry owns the generation from now on.
     Attached(Box<RecordSnapshot>),
-    /// The record here does not contain what the caller has seen.
+    /// The agent's record does not contain the tokens that the caller has received.
     Behind,
-    /// No record here.
+    /// The agent has no record of the generation.
     Unknown,
 }
 
-/// Ends a generation that its caller no longer wants.
+/// Cancels a generation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CancelRequest {
     /// The generation.
     pub id: GenerationId,
-    /// The canceller's lineage; a lower one than the record's is ignored.
+    /// Lineage of the entry that cancels; ignored if lower than the record's.
     pub lineage: Lineage,
 }
 
@@ -155,7 +155,7 @@
     pub content_type: String,
     /// The call's identity.
     pub id: GenerationId,
-    /// The agent's life that the call is meant for; another life refuses it.
+    /// The agent's incarnation that the call is meant for; any other refuses the call.
     pub incarnation: Incarnation,
     /// Whether the call may be repeated.
     pub is_repeatable: bool,
@@ -165,10 +165,10 @@
     pub path: String,
 }
 
-/// A whole answer of a plain service.
+/// A complete response of a plain service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallAnswer {
-    /// The answer's body.
+    /// Body of the response.
     pub body: Vec<u8>,
     /// `Content-Type` of the body.
     pub content_type: String,
@@ -176,45 +176,46 @@
     pub status: u16,
 }
 
-/// The three ends of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CallReply {
     /// The service answered.
     Answered(CallAnswer),
     /// The call was not sent and, at this agent, never will be.
     NotRun(Refusal),
-    /// The call was sent and its end is not known.
+    /// The call was sent and its outcome is unknown.
     OutcomeUnknown,
 }
 
-/// Asks what became of a call, and makes sure that it is not sent later.
+/// Asks for the outcome of a call and prevents the agent from sending it later.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BuryRequest {
     /// The call's identity.
     pub id: GenerationId,
-    /// The agent's life that the call was meant for.
+    /// The agent's incarnation that the call was meant for.
     ///
-    /// A later life can't know what an earlier one sent: it answers [`CallReply::OutcomeUnknown`].
+    /// A later incarnation can't know what an earlier one sent, so it replies
+    /// [`CallReply::OutcomeUnknown`].
     pub incarnation: Incarnation,
 }
 
-/// An order of the control leader to the engine beside an agent.
+/// An order of the control leader to the agent's engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct OrderRequest {
-    /// The order's number; only a higher one than the agent has seen is passed on.
+    /// Fencing number; the agent forwards only orders with a higher one than it has seen.
     pub fencing: FencingNumber,
     /// What the engine is to do.
     pub order: EngineOrder,
 }
 
-/// The end of an order.
+/// The outcome of an order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum OrderReply {
-    /// The engine took the order.
+    /// The engine accepted the order.
     Done,
-    /// An order or leader with this higher number is known here; nothing was sent.
+    /// The agent has seen this higher number of an order or leader; nothing was sent.
     Fenced(FencingNumber),
-    /// The order was sent and its end is not known.
+    /// The order was sent and its outcome is unknown.
     OutcomeUnknown,
     /// Nothing took effect.
     Refused(OrderRefusal),
@@ -223,46 +224,46 @@
 /// Why an order had no effect.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderRefusal {
-    /// Another order is under way at this engine.
+    /// Another order to this engine is in flight.
     Busy,
-    /// The agent has not yet been told the highest number drawn.
+    /// The agent has not yet received the highest fencing number issued.
     Closed,
-    /// The engine itself refused the number as old.
+    /// The engine refused the fencing number as stale.
     EngineFenced,
-    /// The engine refused the order for another reason, or there is none.
+    /// The engine refused the order for another reason, or the agent has no engine.
     EngineRefused,
-    /// The engine gives no sign of life.
+    /// The engine does not respond.
     EngineUnavailable,
     /// Generations run on the target that is to be unloaded.
     InUse,
 }
 
-/// What an agent tells a new leader that fences its predecessors.
+/// The reply to a new leader that fences its predecessors.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FenceReply {
-    /// The highest number known here now; orders up to it are refused.
+    /// The highest number that the agent has seen; orders up to it are refused.
     pub highest: FencingNumber,
-    /// The order that was passed to the engine and has not ended.
+    /// The order in flight at the engine, if any.
     pub under_way: Option<EngineOrder>,
 }
 
-/// Operations of an agent.
+/// RPC methods of an agent.
 #[tarpc::service]
 pub trait AgentService {
     /// Starts an attempt.
     async fn start(request: StartRequest) -> StartReply;
-    /// Waits for tokens of many streams.
+    /// Waits for progress of any of the listed streams.
     async fn pull(request: PullRequest) -> PullReply;
-    /// Takes a generation over.
+    /// Transfers a generation to a new owner.
     async fn attach(request: AttachRequest) -> AttachReply;
     /// Cancels a generation.
     async fn cancel(request: CancelRequest);
     /// Calls a plain service.
     async fn call(request: CallRequest) -> CallReply;
-    /// Sets a tombstone for a call, or tells its end.
+    /// Returns the outcome of a call, or sets a tombstone so that it is never sent.
     async fn bury(request: BuryRequest) -> CallReply;
-    /// Passes an order on to the engine.
+    /// Forwards an order to the engine.
     async fn order(request: OrderRequest) -> OrderReply;
-    /// Refuses orders up to a number from now on, and tells what is under way.
+    /// Refuses orders up to `fencing` from now on and returns the order in flight.
     async fn fence(fencing: FencingNumber) -> FenceReply;
 }
--- a/crates/masticsill_wire/src/codec.rs
+++ b/crates/masticsill_wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! The body codec of all services between processes.
+//! Codec for message bodies of all RPC services between processes.
 
 use std::io;
 use std::marker::PhantomData;
--- a/crates/masticsill_wire/src/control.rs
+++ b/crates/masticsill_wire/src/control.rs
@@ -1,8 +1,8 @@
-//! The service that control replicas offer to each other and to every node.
+//! RPC service that control replicas offer to each other and to every node.
 //!
-//! Changes, claims and reads are served by the leader; another replica answers
-//! [`ControlReply::NotLeader`]. A call whose answer was lost may be sent again: changes carry an
-//! id, claims a nonce, and everything else is idempotent.
+//! Changes, claims and reads are served by the leader; any other replica replies
+//! [`ControlReply::NotLeader`]. A call whose reply was lost may be retried: changes carry an id,
+//! claims a nonce, and everything else is idempotent.
 
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
 /// Messages between two replicas, in the quorum's own encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct QuorumBatch {
-    /// Where the sender listens.
+    /// RPC address of the sender.
     pub address: SocketAddr,
     /// The messages, oldest first.
     pub messages: Vec<Vec<u8>>,
@@ -32,71 +32,71 @@
     pub node: NodeId,
 }
 
-/// A replica's identity: its name and the number that its data folder was given.
+/// A replica's identity: its node id and the number assigned to its data folder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaIdentity {
-    /// The data folder's number; another folder makes another replica.
+    /// The data folder's number; with another folder it is another replica.
     pub folder: u64,
-    /// Whether the folder belongs to a cluster already.
+    /// Whether the data folder already belongs to a cluster.
     pub is_founded: bool,
     /// The node.
     pub node: NodeId,
 }
 
-/// How a process that serves control introduces itself to another.
+/// How a process with the control role describes itself to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Introduction {
-    /// Where it listens.
+    /// RPC address of the process.
     pub address: SocketAddr,
-    /// Whether its folder belongs to a cluster already.
+    /// Whether its data folder already belongs to a cluster.
     pub is_founded: bool,
-    /// Whether it keeps state on a disk, and so may vote.
+    /// Whether it stores state on disk and so may vote.
     pub keeps_state: bool,
     /// The node.
     pub node: NodeId,
 }
 
-/// Who serves control, as far as one process knows.
+/// The processes with the control role that one process knows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Directory {
-    /// Whether the process that answers keeps state itself; one that doesn't passes calls on.
+    /// Whether the replying process stores state itself; one that doesn't forwards calls.
     pub keeps_state: bool,
-    /// The process that answers.
+    /// The replying process.
     pub node: NodeId,
-    /// Replicas that keep state.
+    /// Replicas that store state.
     pub replicas: Vec<(NodeId, SocketAddr)>,
 }
 
-/// A founding that a replica is about to carry out.
+/// A proposal to found a cluster.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FoundingProposal {
-    /// Tells this attempt from the proposer's others.
+    /// Distinguishes this attempt from other attempts of the proposer.
     pub number: u64,
-    /// The replica that founds.
+    /// The replica that will found the cluster.
     pub proposer: NodeId,
 }
 
 /// Where the leader can be reached.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaderHint {
-    /// Its RPC address, if this replica knows it.
+    /// RPC address of the leader, if this replica knows it.
     pub address: Option<SocketAddr>,
     /// The leader.
     pub node: NodeId,
 }
 
-/// The answer of a replica to a call that only the leader serves.
+/// A replica's reply to a call that only the leader serves.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ControlReply<T> {
-    /// The leader's answer.
+    /// The leader served the call.
     Done(T),
-    /// This replica does not lead, or can't prove that it does; nothing was done.
+    /// This replica is not the leader, or can't prove that it is; nothing was done.
     NotLeader(Option<LeaderHint>),
-    /// Leadership ended before the call's fate was known; send it again.
+    /// Leadership was lost before the call's outcome was known; retry the call.
     OutcomeUnknown,
-    /// Too many calls wait; nothing was done.
+    /// Too many calls are queued; nothing was done.
     Overloaded {
-        /// When to come back, in milliseconds.
+        /// Delay before the next retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// The replica is shutting down; nothing was done.
@@ -104,7 +104,7 @@
 }
 
 impl<T> ControlReply<T> {
-    /// What follows from the leader's answer; every other reply stays as it is.
+    /// Applies `then` to the leader's answer; every other reply is returned unchanged.
     pub fn and_then<U>(self, then: impl FnOnce(T) -> ControlReply<U>) -> ControlReply<U> {
         match self {
             Self::Done(answer) => then(answer),
@@ -116,7 +116,7 @@
     }
 }
 
-/// An operator's change, authenticated by the replica that took it.
+/// An operator's change, authenticated by the replica that received it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChangeRequest {
     /// The change.
@@ -125,39 +125,40 @@
     pub scope: OperatorScope,
 }
 
-/// Asks for what a copy of the catalogue lacks, and for a proof of freshness.
+/// Requests a catalogue update and a proof of freshness for a copy of the catalogue.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RenewRequest {
-    /// The version that the asker has.
+    /// Catalogue version of the requester's copy.
     pub have: CatalogueVersion,
 }
 
 /// A proof of freshness, relayed from the leader.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RenewReply {
-    /// How long ago, at most, `version` held every accepted change; none without a proof.
+    /// Upper bound of the time since `version` contained every accepted change, in milliseconds;
+    /// `None` without a proof.
     ///
-    /// The asker counts it from when it asked, never from when the answer came.
+    /// The requester counts it from when it sent the request, never from when the reply arrived.
     pub age_ms: Option<u64>,
-    /// What the asker lacks.
+    /// Changes missing from the requester's copy.
     pub update: Option<CatalogueUpdate>,
-    /// The answering copy's version.
+    /// Version of the replying node's copy.
     pub version: CatalogueVersion,
 }
 
-/// Reads the state as it is now.
+/// A read of the current state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReadRequest {
     /// Audit records after a sequence.
     Audit {
-        /// The last sequence that the reader has.
+        /// The last sequence number that the reader has.
         after: u64,
-        /// Records at most.
+        /// Maximum number of records.
         limit: u32,
     },
-    /// What changed in the catalogue since a version.
+    /// Changes of the catalogue since a version.
     Catalogue {
-        /// The version that the reader has, zero for everything.
+        /// The version that the reader has; zero requests the whole catalogue.
         have: CatalogueVersion,
     },
     /// One entry of the catalogue.
@@ -167,85 +168,85 @@
     },
     /// The catalogue as one document.
     Document,
-    /// The highest number of any order to engines.
+    /// The highest fencing number of any order to engines.
     HighestOrder,
     /// The control replicas.
     Replicas,
 }
 
-/// The answer to a read.
+/// The result of a read.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReadAnswer {
     /// Audit records.
     Audit(AuditPage),
-    /// The catalogue's version, and the update if the reader lacks something.
+    /// The catalogue's version, and an update if the reader's version is older.
     Catalogue(CatalogueVersion, Option<CatalogueUpdate>),
     /// The entry, if it is in force.
     Entry(Option<VersionedEntry>),
     /// The document in force, if there is one.
     Document(Option<StoredDocument>),
-    /// The leader's term and the last sequence drawn; every number drawn before is not higher.
+    /// The leader's term and the last sequence number issued; no number issued before is higher.
     HighestOrder(FencingNumber),
     /// The control replicas.
     Replicas(ReplicasView),
 }
 
-/// An operator's catalogue as one document, checked by the replica that took it.
+/// An operator's catalogue as one document, validated by the replica that received it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DocumentChange {
     /// The document.
     pub document: StoredDocument,
-    /// Who, bound to every workspace.
+    /// The operator, who must be bound to every workspace.
     pub operator: OperatorId,
 }
 
-/// Waits for news of the document and of the endpoints.
+/// A long poll for changes of the document and of the endpoints.
 ///
-/// It also acknowledges the news of the reply before.
+/// It also acknowledges the changes in the previous reply.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WatchRequest {
-    /// Newest version that the watcher knows of.
+    /// Newest document version that the watcher knows of.
     pub document_seen: Option<u64>,
-    /// The watcher's own requests at endpoints of the replica's zone.
+    /// The watcher's own requests at endpoints in the replica's zone.
     pub loads: Vec<EndpointLoad>,
     /// Revision of the other watchers' loads that the watcher has.
     pub loads_revision: u64,
-    /// The registry that `revision` is of; zero at first.
+    /// Id of the registry that `revision` belongs to; zero in the first request.
     pub registry: u64,
     /// Revision of the registry that the watcher has.
     pub revision: u64,
-    /// Revision that the watcher has of what is known of requests that crash endpoints.
+    /// Revision that the watcher has of the records of requests that crash endpoints.
     pub suspects_revision: u64,
-    /// Longest wait for news.
+    /// Maximum wait for changes, in milliseconds.
     pub wait_ms: u64,
-    /// Who watches.
+    /// The process that polls.
     pub watcher: Watcher,
 }
 
-/// News of the document and of the endpoints.
+/// Changes of the document and of the endpoints.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WatchReply {
-    /// Version of the document applied here.
+    /// Version of the document that this replica has applied.
     pub document_version: Option<u64>,
-    /// Entries that watch here, to share what endpoints accept from all of them together.
+    /// Number of entries that poll this replica; they share the endpoints' total capacity.
     pub entries: u32,
-    /// Those of the watcher's zone, in order.
+    /// The polling entries in the watcher's zone, in order.
     pub entries_nearby: Vec<NodeId>,
-    /// What changed since the watcher's revision.
+    /// Endpoint records changed since the watcher's revision.
     pub endpoints: Vec<EndpointRecord>,
-    /// Whom this replica heard lately; for other replicas only.
+    /// Ages of heartbeats that this replica received directly; only for other replicas.
     pub heard: Vec<HeartbeatAge>,
-    /// Requests of the other entries, as they told last.
+    /// Requests of the other entries, as last reported.
     pub loads: Vec<EndpointLoad>,
     /// Revision of these loads.
     pub loads_revision: u64,
-    /// Addresses of the control replicas known here.
+    /// Addresses of the control replicas known to this one.
     pub members: Vec<(NodeId, SocketAddr)>,
-    /// The registry that `revision` is of: another number for each life of the process.
+    /// Id of the registry that `revision` belongs to; differs for each incarnation of the process.
     pub registry: u64,
     /// Revision of the registry.
     pub revision: u64,
-    /// Requests under which endpoints crashed, as far as all must know.
+    /// Records of requests during which endpoints crashed, as far as every watcher needs them.
     pub suspects: Vec<RequestRecord>,
     /// Revision of these records.
     pub suspects_revision: u64,
@@ -253,10 +254,10 @@
     pub zone: ZoneId,
 }
 
-/// A part of the audit trail.
+/// A page of the audit trail.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AuditPage {
-    /// The trail's last sequence.
+    /// The last sequence number of the whole trail.
     pub last_sequence: u64,
     /// Records, oldest first.
     pub records: Vec<AuditRecord>,
@@ -282,17 +283,17 @@
     pub folder: u64,
     /// The node.
     pub node: NodeId,
-    /// What it does in the quorum.
+    /// Role of the replica in the quorum.
     pub standing: ReplicaStanding,
 }
 
-/// What a replica does in the quorum.
+/// The role of a replica in the quorum.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaStanding {
-    /// Catches up and does not vote yet.
+    /// Replicates the log and does not vote yet.
     Learner,
-    /// Votes, and is to be removed.
+    /// Votes until its pending removal.
     Leaving,
     /// Votes.
     Voter,
@@ -301,25 +302,25 @@
 /// An operator's change of the control replicas.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReplicaChange {
-    /// What to do.
+    /// The requested action.
     pub action: ReplicaAction,
-    /// Who, bound to every workspace.
+    /// The operator, who must be bound to every workspace.
     pub operator: OperatorId,
 }
 
-/// What to do with the control replicas.
+/// A change of the set of control replicas.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReplicaAction {
-    /// Admit a replica that runs with a new folder.
+    /// Admit a replica that runs with a new data folder.
     ///
-    /// It learns, is promoted once it has caught up, and only then the replaced one leaves. The
-    /// request is durable once accepted, and sending it again changes nothing.
+    /// The replica joins as a learner and is promoted once it has caught up; only then is the
+    /// replaced one removed. An accepted request is durable, and repeating it has no effect.
     Join {
-        /// Where the new replica listens; its address in the settings if left out.
+        /// RPC address of the new replica; defaults to its address in the settings.
         address: Option<SocketAddr>,
         /// The new replica's node.
         node: NodeId,
-        /// The replica that leaves afterwards.
+        /// The replica to remove afterwards.
         replaces: Option<NodeId>,
     },
     /// Remove a replica.
@@ -332,61 +333,65 @@
 /// The answer to a change of the control replicas.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReplicaAnswer {
-    /// The change is durable and goes on by itself.
+    /// The change is durable and completes without further requests.
     Accepted,
-    /// Nothing was changed; the text says why and what to do.
+    /// Nothing was changed; the text gives the reason and a remedy.
     Refused(String),
 }
 
-/// Operations of a control replica.
+/// RPC methods of a control replica.
 #[tarpc::service]
 pub trait ControlService {
-    /// Takes messages of another replica.
+    /// Receives quorum messages of another replica.
     async fn quorum_messages(batch: QuorumBatch);
-    /// Tells who this replica is; none when it has stopped or is overloaded.
+    /// Returns this replica's identity; `None` when it has stopped or is overloaded.
     async fn identify() -> Option<ReplicaIdentity>;
-    /// Gives a replica with a new folder the founding members; returns whether it took them.
+    /// Sends the founding members to a replica with a new data folder; returns whether it
+    /// accepted them.
     async fn found(members: Vec<ReplicaIdentity>) -> bool;
-    /// Tells who serves control; `introduction` is that of a process that serves it itself.
+    /// Returns the known processes with the control role; `introduction` is set if the requester
+    /// has that role itself.
     async fn directory(introduction: Option<Introduction>) -> Directory;
-    /// Reserves this process for one founding for a few seconds; returns whether it is.
+    /// Reserves this process for one founding attempt for a few seconds; returns whether the
+    /// reservation succeeded.
     async fn reserve_founding(proposal: FoundingProposal) -> bool;
-    /// Gives a reservation up.
+    /// Releases a reservation made by [`ControlService::reserve_founding`].
     async fn release_founding(proposal: FoundingProposal);
-    /// Takes an endpoint's heartbeat that came to a process without state; returns whether it did.
+    /// Receives an endpoint's heartbeat forwarded by a process without state; returns whether it
+    /// was accepted.
     async fn announce(announcement: Announcement) -> bool;
-    /// Takes an endpoint's deregistration, as [`ControlService::announce`].
+    /// Receives a forwarded deregistration of an endpoint, like [`ControlService::announce`].
     async fn depart(id: EndpointId) -> bool;
     /// Changes the catalogue.
     async fn change(request: ChangeRequest) -> ControlReply<ChangeAnswer>;
     /// Claims a call that may not be repeated.
     async fn claim(claim: Claim) -> ControlReply<ClaimAnswer>;
-    /// Moves a claim.
+    /// Reassigns a claim.
     async fn reassign(reassign: Reassign) -> ControlReply<ClaimAnswer>;
     /// Settles a claim.
     async fn settle(settle: Settle) -> ControlReply<ClaimAnswer>;
-    /// Reads the state as it is now.
+    /// Reads the current state.
     async fn read(request: ReadRequest) -> ControlReply<ReadAnswer>;
     /// Changes the control replicas.
     async fn change_replicas(change: ReplicaChange) -> ControlReply<ReplicaAnswer>;
     /// Renews a copy of the catalogue; served by every replica.
     async fn renew(request: RenewRequest) -> RenewReply;
-    /// Puts the catalogue as one document in force.
+    /// Replaces the catalogue by one document.
     async fn put_document(change: DocumentChange) -> ControlReply<DocumentAnswer>;
-    /// Waits for news of the document and of the endpoints; served by every replica.
+    /// Waits for changes of the document and of the endpoints; served by every replica.
     async fn watch(request: WatchRequest) -> WatchReply;
-    /// Takes a watcher's requests at endpoints of the replica's zone, as soon as they change.
+    /// Receives a watcher's requests at endpoints in the replica's zone as soon as they change.
     async fn tell_loads(watcher: Watcher, loads: Vec<EndpointLoad>);
-    /// Takes what a watcher noted of requests under which endpoints crashed.
+    /// Receives a watcher's records of requests during which endpoints crashed.
     async fn tell_crashes(records: Vec<RequestRecord>);
-    /// Finds the engines of the replica's zone that keep the beginning of a prompt.
+    /// Finds the engines in the replica's zone that have a prefix of the prompt cached.
     async fn find_kept(prompt: Vec<PromptPart>) -> Vec<CachedTokens>;
-    /// Hands out a place at an engine of the replica's zone that reads no prompt, and tells what the
-    /// other watchers have there.
+    /// Reserves an engine in the replica's zone that is not processing a prompt; returns the other
+    /// watchers' load there.
     async fn take_place(request: EngineReservationRequest) -> Option<EndpointLoad>;
-    /// Tells what the newest document applied here consists of; none when it is older than
-    /// `version`.
+    /// Lists the pieces of the newest document applied by this replica; `None` when it is older
+    /// than `version`.
     async fn document_pieces(version: u64) -> Option<PieceList>;
-    /// Gives pieces of the last documents; those that are not kept are left out.
+    /// Returns pieces of the most recent documents; pieces no longer stored are omitted.
     async fn find_pieces(hashes: Vec<PieceHash>) -> Vec<(PieceHash, PackedPiece)>;
 }
--- a/crates/masticsill_wire/src/engine.rs
+++ b/crates/masticsill_wire/src/engine.rs
@@ -1,13 +1,13 @@
 //! JSON types of the model engines' HTTP interface.
 //!
-//! - `POST /v1/completions` with `"stream": true` answers server-sent events, one
-//!   [`CompletionChunk`] each, then `data: [DONE]`. Closing the connection cancels the request.
+//! - `POST /v1/completions` with `"stream": true` responds with server-sent events,
+//!   one [`CompletionChunk`] each, then `data: [DONE]`. Closing the connection cancels the request.
 //! - `POST /v1/cancel` takes a [`CancelBody`].
-//! - `GET /v1/load` answers an [`EngineLoad`], late by the engine's own lag.
-//! - `GET /v1/cache_events?after=N` answers [`CacheEvents`], late and with gaps.
-//! - `POST /v1/orders` takes an [`OrderBody`]; an engine that checks refuses an old fencing number
-//!   with status 409.
-//! - `GET /v1/models` answers [`LoadedModels`].
+//! - `GET /v1/load` returns an [`EngineLoad`], delayed by the engine's reporting lag.
+//! - `GET /v1/cache_events?after=N` returns [`CacheEvents`], delayed and possibly with gaps.
+//! - `POST /v1/orders` takes an [`OrderBody`]; an engine that checks fencing numbers refuses a
+//!   stale one with status 409.
+//! - `GET /v1/models` returns [`LoadedModels`].
 
 use masticsill_types::{AdapterId, FencingNumber, ModelId, ModelTarget, VersionId};
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 pub struct CompletionBody {
     /// Adapter, if any.
     pub adapter: Option<AdapterId>,
-    /// Tokens of the whole answer at most, the resumed ones included.
+    /// Maximum number of tokens in the whole answer, including the resumed ones.
     pub max_tokens: u32,
     /// The model.
     pub model: ModelId,
@@ -25,7 +25,7 @@
     pub priority: u8,
     /// The prompt.
     pub prompt: String,
-    /// Names the request in `POST /v1/cancel`.
+    /// Identifies the request in `POST /v1/cancel`.
     pub request_id: String,
     /// Token ids of the answer so far; generation continues after them.
     pub resume_token_ids: Vec<u32>,
@@ -33,9 +33,9 @@
     pub seed: u64,
     /// Always true.
     pub stream: bool,
-    /// Temperature.
+    /// Sampling temperature.
     pub temperature: f64,
-    /// Nucleus threshold.
+    /// Nucleus sampling threshold.
     pub top_p: f64,
     /// The model's version.
     pub version: VersionId,
@@ -57,21 +57,21 @@
 pub struct ChunkToken {
     /// The token's bytes, which may end inside a UTF-8 character.
     pub bytes: Vec<u8>,
-    /// The token's number.
+    /// Id of the token in the model's vocabulary.
     pub id: u32,
 }
 
 /// Body of `POST /v1/cancel`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CancelBody {
-    /// The request to end.
+    /// The request to cancel.
     pub request_id: String,
 }
 
 /// Body of `GET /v1/load`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EngineLoad {
-    /// Age of these numbers, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
     /// Requests being decoded.
     pub running: u32,
@@ -84,27 +84,27 @@
 /// Body of `GET /v1/cache_events`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CacheEvents {
-    /// Events after the sequence asked for; sequences may jump.
+    /// Events after the requested sequence number; numbers may be missing.
     pub events: Vec<CacheEvent>,
 }
 
 /// One change of an engine's prefix cache.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CacheEvent {
-    /// Whether the prefix was stored, or dropped.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub is_stored: bool,
     /// Hash of the prefix, as the engine computes it.
     pub prefix_hash: u64,
-    /// Position in the engine's sequence of events; a jump is a gap.
+    /// Sequence number of the event; a jump means that events were lost.
     pub sequence: u64,
 }
 
 /// Body of `GET /v1/models`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LoadedModels {
-    /// What is loaded.
+    /// The loaded models, versions and adapters.
     pub loaded: Vec<ModelTarget>,
-    /// Generations decoded at the same time at most.
+    /// Maximum number of generations decoded concurrently.
     pub slots: u32,
 }
 
@@ -121,8 +121,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Load a model, version and adapter beside what is loaded.
+    /// Load a model, version and adapter in addition to those already loaded.
     Load(ModelTarget),
-    /// Unload one.
+    /// Unload a model, version and adapter.
     Unload(ModelTarget),
 }
--- a/crates/masticsill_wire/src/entry.rs
+++ b/crates/masticsill_wire/src/entry.rs
@@ -1,4 +1,4 @@
-//! The service that entries offer to each other.
+//! RPC service between entries.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pong;
 
-/// Operations of an entry.
+/// RPC methods that an entry serves to other entries.
 #[tarpc::service]
 pub trait EntryService {
-    /// Hands a generation to another entry, whose caller came back there.
+    /// Transfers ownership of a generation to the entry that the caller reconnected to.
     ///
-    /// The entry that answers stops delivering before it answers.
+    /// The entry that serves the call stops delivering tokens before it replies.
     async fn release(request: AttachRequest) -> AttachReply;
 }
--- a/crates/masticsill_wire/src/lib.rs
+++ b/crates/masticsill_wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Wire types and services between masticsill processes, and the engines' HTTP types.
+//! Wire types and RPC services between masticsill processes, and HTTP types of the engines.
 //!
-//! Between processes: `tarpc` services over TCP, length-delimited frames, `postcard` bodies.
-//! Towards engines: JSON over HTTP, streams by server-sent events.
+//! - Between processes: `tarpc` services over TCP, length-delimited frames, `postcard` bodies.
+//! - Between agents and engines: JSON over HTTP, with server-sent events for streams.
 
 pub mod admin;
 pub mod agent;
--- a/crates/masticsill_wire/src/node.rs
+++ b/crates/masticsill_wire/src/node.rs
@@ -1,4 +1,4 @@
-//! The service that every node offers to every other.
+//! RPC service that every node offers to all others.
 
 use std::net::SocketAddr;
 
@@ -8,24 +8,24 @@
 
 use crate::control::{RenewReply, RenewRequest};
 
-/// Asks a helper to probe a node that the asker can't reach.
+/// Asks a third node to probe one that the requester can't reach.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ProbeViaRequest {
     /// The address to probe.
     pub address: SocketAddr,
-    /// Who must answer there.
+    /// The node that must answer at that address.
     pub node: NodeId,
-    /// When to give up, in milliseconds.
+    /// Timeout of the probe, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// Operations of a node.
+/// RPC methods of a node.
 #[tarpc::service]
 pub trait NodeService {
-    /// Exchanges membership news; also the probe.
+    /// Exchanges membership updates; also serves as the direct probe.
     async fn exchange(request: Request) -> Reply;
-    /// Probes a node for the asker; answers whether it was reached.
+    /// Probes a node on behalf of the requester; returns whether it answered.
     async fn probe_via(request: ProbeViaRequest) -> bool;
-    /// Renews a copy of the catalogue from the copy here.
+    /// Renews the requester's copy of the catalogue from this node's copy.
     async fn renew(request: RenewRequest) -> RenewReply;
 }
--- a/crates/masticsill_wire/src/service.rs
+++ b/crates/masticsill_wire/src/service.rs
@@ -1,4 +1,4 @@
-//! The preamble that names a connection's service.
+//! The preamble byte that selects a connection's RPC service.
 //!
 //! A process listens on one address for all its services. The first byte of each connection is a
 //! [`ServiceKind`]; what follows is that service's `tarpc` transport.
@@ -10,15 +10,15 @@
 pub enum ServiceKind {
     /// [`crate::agent::AgentService`].
     Agent,
-    /// The control quorum's service.
+    /// [`crate::control::ControlService`].
     Control,
     /// [`crate::entry::EntryService`].
     Entry,
-    /// The service that every node offers: membership and the catalogue relay.
+    /// [`crate::node::NodeService`]: membership and the catalogue relay.
     Node,
 }
 
-/// A preamble byte that names no service.
+/// A preamble byte that belongs to no service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UnknownService(pub u8);
 
