--- a/crates/masticsill_types/src/class.rs
+++ b/crates/masticsill_types/src/class.rs
@@ -5,13 +5,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a catalogue entry promises about waiting.
+/// The service class of a catalogue entry: whether its requests may wait.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Short work that must be answered at once, whatever the drafts do.
+    /// Short requests that must be answered at once, regardless of the load of patient drafts.
     InstantLookup,
-    /// Long generations that may wait, yield and be moved by exact resume.
+    /// Long generations that may wait, be preempted and be moved to another engine by exact resume.
     PatientDraft,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A class name that is not known.
+/// An unknown class name.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnknownClass(pub String);
 
--- a/crates/masticsill_types/src/clock.rs
+++ b/crates/masticsill_types/src/clock.rs
@@ -1,4 +1,4 @@
-//! The project's one clock type, in milliseconds.
+//! Monotonic and wall clocks, in milliseconds.
 
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
@@ -8,20 +8,20 @@
 
 /// A point on a process's monotonic clock, in milliseconds since that clock's origin.
 ///
-/// Two processes never compare their points: only ages (differences) travel.
+/// Points of different processes are not comparable: only ages (differences) are sent.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct ClockMs(pub u64);
 
 impl ClockMs {
-    /// Milliseconds from `earlier` to this point, zero when `earlier` lies ahead.
+    /// Milliseconds from `earlier` to this point; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The point `age_ms` before this one, or the origin.
+    /// The point `age_ms` milliseconds before this one, but not before the clock's origin.
     #[must_use]
     pub fn before(self, age_ms: u64) -> Self {
         Self(self.0.saturating_sub(age_ms))
@@ -50,17 +50,17 @@
     }
 }
 
-/// Reads the machine's boot clock, which goes on while the machine is suspended.
+/// A clock that reads `CLOCK_BOOTTIME`, which advances while the machine is suspended.
 ///
-/// The steady clock stands still in that time: a leader that wakes would take its lease for
-/// valid, and an entry its proof. Copies share one origin.
+/// `CLOCK_MONOTONIC` does not, so after a resume a leader would still consider its lease valid, and
+/// an entry its proof of freshness. Copies of a clock share one origin.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     origin_ms: u64,
 }
 
 impl MonotonicClock {
-    /// A clock whose origin is now.
+    /// Creates a clock whose origin is the current time.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The current point.
+    /// The current time, relative to the clock's origin.
     #[must_use]
     pub fn now(&self) -> ClockMs {
         ClockMs(boot_ms().saturating_sub(self.origin_ms))
@@ -82,10 +82,10 @@
     seconds_ms + u64::try_from(time.tv_nsec).unwrap_or_default() / 1_000_000
 }
 
-/// The wall clock in milliseconds since 1970, zero before then.
+/// The wall-clock time in milliseconds since 1970; zero if the clock is set earlier.
 ///
-/// For records that people read, and for numbers that must be higher after a restart; it may
-/// jump, so ages and leases never come from it.
+/// Used for records that people read, and for numbers that must increase across restarts. The wall
+/// clock may jump, so ages and leases are never computed from it.
 #[must_use]
 pub fn wall_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/masticsill_types/src/endpoint.rs
+++ b/crates/masticsill_types/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What an endpoint is and how loaded it says it is.
+//! Types that describe an endpoint and its reported load.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,27 +7,27 @@
 /// The exact model that a generation is pinned to.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ModelTarget {
-    /// Adapter on top of the model, if any.
+    /// Adapter loaded on top of the model, if any.
     pub adapter: Option<AdapterId>,
     /// The model.
     pub model: ModelId,
-    /// Its version.
+    /// Version of the model.
     pub version: VersionId,
 }
 
-/// What stands behind an agent.
+/// The kind of endpoint that an agent serves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndpointKind {
-    /// A model engine that batches continuously.
+    /// A model engine with continuous batching.
     Engine {
-        /// Models, versions and adapters that are loaded now.
+        /// Currently loaded models, versions and adapters.
         loaded: Vec<ModelTarget>,
-        /// Generations that the engine decodes at the same time.
+        /// Maximum number of generations that the engine decodes concurrently.
         slots: u32,
-        /// Whether the engine itself refuses orders with an old fencing number.
+        /// Whether the engine itself refuses orders with a stale fencing number.
         is_checking_fencing: bool,
     },
-    /// A plain service, called by whole request and whole reply.
+    /// A plain service, called with complete requests and complete responses.
     PlainService {
         /// The service's name, as catalogue entries refer to it.
         service: ModelId,
@@ -37,13 +37,13 @@
 /// An endpoint as its agent announces it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointProfile {
-    /// What stands behind the agent.
+    /// Kind of endpoint.
     pub kind: EndpointKind,
-    /// Whether the endpoint is leaving: it finishes what it has and takes nothing new.
+    /// Whether the endpoint is leaving: it finishes its requests and accepts no new ones.
     pub is_leaving: bool,
 }
 
-/// An engine's load as it reports it, late by its own lag.
+/// An engine's load as it reports it, delayed by its reporting lag.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
     /// Generations being decoded.
--- a/crates/masticsill_types/src/event.rs
+++ b/crates/masticsill_types/src/event.rs
@@ -6,17 +6,17 @@
 
 use std::fmt;
 
-/// A kind of log line, with a number that never changes meaning.
+/// A kind of log line, with a stable number.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Event {
-    /// The number that operators search for.
+    /// Number that operators search for; it is never reused for another event.
     pub number: u16,
     /// A short name in snake case.
     pub name: &'static str,
 }
 
 impl Event {
-    /// Declares an event.
+    /// Creates an event; `name` is in snake case.
     #[must_use]
     pub const fn new(number: u16, name: &'static str) -> Self {
         Self { number, name }
--- a/crates/masticsill_types/src/generation.rs
+++ b/crates/masticsill_types/src/generation.rs
@@ -1,4 +1,4 @@
-//! Shapes that describe a generation and its progress.
+//! Types that describe a generation and its progress.
 
 use std::fmt;
 
@@ -11,26 +11,26 @@
 /// Sampling settings that every attempt of a generation shares.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sampling {
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Seed of the sampler, fixed by the entry when the caller gives none.
     pub seed: u64,
-    /// Temperature in thousandths.
+    /// Sampling temperature, in thousandths.
     pub temperature_milli: u32,
-    /// Nucleus threshold in thousandths.
+    /// Nucleus sampling threshold, in thousandths.
     pub top_p_milli: u32,
 }
 
-/// All that a second engine needs to continue a generation exactly.
+/// Everything another engine needs to continue a generation exactly.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GenerationSpec {
     /// The catalogue entry that the caller named.
     pub catalogue_entry: EntryId,
-    /// Its class at admission.
+    /// Class of the catalogue entry at admission.
     pub class: Class,
     /// The request's identity.
     pub id: GenerationId,
-    /// The prompt, already in the engine's form.
+    /// The prompt, in the form that the engine accepts.
     pub prompt: String,
     /// Sampling settings.
     pub sampling: Sampling,
@@ -43,13 +43,13 @@
 /// One generated token.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Token {
-    /// The token's number in the model's vocabulary.
+    /// Id of the token in the model's vocabulary.
     pub id: u32,
-    /// Its bytes, which may end inside a UTF-8 character.
+    /// Bytes of the token, which may end inside a UTF-8 character.
     pub bytes: Vec<u8>,
 }
 
-/// Why an engine ended an answer.
+/// The reason why an engine finished an answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
@@ -60,7 +60,7 @@
 }
 
 impl FinishReason {
-    /// The name in completion bodies.
+    /// The name used in completion bodies.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -70,41 +70,41 @@
     }
 }
 
-/// Why an attempt ended without finishing the answer.
+/// The reason why an attempt ended without finishing the answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptFailure {
     /// The connection to the engine was closed or refused.
     EngineLost,
-    /// The engine stayed silent far longer than its own recent gaps.
+    /// The engine sent nothing for far longer than its recent gaps between tokens.
     EngineFrozen,
     /// The engine refused the request.
     EngineRefused,
     /// The engine does not have the pinned version loaded.
     VersionMissing,
-    /// The agent is leaving and hands the generation back.
+    /// The agent is leaving and returns the generation to its owner.
     Leaving,
-    /// The owner cancelled it, or nobody pulled it for too long.
+    /// The owner cancelled the generation, or no entry pulled it for too long.
     Cancelled,
 }
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum AttemptState {
     /// Running or waiting for a slot.
     Running,
-    /// The engine ended the answer.
+    /// The engine finished the answer.
     Finished(FinishReason),
-    /// The attempt ended early; another may continue from the accepted tokens.
+    /// The attempt failed; another may continue from the accepted tokens.
     Failed(AttemptFailure),
 }
 
 /// The owner epoch and attempt under which a token was delivered.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Lineage {
-    /// The ownership epoch.
+    /// Epoch of the owner.
     pub epoch: OwnerEpoch,
-    /// The attempt within the generation.
+    /// Attempt at the generation.
     pub attempt: Attempt,
 }
 
@@ -143,15 +143,15 @@
     }
 }
 
-/// A stretch of an answer that was produced under one lineage.
+/// A contiguous range of an answer's tokens that was produced under one lineage.
 ///
-/// A record's segments, in order, are its history. An answer may be continued from a record only
-/// where the lineage and index that the caller saw lie on that history; any other record belongs
-/// to another branch, and joining the two would mix generations.
+/// The segments of a record, in order, are its history. An answer may be continued from a record
+/// only if that history contains the lineage and index that the caller received last. Any other
+/// record belongs to a different branch, and combining the two would mix generations.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Segment {
-    /// Index of the stretch's first token; it ends where the next segment begins.
+    /// Index of the segment's first token; the segment ends where the next one begins.
     pub first_index: TokenIndex,
-    /// The lineage.
+    /// Lineage under which the tokens were produced.
     pub lineage: Lineage,
 }
--- a/crates/masticsill_types/src/id.rs
+++ b/crates/masticsill_types/src/id.rs
@@ -1,4 +1,4 @@
-//! Newtypes for every identifier.
+//! Newtypes of all identifiers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 const MAX_NAME_BYTES: usize = 128;
 
-/// An identifier that is empty, too long or holds a character outside the allowed set.
+/// The error for an identifier that is empty, too long or contains a disallowed character.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IdError {
     kind: &'static str,
@@ -40,11 +40,12 @@
         pub struct $name(String);
 
         impl $name {
-            /// Checks and wraps a name.
+            /// Validates and wraps a name.
             ///
             /// # Errors
             ///
-            /// [`IdError`] when the name is empty, too long or holds a character outside the set.
+            /// [`IdError`] when the name is empty, is longer than 128 bytes or contains a character
+            /// other than ASCII letters, digits, `-`, `_`, `.`, `:` and `/`.
             pub fn new(text: impl Into<String>) -> Result<Self, IdError> {
                 let text = text.into();
                 if is_valid_name(&text) {
@@ -141,12 +142,12 @@
     "catalogue entry id"
 );
 name_id!(
-    /// A model that engines load.
+    /// A model that engines load, or the name of a plain service.
     ModelId,
     "model"
 );
 name_id!(
-    /// A version of a model. Tokens of two versions are never joined.
+    /// A version of a model. Tokens of different versions are never combined in one answer.
     VersionId,
     "model version"
 );
@@ -156,7 +157,7 @@
     "adapter"
 );
 name_id!(
-    /// An operator's change, named once by the client so that it can be sent again.
+    /// An operator's change; the client generates the id once so that it can retry the change.
     ChangeId,
     "change id"
 );
@@ -166,24 +167,25 @@
     "operator"
 );
 number_id!(
-    /// Position of a token in an answer, from zero.
+    /// Zero-based position of a token in an answer.
     TokenIndex,
     u32
 );
 number_id!(
-    /// One try of a generation on one endpoint; higher attempts replace lower ones.
+    /// An attempt at a generation on one endpoint; a higher attempt supersedes lower ones.
     Attempt,
     u32
 );
 number_id!(
-    /// Ownership of a generation by an entry: a counter above, the owner's random nonce below.
+    /// The epoch of an entry's ownership of a generation.
     ///
-    /// Higher epochs fence lower ones, and no two owners ever share one.
+    /// The upper 32 bits are a counter and the lower 32 bits are the owner's random nonce, so that
+    /// no two owners share an epoch. Higher epochs fence lower ones.
     OwnerEpoch,
     u64
 );
 number_id!(
-    /// One life of a node: a restarted node announces itself under a higher one.
+    /// The incarnation of a node; a restarted node announces itself with a higher one.
     Incarnation,
     u64
 );
@@ -193,13 +195,13 @@
     u64
 );
 number_id!(
-    /// The count of accepted catalogue changes that a catalogue contains.
+    /// The number of accepted changes that a catalogue contains.
     CatalogueVersion,
     u64
 );
 
 impl OwnerEpoch {
-    /// The epoch of the owner that follows this one.
+    /// The epoch of the next owner, whose random nonce is `nonce`.
     #[must_use]
     pub fn succeeded_by(self, nonce: u32) -> Self {
         let counter = (self.0 >> u32::BITS) + 1;
@@ -209,8 +211,9 @@
 
 /// The identity of a generation or of a plain call.
 ///
-/// A generation's upper half is the hash of its workspace and request key, its lower half is
-/// random: running a request afresh gives another id. A plain call's id is the whole hash.
+/// The upper half of a generation's id is the hash of its workspace and request key. The lower half
+/// is random, so that a request that is run anew gets another id. The id of a plain call is the
+/// whole hash.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct GenerationId(pub u128);
 
@@ -226,13 +229,13 @@
     }
 }
 
-/// Orders carry this number; an engine that checks refuses a lower one than it has seen.
+/// The fencing number of an order; an engine that checks it refuses a lower one than it has seen.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct FencingNumber {
     /// The term of the control leader that gave the order.
     pub term: Term,
-    /// The order's place within that term.
+    /// Sequence number of the order within that term.
     pub sequence: u64,
 }
--- a/crates/masticsill_types/src/outcome.rs
+++ b/crates/masticsill_types/src/outcome.rs
@@ -1,52 +1,53 @@
-//! How a request ends.
+//! Outcomes and refusals of requests.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The three ends of a request that may not run twice.
+/// The outcome of a request that must not run twice.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The back end answered and the caller has the whole answer.
+    /// The back end answered and the caller received the whole answer.
     Answered,
-    /// The work did not happen and never will under this request.
+    /// The work was not run and never will be for this request.
     NotRun,
-    /// The work was handed to a back end that did not answer: it may have happened.
+    /// The work was sent to a back end that did not answer; it may have been run.
     OutcomeUnknown,
 }
 
-/// Why a request was refused.
+/// The reason why a request was refused.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The request itself is wrong.
+    /// The request is invalid.
     InvalidRequest,
-    /// No catalogue entry of that name.
+    /// No catalogue entry has the requested name.
     UnknownModel,
-    /// The request key was used with other content.
+    /// The request key was already used with different content.
     KeyReused,
-    /// The key is older than the key window.
+    /// The request key is older than the key window.
     KeyExpired,
-    /// Another entry or request holds the generation now.
+    /// Another entry or request now owns the generation.
     Superseded,
-    /// The entry's limit is used up.
+    /// The limit of concurrent requests is reached.
     LimitReached,
     /// The queue is full, or the deadline can't be met.
     Overloaded,
-    /// No endpoint serves the catalogue entry now.
+    /// No endpoint currently serves the catalogue entry.
     NoEndpoint,
     /// This node can't prove that its catalogue is current.
     CatalogueStale,
     /// The process is shutting down.
     ShuttingDown,
-    /// What was delivered can't be continued exactly; the part delivered is void.
+    /// The delivered part of the answer can't be continued exactly and must be discarded.
     RecordLost,
-    /// The pinned version is gone after delivery began; the part delivered is void.
+    /// The pinned version became unavailable after delivery began; the delivered part must be
+    /// discarded.
     VersionGone,
-    /// The back end failed or answered nothing usable.
+    /// The back end failed or returned an unusable answer.
     BackEndFailed,
-    /// A call that may not be repeated was started and its end is not known.
+    /// A call that must not be repeated was started and its outcome is unknown.
     OutcomeUnknown,
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What the caller can do about it.
+    /// The action recommended to the caller.
     #[must_use]
     pub fn remedy(self) -> &'static str {
         match self {
@@ -99,28 +100,28 @@
     }
 }
 
-/// A final answer other than the one asked for.
+/// A refusal: the final reply to a request that gets no usable answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// What is known about the work.
+    /// Whether the work was run, as far as is known.
     pub outcome: RefusedOutcome,
-    /// Why.
+    /// Reason for the refusal.
     pub kind: RefusalKind,
-    /// Detail for a person.
+    /// Human-readable detail.
     pub detail: String,
-    /// When to come back, in milliseconds, if coming back helps.
+    /// Delay before a retry, in milliseconds, if a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
-/// What a refusal says of the work.
+/// The outcome of refused work.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusedOutcome {
-    /// The work began and ended without a usable answer.
+    /// The work was started and ended without a usable answer.
     Failed,
-    /// The work did not happen.
+    /// The work was not run.
     NotRun,
-    /// It can't be known whether the work happened.
+    /// Whether the work was run is unknown.
     OutcomeUnknown,
 }
 
@@ -137,26 +138,26 @@
 }
 
 impl Refusal {
-    /// A refusal of work that did not happen.
+    /// Creates a refusal of work that was not run.
     #[must_use]
     pub fn not_run(kind: RefusalKind, detail: impl Into<String>) -> Self {
         Self::new(RefusedOutcome::NotRun, kind, detail)
     }
 
-    /// A refusal of work that began and failed.
+    /// Creates a refusal of work that was started and failed.
     #[must_use]
     pub fn failed(kind: RefusalKind, detail: impl Into<String>) -> Self {
         Self::new(RefusedOutcome::Failed, kind, detail)
     }
 
-    /// A refusal of work whose end is not known.
+    /// Creates a refusal of work whose outcome is unknown.
     #[must_use]
     pub fn outcome_unknown(detail: impl Into<String>) -> Self {
         let kind = RefusalKind::OutcomeUnknown;
         Self::new(RefusedOutcome::OutcomeUnknown, kind, detail)
     }
 
-    /// The same refusal with a time to come back.
+    /// Sets the delay before a retry, in milliseconds.
     #[must_use]
     pub fn retry_after(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
