--- a/crates/masticsill_types/src/outcome.rs
+++ b/crates/masticsill_types/src/outcome.rs
@@ -30,7 +30,7 @@
     KeyExpired,
     /// Another entry or request now owns the generation.
     Superseded,
-    /// The limit of concurrent requests is reached.
+    /// A limit of the catalogue entry is exhausted.
     LimitReached,
     /// The queue is full, or the deadline can't be met.
     Overloaded,
--- a/crates/masticsill_wire/src/agent.rs
+++ b/crates/masticsill_wire/src/agent.rs
@@ -232,7 +232,7 @@
     EngineFenced,
     /// The engine refused the order for another reason, or the agent has no engine.
     EngineRefused,
-    /// The engine does not respond.
+    /// The engine is frozen or lost, or refused the connection; nothing was sent.
     EngineUnavailable,
     /// Generations run on the target that is to be unloaded.
     InUse,
--- a/crates/masticsill_wire/src/control.rs
+++ b/crates/masticsill_wire/src/control.rs
@@ -291,7 +291,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaStanding {
-    /// Replicates the log and does not vote yet.
+    /// Catches up with the log and does not vote yet.
     Learner,
     /// Votes until its pending removal.
     Leaving,
