--- a/crates/masticsill_wire/src/agent.rs
+++ b/crates/masticsill_wire/src/agent.rs
@@ -232,7 +232,7 @@
     EngineFenced,
     /// The engine refused the order for another reason, or the agent has no engine.
     EngineRefused,
-    /// The engine is frozen or lost, or refused the connection; nothing was sent.
+    /// The engine is frozen or lost, or no connection could be made; nothing was sent.
     EngineUnavailable,
     /// Generations run on the target that is to be unloaded.
     InUse,
