--- a/crates/masticsill_bench/examples/dispatch_cost.rs
+++ b/crates/masticsill_bench/examples/dispatch_cost.rs
@@ -6,7 +6,7 @@
 
 use masticsill_bench::Table;
 use masticsill_dispatch::{
-    Dispatcher, EndpointTable, Need, Surroundings, Terms, Turns, Work, ZoneShare,
+    DispatchContext, Dispatcher, EndpointTable, EntryPosition, Requirements, Terms, Work, ZoneShare,
 };
 use masticsill_registry::{Announcement, EndpointId, EndpointRecord, EndpointState};
 use masticsill_types::{ClockMs, NodeId, ZoneId};
@@ -23,7 +23,7 @@
             announcement: Announcement {
                 address: ([10, 0, 0, u8::try_from(engine)?], 8_000).into(),
                 cold_left_ms: 0,
-                id: EndpointId::unnamed_life(format!("i-{engine:010x}")),
+                id: EndpointId::with_unknown_incarnation(format!("i-{engine:010x}")),
                 keeps_prompts: true,
                 sequence: 1,
                 service: "engines".to_owned(),
@@ -48,35 +48,35 @@
 fn main() -> eyre::Result<()> {
     let node = NodeId::new("entry")?;
     let zone = ZoneId::new("a")?;
-    let around = Surroundings {
+    let around = DispatchContext {
         closed: &[],
-        turns: Turns {
+        entry: EntryPosition {
             entries: 32,
             node: &node,
             share: ZoneShare {
                 entries: 11,
-                place: 3,
+                rank: 3,
             },
             zone: &zone,
         },
     };
-    let need = Need {
+    let need = Requirements {
         excluded: Vec::new(),
-        kept: Vec::new(),
-        place: None,
+        cached: Vec::new(),
+        reserved_endpoint: None,
         service: "engines".to_owned(),
         work: Work::Stream {
-            memory_tokens: Some(88_000),
+            kv_cache_tokens: Some(88_000),
             prompt_tokens: 8_000,
             tokens: 8_650,
         },
     };
     let terms = Terms {
-        aim_ms: 4_500,
-        aim_at: NOW + 4_500,
+        target_latency_ms: 4_500,
+        answer_due_at: NOW + 4_500,
         caller_leaves_at: NOW + 25_000,
         deadline_at: NOW + 25_000,
-        has_come_back: false,
+        is_returning: false,
         is_resume: false,
         workspace: Some("w".to_owned()),
     };
@@ -88,7 +88,14 @@
             let mut dispatcher = Dispatcher::default();
             let began = Instant::now();
             for _ in 0..DECISIONS {
-                std::hint::black_box(dispatcher.ask(NOW, &table, &need, &terms, &around, || 0.5));
+                std::hint::black_box(dispatcher.submit(
+                    NOW,
+                    &table,
+                    &need,
+                    &terms,
+                    &around,
+                    || 0.5,
+                ));
             }
             let spent_us = began.elapsed().as_secs_f64() * 1e6 / f64::from(DECISIONS);
             row.push(format!("{spent_us:.1}"));
--- a/crates/masticsill_bench/src/overload/play.rs
+++ b/crates/masticsill_bench/src/overload/play.rs
@@ -1,8 +1,10 @@
 //! One overload, from its first request to the last answer.
 
 use indexmap::IndexMap;
-use masticsill_dispatch::{Decision, Ended, Need, Overload, Wanted, Work, choose};
-use masticsill_registry::{EndpointId, EndpointLoad, PlaceRequest, WatcherBook};
+use masticsill_dispatch::{
+    Decision, Overload, PlacementRequest, Requirements, WaitOutcome, Work, choose,
+};
+use masticsill_registry::{EndpointId, EndpointLoad, EngineReservationRequest, WatcherTable};
 use masticsill_types::{ClockMs, ZoneId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,7 +50,7 @@
 struct World {
     arrivals: Vec<Arrival>,
     /// What the replica of each zone knows, in the order of the zones.
-    books: Vec<WatcherBook>,
+    books: Vec<WatcherTable>,
     engine_ids: Vec<EndpointId>,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
@@ -84,7 +86,7 @@
         let random = ChaCha8Rng::seed_from_u64(plan.seed);
         let mut world = Self {
             arrivals: Vec::new(),
-            books: vec![WatcherBook::default(); ZONES.len()],
+            books: vec![WatcherTable::default(); ZONES.len()],
             engine_ids: (0..plan.engines).map(endpoint_id).collect(),
             engines: vec![Engine::default(); plan.engines],
             entries: Vec::new(),
@@ -148,7 +150,7 @@
                     .filter(|load| zone_place(&load.id, &self.engine_ids) == Some(zone))
                     .cloned()
                     .collect();
-                book.note(now, &watcher, 0, &loads);
+                book.record_poll(now, &watcher, 0, &loads);
             }
             self.heard[entry] = loads;
         }
@@ -160,7 +162,9 @@
             let loads = self.loads_of_others(listener);
             for zone in ZONES {
                 let zone = ZoneId::new(zone).expect("the name holds letters only");
-                self.entries[listener].table.take_loads(now, &zone, &loads);
+                self.entries[listener]
+                    .table
+                    .update_loads(now, &zone, &loads);
             }
         }
     }
@@ -247,7 +251,7 @@
             }
             endpoint.in_flight -= 1;
             endpoint.held_tokens -= tokens;
-            endpoint.note_left(now);
+            endpoint.record_release(now);
         }
         self.tell(live.entry);
     }
@@ -276,7 +280,7 @@
         let now = self.now;
         let near = entry % ZONES.len();
         let far = (near + self.random.random_range(1..ZONES.len())) % ZONES.len();
-        let request = PlaceRequest {
+        let request = EngineReservationRequest {
             avoided: Vec::new(),
             service: SERVICE.to_owned(),
             watcher: self.entries[entry].watcher(),
@@ -284,23 +288,23 @@
         for zone in [near, far] {
             let engines = self.engine_ids.iter().skip(zone).step_by(ZONES.len());
             let engines: Vec<&EndpointId> = engines.collect();
-            let place = self.books[zone].hand_out_place(now, &request, &engines);
+            let place = self.books[zone].reserve_engine(now, &request, &engines);
             if let Some(load) = place {
-                self.entries[entry].table.take_place(now, &load);
+                self.entries[entry].table.update_load(now, &load);
                 return Some(load.id);
             }
         }
         None
     }
 
-    fn need_of(&self, live: &Live, place: Option<EndpointId>) -> Need {
-        Need {
+    fn need_of(&self, live: &Live, place: Option<EndpointId>) -> Requirements {
+        Requirements {
             excluded: Vec::new(),
-            kept: Vec::new(),
-            place,
+            cached: Vec::new(),
+            reserved_endpoint: place,
             service: SERVICE.to_owned(),
             work: Work::Stream {
-                memory_tokens: Some(self.plan.engine.memory_tokens),
+                kv_cache_tokens: Some(self.plan.engine.memory_tokens),
                 prompt_tokens: live.prompt_tokens,
                 tokens: live.prompt_tokens + OUTPUT_TOKENS,
             },
@@ -318,7 +322,7 @@
         let entry = &mut self.entries[live.entry];
         let decision = entry.ask(now, &need, &terms, &mut self.random);
         match decision {
-            Decision::Nobody => {}
+            Decision::NoEndpoint => {}
             Decision::Refuse(overload) => self.refuse(request, now, overload.retry_after_ms),
             Decision::Send(choice) => self.send(request, &choice.id),
             Decision::Wait(ticket) => {
@@ -336,13 +340,13 @@
         }
     }
 
-    fn end_wait(&mut self, entry: usize, ended: &Ended) {
-        let (Ended::Refuse(ticket, _) | Ended::Send(ticket, _)) = ended;
+    fn end_wait(&mut self, entry: usize, ended: &WaitOutcome) {
+        let (WaitOutcome::Refuse(ticket, _) | WaitOutcome::Send(ticket, _)) = ended;
         let Some(request) = self.entries[entry].waiting.swap_remove(ticket) else {
             return;
         };
         match ended {
-            Ended::Refuse(_, Overload { retry_after_ms, .. }) => {
+            WaitOutcome::Refuse(_, Overload { retry_after_ms, .. }) => {
                 let asked_at = self.records[request].asked_at;
                 let came_at = if self.live[&request].attempts == 1 {
                     asked_at
@@ -351,7 +355,7 @@
                 };
                 self.refuse(request, came_at, *retry_after_ms);
             }
-            Ended::Send(_, choice) => self.send(request, &choice.id),
+            WaitOutcome::Send(_, choice) => self.send(request, &choice.id),
         }
     }
 
@@ -375,12 +379,12 @@
         let now = self.now;
         let entry = &self.entries[self.live[&request].entry];
         let random = &mut self.random;
-        let wanted = Wanted {
+        let wanted = PlacementRequest {
             closed: &[],
             excluded: &[],
-            kept: &[],
+            cached: &[],
             not_in_zone: None,
-            place: None,
+            reserved_endpoint: None,
             service: SERVICE,
             share: entry.share,
             zone: &entry.zone,
--- a/crates/masticsill_catalogue/src/catalogue.rs
+++ b/crates/masticsill_catalogue/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue: every entry in force, and what changed since a version.
+//! The catalogue of all entries in force, and the updates that bring a copy up to date.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,68 +8,72 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::CatalogueEntry;
-use crate::update::{Applied, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
+use crate::update::{ApplyOutcome, CatalogueDelta, CatalogueSnapshot, CatalogueUpdate};
 
-/// Deletions remembered for deltas; an older copy is sent a snapshot.
+/// Maximum number of deletions kept for deltas; a copy that lacks an older deletion gets a
+/// snapshot.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// An entry and the catalogue version that last changed it.
+/// An entry and the catalogue version in which it last changed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionedEntry {
     /// The entry.
     pub entry: CatalogueEntry,
-    /// The version that last changed it.
+    /// The catalogue version in which the entry last changed.
     pub version: CatalogueVersion,
 }
 
-/// A deletion and its version.
+/// Records the deletion of an entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tombstone {
-    /// The entry deleted.
+    /// The entry that was deleted.
     pub id: EntryId,
-    /// The version that deleted it.
+    /// The catalogue version in which it was deleted.
     pub version: CatalogueVersion,
 }
 
-/// Every entry in force under one version.
+/// All entries in force at one version.
 ///
-/// The version counts accepted changes, so it and every entry's version only go up.
+/// The version counts accepted changes, so neither it nor the version of an entry ever decreases.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Catalogue {
-    /// Shared, so that copying a catalogue copies no entry.
+    /// In `Arc`s, so that cloning a catalogue clones no entry.
     entries: IndexMap<EntryId, Arc<VersionedEntry>>,
     /// Deletions after `tombstones_since`, oldest first.
     tombstones: VecDeque<Tombstone>,
+    /// Deletions up to and including this version may be missing from `tombstones`.
     tombstones_since: CatalogueVersion,
     version: CatalogueVersion,
 }
 
 impl Catalogue {
-    /// The overall version.
+    /// The catalogue's version.
     #[must_use]
     pub fn version(&self) -> CatalogueVersion {
         self.version
     }
 
-    /// An entry in force.
+    /// An entry in force, by its id.
     #[must_use]
     pub fn get(&self, id: &EntryId) -> Option<&VersionedEntry> {
         self.entries.get(id).map(Arc::as_ref)
     }
 
-    /// The version that last changed an entry in force; zero when there is none.
+    /// The version in which an entry last changed; zero if there is no such entry.
     #[must_use]
     pub fn entry_version(&self, id: &EntryId) -> CatalogueVersion {
-        self.get(id).map(|held| held.version).unwrap_or_default()
+        self.get(id)
+            .map(|versioned| versioned.version)
+            .unwrap_or_default()
     }
 
-    /// Every entry in force, in no order that has a meaning.
+    /// All entries in force, in an unspecified order.
     #[must_use]
     pub fn entries(&self) -> impl ExactSizeIterator<Item = &VersionedEntry> {
         self.entries.values().map(Arc::as_ref)
     }
 
-    /// Entries in force.
+    /// Number of entries in force.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -81,39 +85,40 @@
         self.entries.is_empty()
     }
 
-    /// Puts an entry in force under the next version.
+    /// Creates or replaces an entry and increments the version.
     pub(crate) fn put(&mut self, entry: CatalogueEntry) -> CatalogueVersion {
         self.version = self.version.next();
-        self.hold(VersionedEntry {
+        self.insert_entry(VersionedEntry {
             entry,
             version: self.version,
         });
         self.version
     }
 
-    /// Takes an entry out of force under the next version.
+    /// Deletes an entry and increments the version.
     pub(crate) fn delete(&mut self, id: &EntryId) -> CatalogueVersion {
         self.version = self.version.next();
-        self.bury(Tombstone {
+        self.remove_entry(Tombstone {
             id: id.clone(),
             version: self.version,
         });
         self.version
     }
 
-    /// What a copy at version `have` lacks, as the smaller of delta and snapshot.
+    /// The update that brings a copy at version `copy_version` to this catalogue's version, as the
+    /// smaller of delta and snapshot.
     ///
-    /// `None` when the copy lacks nothing that this catalogue knows.
+    /// `None` if the copy's version is not lower than this catalogue's.
     #[must_use]
-    pub fn update_since(&self, have: CatalogueVersion) -> Option<CatalogueUpdate> {
-        if have >= self.version {
+    pub fn update_since(&self, copy_version: CatalogueVersion) -> Option<CatalogueUpdate> {
+        if copy_version >= self.version {
             return None;
         }
         let snapshot = || CatalogueUpdate::Snapshot(self.snapshot());
-        if have < self.tombstones_since {
+        if copy_version < self.tombstones_since {
             return Some(snapshot());
         }
-        let delta = self.delta_since(have);
+        let delta = self.delta_since(copy_version);
         let is_delta_smaller = delta.puts.len() + delta.deletes.len() < self.entries.len();
         let is_delta = is_delta_smaller || delta.deletes.is_empty();
         Some(if is_delta {
@@ -123,7 +128,7 @@
         })
     }
 
-    /// The whole catalogue as an update.
+    /// A snapshot of the whole catalogue.
     #[must_use]
     pub fn snapshot(&self) -> CatalogueSnapshot {
         CatalogueSnapshot {
@@ -132,61 +137,67 @@
         }
     }
 
-    fn delta_since(&self, have: CatalogueVersion) -> CatalogueDelta {
-        let is_new = |held: &&VersionedEntry| held.version > have;
-        let deletes = self.tombstones.iter().filter(|grave| grave.version > have);
+    fn delta_since(&self, copy_version: CatalogueVersion) -> CatalogueDelta {
+        let is_new = |versioned: &&VersionedEntry| versioned.version > copy_version;
+        let deletes = self
+            .tombstones
+            .iter()
+            .filter(|tombstone| tombstone.version > copy_version);
         CatalogueDelta {
             deletes: deletes.cloned().collect(),
             puts: self.entries().filter(is_new).cloned().collect(),
-            since: have,
+            since: copy_version,
             version: self.version,
         }
     }
 
-    /// Brings a copy up to an update. The version never goes down.
-    pub fn apply(&mut self, update: CatalogueUpdate) -> Applied {
+    /// Applies an update to this copy; the copy's version never decreases.
+    pub fn apply(&mut self, update: CatalogueUpdate) -> ApplyOutcome {
         if update.version() <= self.version {
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         }
         match update {
-            CatalogueUpdate::Snapshot(snapshot) => self.replace(snapshot),
-            CatalogueUpdate::Delta(delta) if delta.since > self.version => return Applied::Gap,
-            CatalogueUpdate::Delta(delta) => self.merge(delta),
+            CatalogueUpdate::Snapshot(snapshot) => self.apply_snapshot(snapshot),
+            CatalogueUpdate::Delta(delta) if delta.since > self.version => {
+                return ApplyOutcome::Gap;
+            }
+            CatalogueUpdate::Delta(delta) => self.apply_delta(delta),
         }
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 
-    fn replace(&mut self, snapshot: CatalogueSnapshot) {
-        let by_id = |held: VersionedEntry| (held.entry.id.clone(), Arc::new(held));
+    fn apply_snapshot(&mut self, snapshot: CatalogueSnapshot) {
+        let by_id = |versioned: VersionedEntry| (versioned.entry.id.clone(), Arc::new(versioned));
         self.entries = snapshot.entries.into_iter().map(by_id).collect();
         self.tombstones.clear();
         self.tombstones_since = snapshot.version;
         self.version = snapshot.version;
     }
 
-    /// Takes in the part of a delta that is newer than the copy.
-    fn merge(&mut self, delta: CatalogueDelta) {
-        let have = self.version;
-        for grave in delta.deletes {
-            if grave.version > have {
-                self.bury(grave);
+    /// Applies the part of a delta that is newer than this copy.
+    fn apply_delta(&mut self, delta: CatalogueDelta) {
+        let copy_version = self.version;
+        for tombstone in delta.deletes {
+            if tombstone.version > copy_version {
+                self.remove_entry(tombstone);
             }
         }
-        for held in delta.puts {
-            if held.version > have {
-                self.hold(held);
+        for versioned in delta.puts {
+            if versioned.version > copy_version {
+                self.insert_entry(versioned);
             }
         }
         self.version = delta.version;
     }
 
-    fn hold(&mut self, held: VersionedEntry) {
-        self.entries.insert(held.entry.id.clone(), Arc::new(held));
+    fn insert_entry(&mut self, versioned: VersionedEntry) {
+        self.entries
+            .insert(versioned.entry.id.clone(), Arc::new(versioned));
     }
 
-    fn bury(&mut self, grave: Tombstone) {
-        self.entries.swap_remove(&grave.id);
-        self.tombstones.push_back(grave);
+    fn remove_entry(&mut self, tombstone: Tombstone) {
+        self.entries.swap_remove(&tombstone.id);
+        self.tombstones.push_back(tombstone);
         if self.tombstones.len() > MAX_TOMBSTONES
             && let Some(oldest) = self.tombstones.pop_front()
         {
--- a/crates/masticsill_catalogue/src/document/sources.rs
+++ b/crates/masticsill_catalogue/src/document/sources.rs
@@ -1,102 +1,106 @@
-//! The replicas that a document can be fetched from, and which of them is asked.
+//! The replicas from which a document can be fetched, and the choice among them.
 
 use std::net::SocketAddr;
 
 use indexmap::{IndexMap, IndexSet};
 use masticsill_types::ClockMs;
 
-/// How long replicas of the own zone may lack a version before another zone's is asked: twice the
-/// time in which a replica usually applies what its leader has.
-const NEAR_PATIENCE_MS: u64 = 150;
+/// How long replicas in the requester's own zone may lack a version before a replica in another
+/// zone is asked: twice the time in which a replica usually applies what its leader has.
+const SAME_ZONE_WAIT_MS: u64 = 150;
 
-/// A replica that answered last time.
+/// A replica that answered the last request, and its answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DocumentSource {
-    /// Whether it is of the own zone: bytes between zones are dear.
-    pub is_near: bool,
-    /// The version applied there.
+    /// Whether the replica is in the requester's own zone; it is preferred, because traffic between
+    /// zones is expensive.
+    pub is_same_zone: bool,
+    /// The document version that the replica has applied, if any.
     pub version: Option<u64>,
 }
 
-/// What is known of a document's versions and the replicas that have them.
+/// The known versions of the document and the replicas that have them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DocumentSources {
-    /// The newest version, and when it was heard of first.
+    /// The newest version known, and when it was first reported.
     newest: Option<(u64, ClockMs)>,
     replicas: IndexMap<SocketAddr, DocumentSource>,
 }
 
 impl DocumentSources {
-    /// Notes a replica's answer.
-    pub fn note(&mut self, now: ClockMs, address: SocketAddr, source: DocumentSource) {
+    /// Records a replica's answer.
+    pub fn record_answer(&mut self, now: ClockMs, address: SocketAddr, source: DocumentSource) {
         self.replicas.insert(address, source);
         if let Some(version) = source.version.filter(|it| Some(*it) > self.newest()) {
             self.newest = Some((version, now));
         }
     }
 
-    /// Notes that a replica does not answer.
-    pub fn forget(&mut self, address: &SocketAddr) {
+    /// Removes a replica that does not answer. The newest version known stays.
+    pub fn remove(&mut self, address: &SocketAddr) {
         self.replicas.shift_remove(address);
     }
 
-    /// What a replica answered last time.
+    /// The last answer of a replica; `None` if it has never answered or was removed.
     #[must_use]
     pub fn get(&self, address: &SocketAddr) -> Option<DocumentSource> {
         self.replicas.get(address).copied()
     }
 
-    /// The newest version heard of.
+    /// The newest version that any replica has reported.
     #[must_use]
     pub fn newest(&self) -> Option<u64> {
         self.newest.map(|(version, _)| version)
     }
 
-    /// Whom to ask for what the newest version consists of. `turn` shares the work of equal
-    /// replicas among those who ask.
+    /// The replica to ask for the piece list of the newest version, except for those in
+    /// `excluded`. `turn` distributes requesters over equally suitable replicas.
+    ///
+    /// `None` if no replica has the version, or if it is still expected to reach the replicas in
+    /// the requester's own zone.
     #[must_use]
-    pub fn lister(
+    pub fn choose_list_source(
         &self,
         now: ClockMs,
         turn: usize,
-        passed_over: &IndexSet<SocketAddr>,
+        excluded: &IndexSet<SocketAddr>,
     ) -> Option<SocketAddr> {
         let (newest, since) = self.newest?;
-        let is_patient = now.since(since) < NEAR_PATIENCE_MS;
-        let has_near = self.replicas.values().any(|source| source.is_near);
-        let only_near = is_patient && has_near && passed_over.is_empty();
-        self.choose(turn, passed_over, |source| {
-            source.version >= Some(newest) && (source.is_near || !only_near)
+        let is_waiting_for_zone = now.since(since) < SAME_ZONE_WAIT_MS;
+        let has_same_zone = self.replicas.values().any(|source| source.is_same_zone);
+        let only_same_zone = is_waiting_for_zone && has_same_zone && excluded.is_empty();
+        self.choose(turn, excluded, |source| {
+            source.version >= Some(newest) && (source.is_same_zone || !only_same_zone)
         })
     }
 
-    /// Whom to ask for pieces of a version.
+    /// The replica to ask for pieces of a version, except for those in `excluded`.
     #[must_use]
-    pub fn holder(
+    pub fn choose_piece_source(
         &self,
         version: u64,
         turn: usize,
-        passed_over: &IndexSet<SocketAddr>,
+        excluded: &IndexSet<SocketAddr>,
     ) -> Option<SocketAddr> {
-        self.choose(turn, passed_over, |source| source.version >= Some(version))
+        self.choose(turn, excluded, |source| source.version >= Some(version))
     }
 
-    /// One of the replicas that fit, of the own zone if there is one.
+    /// One of the replicas that fit, preferably one in the requester's own zone.
     fn choose(
         &self,
         turn: usize,
-        passed_over: &IndexSet<SocketAddr>,
+        excluded: &IndexSet<SocketAddr>,
         fits: impl Fn(&DocumentSource) -> bool,
     ) -> Option<SocketAddr> {
-        let of_zone = |is_near: bool| {
+        let choose_in = |is_same_zone: bool| {
             let fitting = self.replicas.iter().filter(|(address, source)| {
-                source.is_near == is_near && fits(source) && !passed_over.contains(*address)
+                source.is_same_zone == is_same_zone && fits(source) && !excluded.contains(*address)
             });
             let mut fitting: Vec<SocketAddr> = fitting.map(|(address, _)| *address).collect();
             fitting.sort_unstable();
             let position = turn.checked_rem(fitting.len())?;
             fitting.get(position).copied()
         };
-        of_zone(true).or_else(|| of_zone(false))
+        choose_in(true).or_else(|| choose_in(false))
     }
 }
--- a/crates/masticsill_control/src/forwarder/service.rs
+++ b/crates/masticsill_control/src/forwarder/service.rs
@@ -1,4 +1,4 @@
-//! The service that a forwarder offers to other processes.
+//! The control service as implemented by a forwarder.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -8,9 +8,10 @@
 };
 use masticsill_control_client::{AddressBook, ControlClient};
 use masticsill_quarantine::RequestRecord;
-use masticsill_quorum::Reservations;
+use masticsill_quorum::FoundingReservation;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EngineReservationRequest, PromptPart,
+    Watcher,
 };
 use masticsill_types::{CatalogueVersion, MonotonicClock, NodeId, ZoneId};
 use masticsill_wire::control::{
@@ -21,21 +22,21 @@
 use tarpc::context::Context;
 
 use super::role::ForwarderConfig;
-use crate::rpc::{attempt_of, note_introduction};
+use crate::rpc::{attempt_of, record_introduction};
 
-/// Answers other processes. Each connection has a clone.
+/// Answers calls of other processes. Each connection has a clone.
 #[derive(Clone, Debug)]
 pub(super) struct ForwarderServer {
     pub(super) client: ControlClient,
     clock: MonotonicClock,
     node: NodeId,
-    reservations: Arc<Mutex<Reservations>>,
+    reservations: Arc<Mutex<FoundingReservation>>,
     zone: ZoneId,
 }
 
 impl ForwarderServer {
     pub(super) fn new(config: &ForwarderConfig, book: AddressBook, clock: MonotonicClock) -> Self {
-        let reservations = Reservations::new(clock.now());
+        let reservations = FoundingReservation::new(clock.now());
         Self {
             client: ControlClient::new(book),
             clock,
@@ -45,7 +46,7 @@
         }
     }
 
-    fn reservations(&self) -> MutexGuard<'_, Reservations> {
+    fn reservations(&self) -> MutexGuard<'_, FoundingReservation> {
         let reservations = self.reservations.lock();
         reservations.unwrap_or_else(PoisonError::into_inner)
     }
@@ -64,9 +65,9 @@
 
     async fn directory(self, _: Context, introduction: Option<Introduction>) -> Directory {
         if let Some(introduction) = introduction {
-            note_introduction(self.client.book(), &introduction);
+            record_introduction(self.client.book(), &introduction);
             if introduction.is_founded {
-                self.reservations().note_founded();
+                self.reservations().note_cluster_exists();
             }
         }
         Directory {
@@ -129,7 +130,7 @@
         ControlReply::NotLeader(None)
     }
 
-    /// Nothing is known here: who asks has not read the directory.
+    /// A forwarder has no registry; only callers that have not read the directory ask it.
     async fn watch(self, _: Context, _: WatchRequest) -> WatchReply {
         WatchReply {
             document_version: None,
@@ -152,11 +153,11 @@
 
     async fn tell_crashes(self, _: Context, _: Vec<RequestRecord>) {}
 
-    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<KeptTokens> {
+    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<CachedTokens> {
         Vec::new()
     }
 
-    async fn take_place(self, _: Context, _: PlaceRequest) -> Option<EndpointLoad> {
+    async fn take_place(self, _: Context, _: EngineReservationRequest) -> Option<EndpointLoad> {
         None
     }
 
--- a/crates/masticsill_dispatch/src/lib.rs
+++ b/crates/masticsill_dispatch/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which request goes to which endpoint now, which waits here, and which is refused.
+//! Decides which endpoint each request is sent to, which requests wait, and which are refused.
 //!
-//! All of it is pure: what is known of the endpoints and of the requests goes in with its time,
-//! decisions come out. There is no network and no clock here, and nothing is configured by
-//! deployment: what an endpoint can bear is learned from its answers.
+//! The crate is pure logic: callers pass in the current time and what is known of endpoints and
+//! requests, and get decisions back. There is no network access and no clock. Endpoint capacity is
+//! not configured per deployment; it is learned from the endpoints' answers.
 
 mod budget;
+mod capacity;
 mod concurrency_limit;
 mod dispatcher;
 mod endpoint;
@@ -12,23 +13,22 @@
 mod entries;
 mod estimate;
 mod health;
-mod lane;
-mod patience;
 mod placement;
+mod prior_wait;
 mod reading;
 mod refusal;
-mod room;
+mod service_queue;
 
 pub use budget::{BudgetSettings, RetryBudget};
+pub use capacity::{EntryPosition, has_memory_for_copy};
 pub use concurrency_limit::ConcurrencyLimit;
-pub use dispatcher::{Decision, Dispatcher, Ended, Surroundings};
+pub use dispatcher::{Decision, DispatchContext, Dispatcher, WaitOutcome};
 pub use endpoint::{Endpoint, OtherLoad};
 pub use endpoints::EndpointTable;
 pub use entries::EntryCount;
 pub use health::{Failure, Health};
-pub use lane::{Need, Terms, Ticket, Work};
-pub use patience::CallerPatience;
-pub use placement::{Choice, Wanted, ZoneShare, choose, choose_holder, suspect_zones};
+pub use placement::{Choice, PlacementRequest, ZoneShare, choose, choose_holder, suspect_zones};
+pub use prior_wait::PriorWaitEstimator;
 pub use reading::ReadingPace;
 pub use refusal::Overload;
-pub use room::{Turns, has_memory_for_copy};
+pub use service_queue::{Requirements, Terms, Ticket, Work};
--- a/crates/masticsill_dispatch/tests/overload_decisions.rs
+++ b/crates/masticsill_dispatch/tests/overload_decisions.rs
@@ -1,12 +1,12 @@
-//! Who is sent, who waits and who is refused when more is asked for than fits.
+//! Which requests are sent, queued and refused when demand exceeds the capacity of the endpoints.
 
 use assert_matches::assert_matches;
 use masticsill_dispatch::{
-    CallerPatience, Decision, Dispatcher, Ended, EndpointTable, Failure, Need, Surroundings, Terms,
-    Ticket, Turns, Work, ZoneShare,
+    Decision, DispatchContext, Dispatcher, EndpointTable, EntryPosition, Failure,
+    PriorWaitEstimator, Requirements, Terms, Ticket, WaitOutcome, Work, ZoneShare,
 };
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, EndpointRecord, EndpointState, KeptTokens,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EndpointRecord, EndpointState,
 };
 use masticsill_types::{ClockMs, NodeId, ZoneId};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
 const SERVICE: &str = "engines";
 
 fn id(name: &str) -> EndpointId {
-    EndpointId::unnamed_life(name)
+    EndpointId::with_unknown_incarnation(name)
 }
 
 fn zone() -> ZoneId {
@@ -45,14 +45,14 @@
     table
 }
 
-fn need() -> Need {
-    Need {
+fn requirements() -> Requirements {
+    Requirements {
         excluded: Vec::new(),
-        kept: Vec::new(),
-        place: None,
+        cached: Vec::new(),
+        reserved_endpoint: None,
         service: SERVICE.to_owned(),
         work: Work::Stream {
-            memory_tokens: Some(88_000),
+            kv_cache_tokens: Some(88_000),
             prompt_tokens: 8_000,
             tokens: 8_650,
         },
@@ -61,17 +61,17 @@
 
 fn terms(workspace: &str) -> Terms {
     Terms {
-        aim_ms: 4_500,
-        aim_at: NOW + 4_500,
+        target_latency_ms: 4_500,
+        answer_due_at: NOW + 4_500,
         caller_leaves_at: NOW + 25_000,
         deadline_at: NOW + 25_000,
-        has_come_back: false,
+        is_returning: false,
         is_resume: false,
         workspace: Some(workspace.to_owned()),
     }
 }
 
-/// Dispatcher and endpoints of an entry that is alone.
+/// Dispatcher and endpoints of a single entry.
 struct Entry {
     dispatcher: Dispatcher,
     node: NodeId,
@@ -89,13 +89,16 @@
         }
     }
 
-    /// An entry that has read a prompt in 1.2 s at each engine, and reads one at each now.
+    /// Creates an entry whose engines have each read a prompt in 1.2 s and are reading another one.
     fn busy(names: &[&str]) -> Self {
         let mut entry = Self::new(names);
         for name in names {
             let endpoint = entry.table.get_mut(&id(name)).unwrap();
             endpoint.reading_pace.note(8_000, 1_200);
-            assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Send(_));
+            assert_matches!(
+                entry.submit(NOW, &requirements(), &terms("w")),
+                Decision::Send(_)
+            );
             entry.begin(name);
         }
         entry
@@ -112,30 +115,30 @@
         self.table.get_mut(&id(name)).unwrap().end_reading(now);
     }
 
-    fn ask(&mut self, now: ClockMs, need: &Need, terms: &Terms) -> Decision {
-        let around = around(&self.node, &self.zone);
+    fn submit(&mut self, now: ClockMs, requirements: &Requirements, terms: &Terms) -> Decision {
+        let context = context(&self.node, &self.zone);
         self.dispatcher
-            .ask(now, &self.table, need, terms, &around, || 0.0)
+            .submit(now, &self.table, requirements, terms, &context, || 0.0)
     }
 
-    fn waits(&mut self, now: ClockMs, terms: &Terms) -> Ticket {
-        let decision = self.ask(now, &need(), terms);
+    fn submit_queued(&mut self, now: ClockMs, terms: &Terms) -> Ticket {
+        let decision = self.submit(now, &requirements(), terms);
         let Decision::Wait(ticket) = decision else {
             panic!("{decision:?}");
         };
         ticket
     }
 
-    fn next(&mut self, now: ClockMs) -> Option<Ended> {
-        let around = around(&self.node, &self.zone);
-        self.dispatcher.next(now, &self.table, &around, || 0.0)
+    fn next(&mut self, now: ClockMs) -> Option<WaitOutcome> {
+        let context = context(&self.node, &self.zone);
+        self.dispatcher.next(now, &self.table, &context, || 0.0)
     }
 }
 
-fn around<'a>(node: &'a NodeId, zone: &'a ZoneId) -> Surroundings<'a> {
-    Surroundings {
+fn context<'a>(node: &'a NodeId, zone: &'a ZoneId) -> DispatchContext<'a> {
+    DispatchContext {
         closed: &[],
-        turns: Turns {
+        entry: EntryPosition {
             entries: 1,
             node,
             share: ZoneShare::default(),
@@ -145,32 +148,32 @@
 }
 
 #[test]
-fn one_prompt_at_an_engine() {
+fn engine_reads_one_prompt_at_a_time() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let ticket = entry.waits(NOW, &terms("w"));
+    let ticket = entry.submit_queued(NOW, &terms("w"));
     assert_eq!(entry.next(NOW + 100), None);
     entry.first_event(NOW + 300, "e2");
-    assert_matches!(entry.next(NOW + 500), Some(Ended::Send(sent, choice)) => {
+    assert_matches!(entry.next(NOW + 500), Some(WaitOutcome::Send(sent, choice)) => {
         assert_eq!((sent, choice.id), (ticket, id("e2")));
     });
 }
 
 #[test]
-fn kept_prompt_needs_no_idle_engine() {
+fn cached_prompt_needs_no_idle_engine() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let kept = KeptTokens {
+    let cached = CachedTokens {
         endpoint: id("e1"),
         tokens: 7_900,
     };
-    let mut need = need();
-    need.kept.push(kept);
-    assert_matches!(entry.ask(NOW, &need, &terms("w")), Decision::Send(choice) => {
+    let mut requirements = requirements();
+    requirements.cached.push(cached);
+    assert_matches!(entry.submit(NOW, &requirements, &terms("w")), Decision::Send(choice) => {
         assert_eq!(choice.id, id("e1"));
     });
 }
 
 #[test]
-fn memory_is_not_overrun() {
+fn kv_cache_capacity_is_not_exceeded() {
     let mut entry = Entry::new(&["e1"]);
     let endpoint = entry.table.get_mut(&id("e1")).unwrap();
     endpoint.held_tokens = 40_000;
@@ -181,17 +184,20 @@
         held_tokens: 36_000,
         is_failing: false,
     };
-    entry.table.take_loads(NOW, &zone(), &[load]);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
+    entry.table.update_loads(NOW, &zone(), &[load]);
+    assert_matches!(
+        entry.submit(NOW, &requirements(), &terms("w")),
+        Decision::Wait(_)
+    );
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
+fn request_that_would_be_late_is_refused_at_once() {
     let mut entry = Entry::busy(&["e1"]);
     // Each start takes 1.2 s, and 2.4 s are left for waiting.
-    entry.waits(NOW, &terms("w1"));
-    entry.waits(NOW, &terms("w2"));
-    let decision = entry.ask(NOW, &need(), &terms("w3"));
+    entry.submit_queued(NOW, &terms("w1"));
+    entry.submit_queued(NOW, &terms("w2"));
+    let decision = entry.submit(NOW, &requirements(), &terms("w3"));
     assert_matches!(decision, Decision::Refuse(overload) => {
         assert_eq!(overload.ahead, 2);
         assert!(overload.retry_after_ms >= 1_000, "{overload:?}");
@@ -199,13 +205,13 @@
 }
 
 #[test]
-fn times_to_come_back_follow_one_another() {
+fn retry_times_of_refused_requests_increase() {
     let mut entry = Entry::busy(&["e1"]);
-    entry.waits(NOW, &terms("w1"));
-    entry.waits(NOW, &terms("w2"));
+    entry.submit_queued(NOW, &terms("w1"));
+    entry.submit_queued(NOW, &terms("w2"));
     let mut before = 0;
     for workspace in ["w3", "w4", "w5"] {
-        let decision = entry.ask(NOW, &need(), &terms(workspace));
+        let decision = entry.submit(NOW, &requirements(), &terms(workspace));
         let Decision::Refuse(overload) = decision else {
             panic!("{decision:?}");
         };
@@ -216,127 +222,140 @@
 }
 
 #[test]
-fn resumes_go_first() {
+fn resumed_requests_go_first() {
     let mut entry = Entry::busy(&["e1"]);
-    entry.waits(NOW, &terms("w1"));
+    entry.submit_queued(NOW, &terms("w1"));
     let resume = Terms {
         is_resume: true,
         ..terms("w2")
     };
-    let resume = entry.waits(NOW, &resume);
+    let resume = entry.submit_queued(NOW, &resume);
     entry.first_event(NOW + 100, "e1");
-    assert_matches!(entry.next(NOW + 100), Some(Ended::Send(sent, _)) if sent == resume);
+    assert_matches!(entry.next(NOW + 100), Some(WaitOutcome::Send(sent, _)) if sent == resume);
 }
 
 #[test]
-fn those_who_came_back_go_before_newcomers() {
+fn retries_go_before_new_requests() {
     let mut entry = Entry::busy(&["e1"]);
-    let newcomer = entry.waits(NOW, &terms("w1"));
+    let newcomer = entry.submit_queued(NOW, &terms("w1"));
     let back = Terms {
-        has_come_back: true,
+        is_returning: true,
         ..terms("w2")
     };
-    let back = entry.waits(NOW, &back);
+    let back = entry.submit_queued(NOW, &back);
     entry.first_event(NOW + 100, "e1");
-    assert_matches!(entry.next(NOW + 700), Some(Ended::Send(sent, _)) if sent == back);
+    assert_matches!(entry.next(NOW + 700), Some(WaitOutcome::Send(sent, _)) if sent == back);
     assert_ne!(back, newcomer);
 }
 
 #[test]
 fn one_workspace_does_not_fill_the_queue() {
     let mut entry = Entry::busy(&["e1", "e2", "e3", "e4"]);
-    // The queue holds seven in time; two workspaces ask.
-    entry.waits(NOW, &terms("other"));
-    let hot =
-        (0..7).filter(|_| matches!(entry.ask(NOW, &need(), &terms("hot")), Decision::Wait(_)));
+    // Seven requests can wait and be served in time; two workspaces share the queue.
+    entry.submit_queued(NOW, &terms("other"));
+    let hot = (0..7).filter(|_| {
+        matches!(
+            entry.submit(NOW, &requirements(), &terms("hot")),
+            Decision::Wait(_)
+        )
+    });
     assert!(hot.count() <= 4);
-    entry.waits(NOW, &terms("other"));
+    entry.submit_queued(NOW, &terms("other"));
 }
 
 #[test]
-fn refusal_comes_within_half_a_second() {
+fn queued_request_is_refused_within_half_a_second() {
     let mut entry = Entry::busy(&["e1"]);
-    let ticket = entry.waits(NOW, &terms("w"));
-    // The engine turns slow: what was expected of it is void.
+    let ticket = entry.submit_queued(NOW, &terms("w"));
+    // The engine becomes slow, so that the previous estimate is invalid.
     let endpoint = entry.table.get_mut(&id("e1")).unwrap();
     (0..20).for_each(|_| endpoint.reading_pace.note(8_000, 9_000));
     let ends = (0..500).find_map(|ms| entry.next(NOW + ms));
-    assert_matches!(ends, Some(Ended::Refuse(refused, _)) if refused == ticket);
+    assert_matches!(ends, Some(WaitOutcome::Refuse(refused, _)) if refused == ticket);
 }
 
 #[test]
-fn late_request_is_served_when_nobody_else_waits() {
+fn late_request_is_served_when_no_other_waits() {
     let mut entry = Entry::busy(&["e1"]);
     let late = Terms {
-        aim_at: NOW.before(1_000),
+        answer_due_at: NOW.before(1_000),
         ..terms("w")
     };
-    let ticket = entry.waits(NOW, &late);
+    let ticket = entry.submit_queued(NOW, &late);
     entry.first_event(NOW + 200, "e1");
-    assert_matches!(entry.next(NOW + 400), Some(Ended::Send(sent, _)) if sent == ticket);
+    assert_matches!(entry.next(NOW + 400), Some(WaitOutcome::Send(sent, _)) if sent == ticket);
 }
 
 #[test]
-fn failed_engine_is_no_free_one() {
+fn failed_engine_does_not_count_as_free() {
     let mut entry = Entry::busy(&["e1"]);
     entry.table = table(&["e1", "e2"]);
     entry.begin("e1");
     entry.table.note_failure(NOW, &id("e2"), Failure::Broken);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
+    assert_matches!(
+        entry.submit(NOW, &requirements(), &terms("w")),
+        Decision::Wait(_)
+    );
 }
 
 #[test]
-fn endpoint_without_connections_ends_no_wait() {
+fn closed_endpoint_does_not_end_a_wait() {
     let mut entry = Entry::busy(&["e1", "e2"]);
-    let ticket = entry.waits(NOW, &terms("w"));
+    let ticket = entry.submit_queued(NOW, &terms("w"));
     entry.first_event(NOW + 100, "e1");
     assert_eq!(
         entry.dispatcher.waiting_services().collect::<Vec<_>>(),
         [SERVICE]
     );
     let closed = [id("e1")];
-    let around = Surroundings {
+    let context = DispatchContext {
         closed: &closed,
-        ..around(&entry.node, &entry.zone)
+        ..context(&entry.node, &entry.zone)
     };
     let ended = entry
         .dispatcher
-        .next(NOW + 300, &entry.table, &around, || 0.0);
+        .next(NOW + 300, &entry.table, &context, || 0.0);
     assert_eq!(ended, None);
-    assert_matches!(entry.next(NOW + 300), Some(Ended::Send(sent, _)) if sent == ticket);
+    assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(sent, _)) if sent == ticket);
 }
 
 #[test]
-fn nobody_is_nobody() {
+fn request_without_known_endpoint_is_not_queued() {
     let mut entry = Entry::new(&[]);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Nobody);
+    assert_matches!(
+        entry.submit(NOW, &requirements(), &terms("w")),
+        Decision::NoEndpoint
+    );
 }
 
 #[test]
-fn word_of_fullness_holds_sends() {
+fn full_endpoint_gets_no_request_for_a_while() {
     let mut entry = Entry::new(&["e1"]);
     entry.table.get_mut(&id("e1")).unwrap().note_full(NOW);
-    assert_matches!(entry.ask(NOW, &need(), &terms("w")), Decision::Wait(_));
-    assert_matches!(entry.next(NOW + 300), Some(Ended::Send(..)));
+    assert_matches!(
+        entry.submit(NOW, &requirements(), &terms("w")),
+        Decision::Wait(_)
+    );
+    assert_matches!(entry.next(NOW + 300), Some(WaitOutcome::Send(..)));
 }
 
 #[test]
-fn less_time_tells_who_came_back() {
-    let mut patience = CallerPatience::default();
-    for given_ms in [25_000, 21_300, 24_000] {
-        assert_eq!(patience.note(NOW, "draft", given_ms), 0);
+fn shorter_timeout_identifies_a_retry() {
+    let mut prior_wait = PriorWaitEstimator::default();
+    for timeout_ms in [25_000, 21_300, 24_000] {
+        assert_eq!(prior_wait.record(NOW, "draft", timeout_ms), 0);
     }
-    assert_eq!(patience.note(NOW, "draft", 17_000), 8_000);
-    // A route whose callers have become less patient is learned anew.
+    assert_eq!(prior_wait.record(NOW, "draft", 17_000), 8_000);
+    // Shorter timeouts of a route's first attempts are learned after a while.
     let later = NOW + 61_000;
-    patience.note(NOW + 30_500, "draft", 10_000);
-    assert_eq!(patience.note(later, "draft", 10_000), 0);
+    prior_wait.record(NOW + 30_500, "draft", 10_000);
+    assert_eq!(prior_wait.record(later, "draft", 10_000), 0);
 }
 
 proptest! {
-    /// Each waiting request ends exactly once, by a send, a refusal or its withdrawal.
+    /// Each queued request ends exactly once: sent, refused or withdrawn.
     #[test]
-    fn queue_loses_nobody(
+    fn each_wait_ends_exactly_once(
         steps in prop::collection::vec((0_u8..4, 0_usize..3, 1_u64..300), 1..120),
     ) {
         let names = ["e1", "e2", "e3"];
@@ -346,13 +365,13 @@
         for (step, which, passed_ms) in steps {
             now = now + passed_ms;
             let deadline_at = now + 8_000;
-            let terms = Terms { aim_at: now + 4_500, deadline_at, ..terms(names[which]) };
+            let terms = Terms { answer_due_at: now + 4_500, deadline_at, ..terms(names[which]) };
             match step {
-                0 | 1 => match entry.ask(now, &need(), &terms) {
+                0 | 1 => match entry.submit(now, &requirements(), &terms) {
                     Decision::Send(choice) => entry.begin(&choice.id.name),
                     Decision::Wait(ticket) => waiting.push(ticket),
                     Decision::Refuse(overload) => prop_assert!(overload.retry_after_ms >= 200),
-                    Decision::Nobody => prop_assert!(false, "there are engines"),
+                    Decision::NoEndpoint => prop_assert!(false, "there are engines"),
                 },
                 2 => {
                     let endpoint = entry.table.get_mut(&id(names[which])).unwrap();
@@ -369,11 +388,11 @@
                 }
             }
             while let Some(ended) = entry.next(now) {
-                let (Ended::Send(ticket, _) | Ended::Refuse(ticket, _)) = &ended;
-                let place = waiting.iter().position(|it| it == ticket);
-                prop_assert!(place.is_some(), "ended twice");
-                waiting.remove(place.unwrap());
-                if let Ended::Send(_, choice) = ended {
+                let (WaitOutcome::Send(ticket, _) | WaitOutcome::Refuse(ticket, _)) = &ended;
+                let position = waiting.iter().position(|it| it == ticket);
+                prop_assert!(position.is_some(), "{ticket:?} ended twice");
+                waiting.remove(position.unwrap());
+                if let WaitOutcome::Send(_, choice) = ended {
                     entry.begin(&choice.id.name);
                 }
             }
@@ -383,7 +402,7 @@
             }
         }
         while let Some(ended) = entry.next(now + 60_000) {
-            let (Ended::Send(ticket, _) | Ended::Refuse(ticket, _)) = ended;
+            let (WaitOutcome::Send(ticket, _) | WaitOutcome::Refuse(ticket, _)) = ended;
             waiting.retain(|it| *it != ticket);
         }
         prop_assert!(waiting.is_empty());
--- a/crates/masticsill_generation/tests/common/mod.rs
+++ b/crates/masticsill_generation/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! Values that several tests need.
+//! Test data shared by several tests.
 
 #![allow(dead_code)]
 
-use masticsill_generation::{BookLimits, Record};
+use masticsill_generation::{GenerationLimits, Record};
 use masticsill_types::{
     Class, EntryId, GenerationId, GenerationSpec, ModelId, ModelTarget, NodeId, Sampling, Token,
     VersionId, WorkspaceId,
 };
 
-pub(crate) const LIMITS: BookLimits = BookLimits {
-    gather_ms: 2,
-    keep_ms: 10_000,
+pub(crate) const LIMITS: GenerationLimits = GenerationLimits {
+    batch_delay_ms: 2,
+    retention_ms: 10_000,
     max_bytes: 1_000_000,
     max_records: 64,
     orphan_ms: 2_000,
@@ -46,7 +46,7 @@
     NodeId::new(name).unwrap()
 }
 
-/// Tokens whose ids are the numbers given.
+/// Tokens with the given ids; the bytes of each are its id in decimal.
 pub(crate) fn tokens(ids: impl IntoIterator<Item = u32>) -> Vec<Token> {
     let token = |id: u32| Token {
         bytes: id.to_string().into_bytes(),
--- a/crates/masticsill_quorum/src/silence.rs
+++ b/crates/masticsill_quorum/src/silent_members.rs
@@ -1,4 +1,4 @@
-//! Members that the leader has not heard for long.
+//! Detection of members that the leader has not heard from for a long time.
 
 use masticsill_types::ClockMs;
 
@@ -6,20 +6,26 @@
 use crate::{Replica, VoterId};
 
 impl Replica {
-    /// Members that may be removed, as they have been silent for `silence_ms` while this replica
-    /// led; none on others.
+    /// Members that may be removed because this leader has not heard from them for `silence_ms`
+    /// milliseconds. Empty if this replica is not the leader.
     ///
-    /// A silent learner comes first: it would keep the voter that it replaces. A silent voter may
-    /// go while more than `wanted` vote and none is being replaced.
+    /// Silent learners are returned first, because a silent learner prevents the removal of the
+    /// voter that it replaces. Silent voters are returned only if there is no silent learner, there
+    /// are more than `target_voters` voters and no voter is being replaced or removed.
     #[must_use]
-    pub fn spare_members(&self, now: ClockMs, silence_ms: u64, wanted: usize) -> Vec<VoterId> {
+    pub fn removable_members(
+        &self,
+        now: ClockMs,
+        silence_ms: u64,
+        target_voters: usize,
+    ) -> Vec<VoterId> {
         let membership = self.membership();
         let silent = self.silent_members(now, silence_ms);
         let learners = silent.iter().filter(|id| !membership.is_voter(id));
         let learners: Vec<VoterId> = learners.cloned().collect();
         let is_replacing = membership.learners.iter().any(|it| it.replaces.is_some());
         let is_changing = is_replacing || !membership.leaving.is_empty();
-        if !learners.is_empty() || is_changing || membership.voters.len() <= wanted {
+        if !learners.is_empty() || is_changing || membership.voters.len() <= target_voters {
             return learners;
         }
         silent
@@ -31,9 +37,9 @@
         };
         let progress = state.progress.iter();
         let silent = progress.filter(|(_, progress)| {
-            // One that was never heard is counted from when the leader began to track it.
-            let heard_at = progress.heard_at.unwrap_or(progress.tracked_at);
-            now.since(heard_at) >= silence_ms
+            // For a member never heard from, the silence starts when the leader began to track it.
+            let last_heard_at = progress.last_heard_at.unwrap_or(progress.tracked_at);
+            now.since(last_heard_at) >= silence_ms
         });
         silent.map(|(id, _)| id.clone()).collect()
     }
--- a/crates/masticsill_quorum/src/storage/open.rs
+++ b/crates/masticsill_quorum/src/storage/open.rs
@@ -1,43 +1,46 @@
-//! Opening a data folder: its identity, vote, snapshot and log as they are on the disk.
+//! Opening a data folder: reading its identity, vote, snapshot and log from the disk.
 
 use masticsill_types::{NodeId, Term, log_event};
 use serde::de::DeserializeOwned;
 
 use crate::storage::record::{IdentityRecord, VoteRecord, decode_record, encode_record};
 use crate::storage::replay::{Replay, Segment, segment_name, segment_sequence};
-use crate::storage::{Disk, GIVEN_UP_FILE, IDENTITY_FILE, SNAPSHOT_FILE, StorageError, VOTE_FILE};
+use crate::storage::{
+    ABANDON_MARKER_FILE, Disk, IDENTITY_FILE, SNAPSHOT_FILE, StorageError, VOTE_FILE,
+};
 use crate::wire::WireSnapshot;
 use crate::{LogIndex, Snapshot, StoredState, VoterId, events};
 
-/// The cut of a last record that was not wholly written; nothing that counted was in it.
+/// A truncation of a last record that was only partly written. The record was never reported as
+/// durable.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TornTail {
-    /// The segment within the data folder.
+    /// Name of the segment file within the data folder.
     pub file: String,
-    /// Where the record began; the file ends there now.
+    /// Offset of the removed record and new size of the file, in bytes.
     pub offset_bytes: u64,
-    /// How much was cut.
+    /// Number of bytes removed.
     pub cut_bytes: u64,
 }
 
-/// What a data folder held when it was opened.
+/// The content of a data folder when it was opened.
 #[derive(Debug)]
-pub struct Recovered {
-    /// What the replica starts from.
+pub struct RecoveredStorage {
+    /// The state that the replica starts from.
     pub state: StoredState,
-    /// The cut that was made, if any.
+    /// The truncation of a partly written record, if there was one.
     pub torn_tail: Option<TornTail>,
-    /// Whether the folder was created just now.
+    /// Whether the folder was newly created.
     pub is_new: bool,
 }
 
-/// Reads a data folder, or gives a new one its identity.
+/// Reads a data folder, or assigns an identity to a new one.
 pub(crate) fn recover(
     disk: &mut dyn Disk,
     cluster: &str,
     new_id: VoterId,
-) -> Result<(Recovered, Vec<Segment>), StorageError> {
-    let names = empty_if_given_up(disk)?;
+) -> Result<(RecoveredStorage, Vec<Segment>), StorageError> {
+    let names = finish_abandoning(disk)?;
     let is_new = !names.iter().any(|name| name == IDENTITY_FILE);
     let id = if is_new {
         create_identity(disk, &names, cluster, new_id)?
@@ -51,15 +54,15 @@
     let torn_tail = read_log(disk, &names, &mut replay)?;
     check_first_segment(&replay, &vote, snapshot.as_ref())?;
     let voted_for = vote.voted_for.map(VoterId::try_from).transpose();
-    let misread = |_| StorageError::corrupt(VOTE_FILE, 0, "the vote is not valid");
+    let to_corrupt = |_| StorageError::corrupt(VOTE_FILE, 0, "the vote is not valid");
     let state = StoredState {
         id,
         term: Term(vote.term),
-        voted_for: voted_for.map_err(misread)?,
+        voted_for: voted_for.map_err(to_corrupt)?,
         snapshot,
         entries: replay.entries,
     };
-    let recovered = Recovered {
+    let recovered = RecoveredStorage {
         state,
         torn_tail,
         is_new,
@@ -67,30 +70,32 @@
     Ok((recovered, replay.segments))
 }
 
-/// Ends the emptying of a folder that was given up; returns the files that are left.
-fn empty_if_given_up(disk: &mut dyn Disk) -> Result<Vec<String>, StorageError> {
+/// Finishes emptying a folder whose founding was abandoned. Returns the names of the remaining
+/// files.
+fn finish_abandoning(disk: &mut dyn Disk) -> Result<Vec<String>, StorageError> {
     let list = |disk: &dyn Disk| disk.list().map_err(StorageError::io("list", "."));
     let names = list(disk)?;
-    if !names.iter().any(|name| name == GIVEN_UP_FILE) {
+    if !names.iter().any(|name| name == ABANDON_MARKER_FILE) {
         return Ok(names);
     }
-    let is_own = |name: &&String| {
-        let is_kept = [IDENTITY_FILE, SNAPSHOT_FILE, VOTE_FILE].contains(&name.as_str());
-        is_kept || segment_sequence(name).is_some()
+    let is_replica_file = |name: &&String| {
+        let is_state_file = [IDENTITY_FILE, SNAPSHOT_FILE, VOTE_FILE].contains(&name.as_str());
+        is_state_file || segment_sequence(name).is_some()
     };
-    for name in names.iter().filter(is_own) {
+    for name in names.iter().filter(is_replica_file) {
         disk.remove(name)
             .map_err(StorageError::io("remove", name))?;
     }
-    // Writing the mark again makes the removals durable before it goes itself.
-    let marked = disk.replace(GIVEN_UP_FILE, &[]);
-    marked.map_err(StorageError::io("replace", GIVEN_UP_FILE))?;
-    let removed = disk.remove(GIVEN_UP_FILE);
-    removed.map_err(StorageError::io("remove", GIVEN_UP_FILE))?;
+    // Writing the marker again syncs the folder, which makes the removals durable before the marker
+    // itself is removed.
+    let marked = disk.replace(ABANDON_MARKER_FILE, &[]);
+    marked.map_err(StorageError::io("replace", ABANDON_MARKER_FILE))?;
+    let removed = disk.remove(ABANDON_MARKER_FILE);
+    removed.map_err(StorageError::io("remove", ABANDON_MARKER_FILE))?;
     list(disk)
 }
 
-/// Refuses a log whose beginning was taken away.
+/// Rejects a log whose first segment is missing.
 fn check_first_segment(
     replay: &Replay,
     vote: &VoteRecord,
@@ -122,7 +127,7 @@
         cluster: cluster.to_owned(),
         replica: id.clone().into(),
     };
-    // The identity comes last: a folder with an identity always has a vote.
+    // The identity is written last, so that a folder with an identity always has a vote file.
     let vote = encode_record(&VoteRecord::default());
     disk.replace(VOTE_FILE, &vote)
         .map_err(StorageError::io("replace", VOTE_FILE))?;
@@ -146,8 +151,8 @@
             found: identity.replica.name,
         });
     }
-    let misread = |_| StorageError::corrupt(IDENTITY_FILE, 0, "the identity is not valid");
-    VoterId::try_from(identity.replica).map_err(misread)
+    let to_corrupt = |_| StorageError::corrupt(IDENTITY_FILE, 0, "the identity is not valid");
+    VoterId::try_from(identity.replica).map_err(to_corrupt)
 }
 
 fn read_file(disk: &dyn Disk, file: &str) -> Result<Option<Vec<u8>>, StorageError> {
@@ -167,11 +172,11 @@
         return Ok(None);
     };
     let wire: WireSnapshot = decode_record(SNAPSHOT_FILE, &bytes)?;
-    let misread = |_| StorageError::corrupt(SNAPSHOT_FILE, 0, "the snapshot is not valid");
-    Snapshot::try_from(wire).map(Some).map_err(misread)
+    let to_corrupt = |_| StorageError::corrupt(SNAPSHOT_FILE, 0, "the snapshot is not valid");
+    Snapshot::try_from(wire).map(Some).map_err(to_corrupt)
 }
 
-/// Reads every segment in order and cuts a torn tail off the last.
+/// Reads every segment in order and truncates a torn tail of the last one.
 fn read_log(
     disk: &mut dyn Disk,
     names: &[String],
@@ -186,13 +191,18 @@
         let bytes = read_file(disk, &file)?.unwrap_or_default();
         let is_last = Some(sequence) == sequences.last();
         if let Some(offset) = replay.read_segment(*sequence, &bytes, is_last)? {
-            torn_tail = Some(cut_tail(disk, file, offset as u64, bytes.len() as u64)?);
+            torn_tail = Some(truncate_torn_tail(
+                disk,
+                file,
+                offset as u64,
+                bytes.len() as u64,
+            )?);
         }
     }
     Ok(torn_tail)
 }
 
-fn cut_tail(
+fn truncate_torn_tail(
     disk: &mut dyn Disk,
     file: String,
     offset_bytes: u64,
--- a/crates/masticsill_registry/tests/endpoint_lives.rs
+++ b/crates/masticsill_registry/tests/endpoint_lives.rs
@@ -1,9 +1,11 @@
-//! Words of several lives of one id: late, twice, in any order and over other instances.
+//! Announcements of several incarnations of one name that arrive late, repeatedly, in any order and
+//! through other control replicas must converge to the same record.
 
 use std::net::SocketAddr;
 
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointState, Heard, Joined, Life, Registry, RegistryPeriods,
+    Announcement, EndpointId, EndpointIncarnation, EndpointState, HeartbeatAge, JoinOutcome,
+    Registry, RegistryTimeouts,
 };
 use masticsill_types::{ClockMs, ZoneId};
 use proptest::prelude::*;
@@ -15,18 +17,18 @@
     EndpointState::Gone,
 ];
 
-fn id(life: Life) -> EndpointId {
+fn id(incarnation: EndpointIncarnation) -> EndpointId {
     EndpointId {
-        life,
+        incarnation,
         name: "e".to_owned(),
     }
 }
 
-fn born(born_ms: u64) -> EndpointId {
-    id(Life::born_at(born_ms))
+fn started(started_at_ms: u64) -> EndpointId {
+    id(EndpointIncarnation::started_at(started_at_ms))
 }
 
-/// A heartbeat from the address with this last number.
+/// A heartbeat of an endpoint at the address 10.0.0.`host`.
 fn heartbeat(id: EndpointId, sequence: u64, state: EndpointState, host: u8) -> Announcement {
     Announcement {
         address: SocketAddr::from(([10, 0, 0, host], 80)),
@@ -46,197 +48,232 @@
 }
 
 fn registry() -> Registry {
-    Registry::new(RegistryPeriods::default())
+    Registry::new(RegistryTimeouts::default())
 }
 
 fn newest(registry: &Registry) -> &Announcement {
     &registry.newest("e").unwrap().announcement
 }
 
-/// Words of up to four lives, one of them without a birth. Few values, so that they meet often.
-fn words() -> impl Strategy<Value = Announcement> {
-    let life = prop_oneof![
-        Just(Life::UNNAMED),
-        (1_u64..4).prop_map(Life::born_at),
-        Just(Life::born_at(u64::MAX)),
+/// Announcements of up to five incarnations, one of them without a start time. There are few
+/// values, so that equal ones are frequent.
+fn any_announcement() -> impl Strategy<Value = Announcement> {
+    let incarnation = prop_oneof![
+        Just(EndpointIncarnation::UNKNOWN),
+        (1_u64..4).prop_map(EndpointIncarnation::started_at),
+        Just(EndpointIncarnation::started_at(u64::MAX)),
     ];
     let state = prop::sample::select(&STATES);
-    (life, 0_u64..4, state, 1_u8..4)
-        .prop_map(|(life, sequence, state, host)| heartbeat(id(life), sequence, state, host))
+    (incarnation, 0_u64..4, state, 1_u8..4).prop_map(|(incarnation, sequence, state, host)| {
+        heartbeat(id(incarnation), sequence, state, host)
+    })
 }
 
-fn joined(words: &[Announcement]) -> Announcement {
-    let mut joined = words[0].clone();
-    for word in &words[1..] {
-        joined.join(word);
+fn joined(announcements: &[Announcement]) -> Announcement {
+    let mut joined = announcements[0].clone();
+    for announcement in &announcements[1..] {
+        joined.join(announcement);
     }
     joined
 }
 
-/// What must be known in the end, by looking at all words at once.
-fn expected(words: &[Announcement]) -> (Life, EndpointState, u64) {
-    let life = words.iter().map(|word| word.id.life).max().unwrap();
-    let of_life: Vec<_> = words.iter().filter(|word| word.id.life == life).collect();
-    let state = of_life.iter().map(|word| word.state).max().unwrap();
-    let sequence = of_life.iter().map(|word| word.sequence).max().unwrap();
-    (life, state, sequence)
+/// The expected final record, computed from all announcements at once.
+fn expected(announcements: &[Announcement]) -> (EndpointIncarnation, EndpointState, u64) {
+    let incarnation = announcements
+        .iter()
+        .map(|announcement| announcement.id.incarnation)
+        .max()
+        .unwrap();
+    let of_incarnation: Vec<_> = announcements
+        .iter()
+        .filter(|announcement| announcement.id.incarnation == incarnation)
+        .collect();
+    let state = of_incarnation
+        .iter()
+        .map(|announcement| announcement.state)
+        .max()
+        .unwrap();
+    let sequence = of_incarnation
+        .iter()
+        .map(|announcement| announcement.sequence)
+        .max()
+        .unwrap();
+    (incarnation, state, sequence)
 }
 
-fn known(announcement: &Announcement) -> (Life, EndpointState, u64) {
+fn known(announcement: &Announcement) -> (EndpointIncarnation, EndpointState, u64) {
     let Announcement {
         id,
         sequence,
         state,
         ..
     } = announcement;
-    (id.life, *state, *sequence)
+    (id.incarnation, *state, *sequence)
 }
 
 proptest! {
     #[test]
-    fn join_is_commutative(left in words(), right in words()) {
+    fn join_is_commutative(left in any_announcement(), right in any_announcement()) {
         prop_assert_eq!(joined(&[left.clone(), right.clone()]), joined(&[right, left]));
     }
 
     #[test]
-    fn join_is_associative(first in words(), second in words(), third in words()) {
+    fn join_is_associative(
+        first in any_announcement(),
+        second in any_announcement(),
+        third in any_announcement(),
+    ) {
         let right = joined(&[second.clone(), third.clone()]);
         let left = joined(&[first.clone(), second]);
         prop_assert_eq!(joined(&[left, third]), joined(&[first, right]));
     }
 
     #[test]
-    fn join_is_idempotent(word in words(), other in words()) {
-        prop_assert_eq!(joined(&[word.clone(), word.clone()]), word.clone());
-        let both = joined(&[word, other.clone()]);
+    fn join_is_idempotent(announcement in any_announcement(), other in any_announcement()) {
+        prop_assert_eq!(
+            joined(&[announcement.clone(), announcement.clone()]),
+            announcement.clone()
+        );
+        let both = joined(&[announcement, other.clone()]);
         let mut again = both.clone();
-        prop_assert_eq!(again.join(&other), Joined::Same);
+        prop_assert_eq!(again.join(&other), JoinOutcome::Same);
         prop_assert_eq!(again, both);
     }
 
     #[test]
-    fn nothing_goes_back(words in prop::collection::vec(words(), 2..20)) {
-        let mut known_now = words[0].clone();
-        for word in &words[1..] {
-            let before = known_now.clone();
-            let joined = known_now.join(word);
-            let has_moved = (known_now.id.life, known_now.state) > (before.id.life, before.state);
-            let is_reborn = known_now.id.life > before.id.life;
-            prop_assert!(has_moved || (known_now.id.life, known_now.state) == (before.id.life, before.state));
-            prop_assert_eq!(joined == Joined::Reborn, is_reborn);
-            prop_assert!(joined != Joined::Same || !has_moved);
+    fn join_never_moves_backwards(
+        announcements in prop::collection::vec(any_announcement(), 2..20),
+    ) {
+        let mut known_record = announcements[0].clone();
+        for announcement in &announcements[1..] {
+            let before = known_record.clone();
+            let joined = known_record.join(announcement);
+            let has_advanced = (known_record.id.incarnation, known_record.state)
+                > (before.id.incarnation, before.state);
+            let is_replaced = known_record.id.incarnation > before.id.incarnation;
+            prop_assert!(
+                has_advanced
+                    || (known_record.id.incarnation, known_record.state)
+                        == (before.id.incarnation, before.state)
+            );
+            prop_assert_eq!(joined == JoinOutcome::Replaced, is_replaced);
+            prop_assert!(joined != JoinOutcome::Same || !has_advanced);
         }
     }
 
-    /// Three instances hear words in any order, some of them twice, exchange all they know in any
-    /// order, and a reader follows one of them: all know the same as a model that sees everything.
+    /// Three replicas receive announcements in any order, some of them twice, and exchange their
+    /// records in any order. All must end with the same record as a model that sees everything.
     #[test]
-    fn instances_agree_with_the_model(
-        words in prop::collection::vec(words(), 1..20),
+    fn replicas_converge_to_the_model(
+        announcements in prop::collection::vec(any_announcement(), 1..20),
         heard in prop::collection::vec((0_usize..3, any::<prop::sample::Index>()), 0..60),
         exchanges in prop::collection::vec((0_usize..3, 0_usize..3), 0..20),
     ) {
         let mut instances = [registry(), registry(), registry()];
-        for (instance, word) in &heard {
-            instances[*instance].announce(NOW, word.get(&words));
+        for (instance, announcement) in &heard {
+            instances[*instance].announce(NOW, announcement.get(&announcements));
         }
-        // Each word comes somewhere once at least.
-        for (position, word) in words.iter().enumerate() {
-            instances[position % 3].announce(NOW, word);
+        // Each announcement reaches at least one replica.
+        for (position, announcement) in announcements.iter().enumerate() {
+            instances[position % 3].announce(NOW, announcement);
         }
-        let whole_rounds = [(0, 1), (1, 2), (2, 0), (0, 1)];
-        for (from, to) in exchanges.into_iter().chain(whole_rounds) {
+        let full_rounds = [(0, 1), (1, 2), (2, 0), (0, 1)];
+        for (from, to) in exchanges.into_iter().chain(full_rounds) {
             let records = instances[from].changes_since(0);
             instances[to].merge(NOW, &records);
         }
-        let (life, state, _) = expected(&words);
+        let (incarnation, state, _) = expected(&announcements);
         for instance in &instances {
-            let (known_life, known_state, _) = known(newest(instance));
-            prop_assert_eq!((known_life, known_state), (life, state));
+            let (known_incarnation, known_state, _) = known(newest(instance));
+            prop_assert_eq!((known_incarnation, known_state), (incarnation, state));
             prop_assert_eq!(instance.records().count(), 1);
         }
     }
 
     #[test]
-    fn one_instance_ends_with_the_newest_word(words in prop::collection::vec(words(), 1..20)) {
+    fn one_replica_keeps_the_newest_announcement(
+        announcements in prop::collection::vec(any_announcement(), 1..20),
+    ) {
         let mut registry = registry();
-        for word in &words {
-            registry.announce(NOW, word);
+        for announcement in &announcements {
+            registry.announce(NOW, announcement);
         }
-        prop_assert_eq!(known(newest(&registry)), expected(&words));
+        prop_assert_eq!(known(newest(&registry)), expected(&announcements));
     }
 
     #[test]
-    fn readers_hear_of_each_change(words in prop::collection::vec(words(), 1..20)) {
-        let (mut told, mut reader) = (registry(), registry());
+    fn readers_receive_each_change(
+        announcements in prop::collection::vec(any_announcement(), 1..20),
+    ) {
+        let (mut source, mut reader) = (registry(), registry());
         let mut seen = 0;
-        for word in &words {
-            told.announce(NOW, word);
-            let changes = told.changes_since(seen);
-            seen = told.revision();
+        for announcement in &announcements {
+            source.announce(NOW, announcement);
+            let changes = source.changes_since(seen);
+            seen = source.revision();
             reader.merge(NOW, &changes);
-            let (life, state, _) = known(newest(&told));
-            let (read_life, read_state, _) = known(newest(&reader));
-            prop_assert_eq!((read_life, read_state), (life, state));
-            prop_assert_eq!(newest(&reader).address, newest(&told).address);
+            let (incarnation, state, _) = known(newest(&source));
+            let (read_incarnation, read_state, _) = known(newest(&reader));
+            prop_assert_eq!((read_incarnation, read_state), (incarnation, state));
+            prop_assert_eq!(newest(&reader).address, newest(&source).address);
         }
     }
 }
 
 #[test]
-fn a_newer_life_begins_anew() {
+fn newer_incarnation_replaces_the_former_one() {
     let mut registry = registry();
-    registry.announce(NOW, &ready(born(1), 90));
-    registry.depart(NOW, &born(1));
-    assert!(registry.announce(NOW, &ready(born(2), 1)));
-    assert_eq!(newest(&registry), &ready(born(2), 1));
-    assert!(registry.get(&born(1)).is_none());
+    registry.announce(NOW, &ready(started(1), 90));
+    registry.deregister(NOW, &started(1));
+    assert!(registry.announce(NOW, &ready(started(2), 1)));
+    assert_eq!(newest(&registry), &ready(started(2), 1));
+    assert!(registry.get(&started(1)).is_none());
 }
 
 #[test]
-fn a_late_word_of_a_former_life_changes_nothing() {
+fn late_announcement_of_a_former_incarnation_changes_nothing() {
     let mut registry = registry();
-    registry.announce(NOW, &ready(born(2), 1));
+    registry.announce(NOW, &ready(started(2), 1));
     let revision = registry.revision();
-    assert!(!registry.announce(NOW, &heartbeat(born(1), 99, EndpointState::Draining, 9)));
-    assert!(!registry.announce(NOW, &ready(EndpointId::unnamed_life("e"), 100)));
-    assert!(!registry.depart(NOW, &born(1)));
-    assert_eq!(newest(&registry), &ready(born(2), 1));
+    assert!(!registry.announce(NOW, &heartbeat(started(1), 99, EndpointState::Draining, 9)));
+    assert!(!registry.announce(NOW, &ready(EndpointId::with_unknown_incarnation("e"), 100)));
+    assert!(!registry.deregister(NOW, &started(1)));
+    assert_eq!(newest(&registry), &ready(started(2), 1));
     assert_eq!(registry.revision(), revision);
 }
 
 #[test]
-fn a_late_word_of_a_former_life_is_no_sign_of_life() {
+fn late_announcement_of_a_former_incarnation_does_not_prevent_silence() {
     let mut registry = registry();
-    registry.announce(ClockMs(0), &ready(born(2), 1));
-    registry.announce(ClockMs(4_900), &ready(born(1), 50));
-    let heard = Heard {
+    registry.announce(ClockMs(0), &ready(started(2), 1));
+    registry.announce(ClockMs(4_900), &ready(started(1), 50));
+    let heard = HeartbeatAge {
         age_ms: 0,
-        id: born(1),
+        id: started(1),
     };
-    registry.note_heard(ClockMs(4_900), &[heard]);
-    registry.judge_silence(ClockMs(5_000), true);
-    assert!(registry.get(&born(2)).unwrap().is_silent);
+    registry.apply_heartbeat_ages(ClockMs(4_900), &[heard]);
+    registry.update_silence(ClockMs(5_000), true);
+    assert!(registry.get(&started(2)).unwrap().is_silent);
 }
 
 #[test]
-fn a_newer_life_is_not_silent_as_its_former_one() {
+fn newer_incarnation_of_a_silent_one_is_not_silent() {
     let mut registry = registry();
-    registry.announce(ClockMs(0), &ready(born(1), 1));
-    registry.judge_silence(ClockMs(5_000), true);
-    assert!(registry.get(&born(1)).unwrap().is_silent);
-    registry.announce(ClockMs(5_100), &ready(born(2), 1));
-    assert!(!registry.get(&born(2)).unwrap().is_silent);
-    let heard = registry.heard_here(ClockMs(5_200));
-    assert_eq!(heard[0].id, born(2));
+    registry.announce(ClockMs(0), &ready(started(1), 1));
+    registry.update_silence(ClockMs(5_000), true);
+    assert!(registry.get(&started(1)).unwrap().is_silent);
+    registry.announce(ClockMs(5_100), &ready(started(2), 1));
+    assert!(!registry.get(&started(2)).unwrap().is_silent);
+    let heard = registry.direct_heartbeat_ages(ClockMs(5_200));
+    assert_eq!(heard[0].id, started(2));
 }
 
 #[test]
-fn a_deregistration_without_a_birth_ends_the_known_life() {
+fn deregistration_without_start_time_ends_the_known_incarnation() {
     let mut registry = registry();
-    registry.announce(NOW, &ready(born(2), 1));
-    assert!(registry.depart(NOW, &EndpointId::unnamed_life("e")));
-    assert_eq!(newest(&registry).id, born(2));
+    registry.announce(NOW, &ready(started(2), 1));
+    assert!(registry.deregister(NOW, &EndpointId::with_unknown_incarnation("e")));
+    assert_eq!(newest(&registry).id, started(2));
     assert_eq!(newest(&registry).state, EndpointState::Gone);
-    assert!(registry.announce(NOW, &ready(born(3), 1)));
+    assert!(registry.announce(NOW, &ready(started(3), 1)));
 }
--- a/crates/masticsill_relay/src/admission.rs
+++ b/crates/masticsill_relay/src/admission.rs
@@ -1,31 +1,36 @@
-//! The filters that a request passes before it is sent anywhere: route, workspace, deadline.
+//! Admission checks that a request passes before it is sent to an endpoint: route, workspace and
+//! deadline.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use masticsill_catalogue::{Route, RouteIndex};
-use masticsill_dispatch::CallerPatience;
+use masticsill_dispatch::PriorWaitEstimator;
 use masticsill_http1::RequestHead;
 use masticsill_quarantine::{Fingerprint, RequestContent};
 use masticsill_types::ClockMs;
 
-use crate::answer::Refusal;
 use crate::config::HeaderNames;
 use crate::request::RelayRequest;
+use crate::response::Refusal;
 
-/// What a document says of a request.
-pub(crate) struct Entitled {
+/// The route and workspace that a document assigns to a request.
+pub(crate) struct Authorized {
     route: Arc<Route>,
-    /// The workspace that holds the caller's key.
+    /// The workspace that owns the caller's API key.
     workspace: Option<String>,
 }
 
-/// Finds a request's route, and whose it is, under one document; or says why not.
-pub(crate) fn entitle(
+/// Looks up the route and the workspace of a request in one document.
+///
+/// # Errors
+///
+/// The refusal to answer with: malformed request, unknown route or unknown API key.
+pub(crate) fn authorize(
     index: &RouteIndex,
     names: &HeaderNames,
     head: &RequestHead,
-) -> Result<Entitled, Refusal> {
+) -> Result<Authorized, Refusal> {
     let host = head.headers.text("host").ok_or(Refusal::Malformed)?;
     if head.headers.all("host").count() > 1 || !head.target.starts_with('/') {
         return Err(Refusal::Malformed);
@@ -34,25 +39,25 @@
     let path = head.target.split('?').next().unwrap_or(&head.target);
     let route = index.find(host, path).ok_or(Refusal::NoRoute)?;
     let workspace = workspace_of(index, names, route, head)?;
-    Ok(Entitled {
+    Ok(Authorized {
         route: Arc::clone(route),
         workspace,
     })
 }
 
-/// Admits a whole request that a document allows.
+/// Builds the relayed request from an authorized, completely read request.
 pub(crate) fn admit(
-    entitled: Entitled,
+    authorized: Authorized,
     names: &HeaderNames,
-    patience: &mut CallerPatience,
+    prior_wait_estimator: &mut PriorWaitEstimator,
     received_at: ClockMs,
     head: RequestHead,
     body: Bytes,
 ) -> RelayRequest {
-    let Entitled { route, workspace } = entitled;
+    let Authorized { route, workspace } = authorized;
     let asked_ms = head.headers.number(&names.deadline_ms);
     let had_waited_ms = asked_ms.map_or(0, |given_ms| {
-        patience.note(received_at, &route.name, given_ms)
+        prior_wait_estimator.record(received_at, &route.name, given_ms)
     });
     let timeout_ms = asked_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
     let content = RequestContent {
@@ -94,7 +99,7 @@
     Ok(Some(workspace.name.clone()))
 }
 
-/// A service by the route's weights; `random` is any number.
+/// Picks one of the route's services according to their weights; `random` is any random number.
 fn choose_service(route: &Route, random: u64) -> String {
     let total: u64 = route.services.iter().map(|share| share.weight).sum();
     let mut left = random % total.max(1);
--- a/crates/masticsill_relay/src/caller.rs
+++ b/crates/masticsill_relay/src/caller.rs
@@ -1,4 +1,4 @@
-//! Reading from a caller: heads, bodies, and whether it is still there.
+//! The read side of a caller's connection: request heads, bodies, and the detection of a close.
 
 use std::io;
 use std::rc::Rc;
@@ -13,40 +13,41 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-use crate::answer::Refusal;
 use crate::relay::Relay;
+use crate::response::Refusal;
 
-/// Room made for each read.
-const READ_BYTES: usize = 8 * 1024;
-/// Bytes of a next request that are read ahead while one is being answered.
+/// Buffer space reserved for each read.
+const READ_RESERVE_BYTES: usize = 8 * 1024;
+/// Maximum bytes of the next request that are read ahead while one is being answered.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Limits while no document is known.
+/// Limits that apply while no document is known.
 const DEFAULT_LIMITS: RequestLimits = RequestLimits {
     body_bytes: 4 * 1024 * 1024,
     header_bytes: 16 * 1024,
     header_timeout_ms: 3_000,
     idle_timeout_ms: 15_000,
 };
-/// Idle time beyond the stated limit: a caller that uses its connection at the limit still gets
-/// an answer.
-const IDLE_SLACK_MS: u64 = 1_000;
-/// How long a closing side reads on, so that the last answer is not lost to a reset.
-pub(crate) const LINGER: Duration = Duration::from_millis(300);
-
-/// What ended the wait for a request.
-pub(crate) enum Next {
+/// Idle time granted beyond the configured limit, so that a caller which reuses its connection
+/// right at the limit still gets an answer.
+const IDLE_TIMEOUT_SLACK_MS: u64 = 1_000;
+/// How long the closing side keeps reading, so that a connection reset does not discard the last
+/// response.
+pub(crate) const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Result of waiting for a request.
+pub(crate) enum NextRequest {
     Request(RequestHead, ClockMs),
     Refused(Refusal),
     Ended,
 }
 
-/// A caller's side of the connection.
+/// The read half of a caller's connection.
 pub(crate) struct Caller {
     buffer: BytesMut,
     reader: OwnedReadHalf,
 }
 
-/// Why a body could not be had.
+/// Why a body could not be read.
 pub(crate) enum BodyError {
     Ended,
     Refused(Refusal),
@@ -61,37 +62,38 @@
 impl Caller {
     pub(crate) fn new(reader: OwnedReadHalf) -> Self {
         Self {
-            buffer: BytesMut::with_capacity(READ_BYTES),
+            buffer: BytesMut::with_capacity(READ_RESERVE_BYTES),
             reader,
         }
     }
 
     /// Waits for the head of the next request.
-    pub(crate) async fn next_request(&mut self, relay: &Rc<Relay>) -> Next {
-        if self.buffer.is_empty() && !self.await_bytes(relay).await {
-            return Next::Ended;
+    pub(crate) async fn next_request(&mut self, relay: &Rc<Relay>) -> NextRequest {
+        if self.buffer.is_empty() && !self.wait_for_bytes(relay).await {
+            return NextRequest::Ended;
         }
         let received_at = relay.now();
         let limits = limits_of(relay);
         let max_bytes = usize::try_from(limits.header_bytes).unwrap_or(usize::MAX);
         let reading = self.read_head(max_bytes);
         match timeout(Duration::from_millis(limits.header_timeout_ms), reading).await {
-            Ok(Ok(Some(head))) => Next::Request(head, received_at),
-            Ok(Ok(None)) => Next::Ended,
-            Ok(Err(ParseError::HeadTooLong)) => Next::Refused(Refusal::HeadTooLong),
-            Ok(Err(_)) => Next::Refused(Refusal::Malformed),
-            Err(_) => Next::Refused(Refusal::SlowHead),
+            Ok(Ok(Some(head))) => NextRequest::Request(head, received_at),
+            Ok(Ok(None)) => NextRequest::Ended,
+            Ok(Err(ParseError::HeadTooLong)) => NextRequest::Refused(Refusal::HeadTooLong),
+            Ok(Err(_)) => NextRequest::Refused(Refusal::Malformed),
+            Err(_) => NextRequest::Refused(Refusal::SlowHead),
         }
     }
 
-    /// Waits while the connection is idle; false when it is to end.
+    /// Waits while the connection is idle; false when the connection should be closed.
     ///
-    /// The limit is read again when it seems to be over: a caller goes by the newest document, and may
-    /// send its next request later than the one allowed that was in force when the rest began.
-    async fn await_bytes(&mut self, relay: &Rc<Relay>) -> bool {
+    /// The limit is read again when it seems to have expired: a caller goes by the newest document,
+    /// and may send its next request later than allowed by the document that was active when the
+    /// connection became idle.
+    async fn wait_for_bytes(&mut self, relay: &Rc<Relay>) -> bool {
         let began_at = relay.now();
         loop {
-            let idle_ms = limits_of(relay).idle_timeout_ms + IDLE_SLACK_MS;
+            let idle_ms = limits_of(relay).idle_timeout_ms + IDLE_TIMEOUT_SLACK_MS;
             let left_ms = (began_at + idle_ms).since(relay.now());
             if left_ms == 0 {
                 return false;
@@ -104,9 +106,9 @@
                     }
                 }
                 () = relay.stopping.requested() => {
-                    // What is on its way when the shutdown begins is still answered.
+                    // A request that is in transit when the shutdown begins is still answered.
                     let last = self.read_more();
-                    return matches!(timeout(LINGER, last).await, Ok(Ok(true)));
+                    return matches!(timeout(LINGER_TIMEOUT, last).await, Ok(Ok(true)));
                 }
             }
         }
@@ -114,7 +116,7 @@
 
     /// Reads once; false at the end of the connection.
     async fn read_more(&mut self) -> io::Result<bool> {
-        read_more(&mut self.reader, &mut self.buffer, READ_BYTES).await
+        read_more(&mut self.reader, &mut self.buffer, READ_RESERVE_BYTES).await
     }
 
     async fn read_head(&mut self, max_bytes: usize) -> Result<Option<RequestHead>, ParseError> {
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Waits until the caller has closed its side. What it sends meanwhile is read ahead.
-    pub(crate) async fn left(&mut self) {
+    /// Waits until the caller has closed its side. Bytes received meanwhile are buffered.
+    pub(crate) async fn wait_for_close(&mut self) {
         loop {
             if self.buffer.len() >= READ_AHEAD_BYTES {
                 std::future::pending::<()>().await;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Ends the connection so that the last answer still arrives.
+    /// Closes the connection such that the last response still arrives.
     pub(crate) async fn linger(&mut self, writer: &mut OwnedWriteHalf) {
         if writer.shutdown().await.is_err() {
             return;
@@ -189,7 +191,7 @@
                 }
             }
         };
-        let _ = timeout(LINGER, draining).await;
+        let _ = timeout(LINGER_TIMEOUT, draining).await;
     }
 }
 
--- a/crates/masticsill_relay/src/discovery.rs
+++ b/crates/masticsill_relay/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Follows the control replicas: the document in force and the endpoints that registered.
+//! Watches the control replicas for the active document and the registered endpoints.
 //!
-//! Every replica is followed at once, so that an entry in touch with the one that acknowledged
-//! something hears of it directly. What they tell of the document's version goes to the duty that
-//! fetches it, and what that has read comes into force here.
+//! All replicas are watched at once, so that an entry learns of a change directly from the replica
+//! that acknowledged it. The document versions that the replicas report go to the duty that fetches
+//! documents; the documents it has read become active here.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,105 +19,107 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::documents::ReadDocument;
+use crate::documents::ParsedDocument;
 use crate::events;
 use crate::relay::Relay;
-use crate::suspects::{Told, tell_crashes};
+use crate::suspects::{ReportedRevision, report_crashes};
 
-/// Longest wait for news.
-const WAIT_MS: u64 = 1_000;
-/// How often the own zone's replica is told of this entry's load and asked for the others':
-/// about as often as requests for long generations come.
-const LOADS_MS: u64 = 200;
-/// Pause before changed loads are told, so that what happens at the same moment shares a message.
-const LOADS_PAUSE: Duration = Duration::from_millis(4);
-/// Pause before an address is asked again whether it serves control, and who else does.
+/// Maximum wait for a watch reply, in milliseconds.
+const WATCH_TIMEOUT_MS: u64 = 1_000;
+/// Maximum wait for a watch reply of a replica in this zone, in milliseconds. Each watch request
+/// carries this entry's loads and its reply the other entries' loads; the interval is about that
+/// between requests for long generations.
+const OWN_ZONE_WATCH_TIMEOUT_MS: u64 = 200;
+/// Delay before changed loads are reported, so that simultaneous changes share a message.
+const LOAD_REPORT_DELAY: Duration = Duration::from_millis(4);
+/// Pause before an address is asked again whether it serves control, and which other replicas
+/// exist.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a replica did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What the followers share.
+/// State shared by the tasks that watch replicas.
 struct Discovery {
-    followed: RefCell<IndexSet<SocketAddr>>,
+    watched_addresses: RefCell<IndexSet<SocketAddr>>,
     relay: Rc<Relay>,
-    /// For the duty that fetches documents.
+    /// Document versions per replica, for the duty that fetches documents.
     sources: watch::Sender<DocumentSources>,
 }
 
-/// Follows the seeds, every replica that they tell of, and those that are told later.
+/// Watches the seed addresses, every replica that they report, and addresses added later.
 pub(crate) fn start_discovery(
     relay: &Rc<Relay>,
-    told: Ring<SocketAddr>,
+    new_seeds: Ring<SocketAddr>,
     sources: watch::Sender<DocumentSources>,
-    read: Ring<ReadDocument>,
+    parsed: Ring<ParsedDocument>,
 ) {
     let discovery = Rc::new(Discovery {
-        followed: RefCell::default(),
+        watched_addresses: RefCell::default(),
         relay: Rc::clone(relay),
         sources,
     });
-    spawn_local(take_documents(Rc::clone(relay), read));
+    spawn_local(install_documents(Rc::clone(relay), parsed));
     for seed in &relay.config.control_seeds {
-        discovery.follow_once(*seed);
+        discovery.start_watching(*seed);
     }
     spawn_local(async move {
-        while let Some(address) = told.pop().await {
-            discovery.follow_once(address);
+        while let Some(address) = new_seeds.pop().await {
+            discovery.start_watching(address);
         }
     });
 }
 
 impl Discovery {
-    fn follow_once(self: &Rc<Self>, address: SocketAddr) {
-        if self.followed.borrow_mut().insert(address) {
-            spawn_local(follow(Rc::clone(self), address));
+    fn start_watching(self: &Rc<Self>, address: SocketAddr) {
+        if self.watched_addresses.borrow_mut().insert(address) {
+            spawn_local(watch_replica(Rc::clone(self), address));
         }
     }
 
-    /// Whether a replica answers at an address. A process without state knows of the replicas, and
-    /// they are followed.
+    /// Whether a control replica serves an address. A process without control state reports the
+    /// replicas it knows, and these are watched.
     async fn is_replica(self: &Rc<Self>, address: SocketAddr) -> bool {
         let Some(directory) = self.relay.control.directory(address, None).await else {
             return false;
         };
         for (_, replica) in directory.replicas {
-            self.follow_once(replica);
+            self.start_watching(replica);
         }
         directory.keeps_state
     }
 
-    /// Notes which version a replica has.
+    /// Records which document version a replica has.
     fn note_document(&self, address: SocketAddr, reply: &WatchReply) {
         let source = DocumentSource {
-            is_near: reply.zone == self.relay.config.zone,
+            is_same_zone: reply.zone == self.relay.config.zone,
             version: reply.document_version,
         };
         self.sources.send_if_modified(|sources| {
             let before = sources.get(&address);
-            sources.note(self.relay.now(), address, source);
+            sources.record_answer(self.relay.now(), address, source);
             before != Some(source)
         });
         self.relay.note_document_version(reply.document_version);
     }
 
     fn forget_source(&self, address: SocketAddr) {
-        self.sources.send_modify(|sources| sources.forget(&address));
+        self.sources.send_modify(|sources| sources.remove(&address));
     }
 
-    fn take_endpoints(&self, node: &NodeId, reply: &WatchReply) {
+    fn merge_endpoints(&self, node: &NodeId, reply: &WatchReply) {
         let mut endpoints = self.relay.endpoints.borrow_mut();
         for id in endpoints.merge(node, &reply.endpoints) {
             let Some(endpoint) = endpoints.get(&id) else {
                 continue;
             };
-            if endpoints.is_outlived(&id) {
-                self.relay.end_life(&id);
+            if endpoints.is_superseded(&id) {
+                self.relay.retire_incarnation(&id);
             }
             log_event!(
                 info,
                 events::ENDPOINT_CHANGED,
                 endpoint = id,
-                life = id.life,
+                life = id.incarnation,
                 state = endpoint.announcement.state.name(),
                 address = endpoint.announcement.address,
                 zone = endpoint.announcement.zone,
@@ -129,11 +131,11 @@
     }
 }
 
-/// Puts the documents that were read in force, one after the other.
-async fn take_documents(relay: Rc<Relay>, read: Ring<ReadDocument>) {
-    while let Some(document) = read.pop().await {
+/// Activates the documents that were read, one after the other.
+async fn install_documents(relay: Rc<Relay>, parsed: Ring<ParsedDocument>) {
+    while let Some(document) = parsed.pop().await {
         let version = document.index.document().version;
-        relay.take_index(document.index);
+        relay.install_index(document.index);
         log_event!(
             info,
             events::DOCUMENT_TAKEN,
@@ -148,14 +150,15 @@
     }
 }
 
-/// Follows one replica for good.
-async fn follow(discovery: Rc<Discovery>, address: SocketAddr) {
+/// Watches one replica until the relay ends.
+async fn watch_replica(discovery: Rc<Discovery>, address: SocketAddr) {
     let relay = Rc::clone(&discovery.relay);
     while !discovery.is_replica(address).await {
         sleep(DIRECTORY_INTERVAL).await;
     }
-    // The replica is named by its address here: its node is of no use to an entry.
-    let node = NodeId::new(address.to_string()).expect("an address holds allowed characters");
+    // The address serves as the replica's node id here: an entry has no use for the real one.
+    let node = NodeId::new(address.to_string())
+        .expect("a socket address contains only characters allowed in a node id");
     let watcher = relay.watcher();
     let mut request = WatchRequest {
         document_seen: None,
@@ -164,16 +167,20 @@
         registry: 0,
         revision: 0,
         suspects_revision: 0,
-        wait_ms: WAIT_MS,
+        wait_ms: WATCH_TIMEOUT_MS,
         watcher: watcher.clone(),
     };
-    let told = Told::default();
-    spawn_local(tell_crashes(Rc::clone(&relay), address, told.clone()));
+    let reported = ReportedRevision::default();
+    spawn_local(report_crashes(Rc::clone(&relay), address, reported.clone()));
     let mut is_reached = false;
     let mut is_own_zone = false;
     let mut zone = None;
     loop {
-        request.wait_ms = if is_own_zone { LOADS_MS } else { WAIT_MS };
+        request.wait_ms = if is_own_zone {
+            OWN_ZONE_WATCH_TIMEOUT_MS
+        } else {
+            WATCH_TIMEOUT_MS
+        };
         if let Some(zone) = &zone {
             request.loads = relay.endpoints.borrow().loads_in(relay.now(), zone);
         }
@@ -195,10 +202,10 @@
                 address = address,
                 zone = reply.zone
             );
-            relay.wake_tellers();
+            relay.notify_crash_reporters();
         }
         is_reached = true;
-        relay.note_control_heard();
+        relay.record_control_reply();
         relay
             .control_reached
             .borrow_mut()
@@ -206,60 +213,66 @@
         relay
             .endpoints
             .borrow_mut()
-            .take_loads(relay.now(), &reply.zone, &reply.loads);
+            .update_loads(relay.now(), &reply.zone, &reply.loads);
         if zone.is_none() {
-            let telling = tell_loads(
+            let reporting = report_loads(
                 Rc::clone(&discovery),
                 address,
                 reply.zone.clone(),
                 watcher.clone(),
             );
-            spawn_local(telling);
+            spawn_local(reporting);
         }
         zone = Some(reply.zone.clone());
         is_own_zone = reply.zone == relay.config.zone;
         request.document_seen = reply.document_version.max(request.document_seen);
         request.loads_revision = reply.loads_revision;
-        relay.take_suspects(&reply.suspects);
+        relay.merge_crash_records(&reply.suspects);
         request.suspects_revision = reply.suspects_revision;
         if reply.registry != request.registry {
-            // Another life of the replica may have forgotten what it was told.
-            told.begin_anew();
-            relay.wake_tellers();
+            // A restarted replica may have lost what was reported to it.
+            reported.reset();
+            relay.notify_crash_reporters();
         }
         request.registry = reply.registry;
         request.revision = reply.revision;
         discovery.note_document(address, &reply);
-        discovery.take_endpoints(&node, &reply);
+        discovery.merge_endpoints(&node, &reply);
         relay.entries.borrow_mut().note(relay.now(), reply.entries);
-        relay.take_nearby(&reply.entries_nearby);
+        relay.update_zone_share(&reply.entries_nearby);
         if !reply.endpoints.is_empty() {
-            relay.note_news();
+            relay.notify_discovery();
         }
-        relay.room_changed.notify_one();
+        relay.capacity_changed.notify_one();
         for (_, member) in &reply.members {
-            discovery.follow_once(*member);
+            discovery.start_watching(*member);
         }
     }
 }
 
-/// Tells a replica of this entry's streams in its zone whenever they change, for good.
+/// Reports this entry's streams in a replica's zone to that replica whenever they change, until the
+/// relay ends.
 ///
-/// A question brings the loads along as well, but the next one may be a second away, and entries
-/// that choose on old loads send their prompts to the same engine.
-async fn tell_loads(discovery: Rc<Discovery>, address: SocketAddr, zone: ZoneId, watcher: Watcher) {
+/// Watch requests carry the loads as well, but the next one may be a second away, and entries that
+/// select endpoints by outdated loads send their prompts to the same engine.
+async fn report_loads(
+    discovery: Rc<Discovery>,
+    address: SocketAddr,
+    zone: ZoneId,
+    watcher: Watcher,
+) {
     let relay = &discovery.relay;
     let mut changes = relay.load_changes.subscribe();
-    let mut told = 0;
+    let mut reported = 0;
     while changes.changed().await.is_ok() {
-        sleep(LOADS_PAUSE).await;
+        sleep(LOAD_REPORT_DELAY).await;
         let count = changes.borrow_and_update().get(&zone).copied();
-        if count.is_none_or(|count| count == told) {
+        if count.is_none_or(|count| count == reported) {
             continue;
         }
-        told = count.unwrap_or_default();
+        reported = count.unwrap_or_default();
         let loads = relay.endpoints.borrow().loads_in(relay.now(), &zone);
-        // What a replica that can't be reached misses comes with the next question.
+        // Loads that an unreachable replica misses are included in the next watch request.
         relay.control.tell_loads(address, &watcher, &loads).await;
     }
 }
--- a/crates/masticsill_relay/src/documents.rs
+++ b/crates/masticsill_relay/src/documents.rs
@@ -1,7 +1,7 @@
-//! Fetches and reads documents on a thread of its own, so that streams never wait for either.
+//! Fetches and parses documents on a separate thread, so that neither delays streams.
 //!
-//! One version at a time is fetched, piece by piece, and read; versions that were superseded before
-//! they were begun are skipped. What was read goes to the relay's thread through a ring.
+//! One version at a time is fetched piece by piece and parsed. Versions superseded before their
+//! fetch begins are skipped. Parsed documents go to the relay's thread through a ring.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use futures::stream::FuturesUnordered;
 use indexmap::IndexSet;
 use masticsill_catalogue::{
-    DocumentSources, FetchPace, JoinedDocument, PackedPiece, PieceFetch, PieceHash, PieceList,
+    DocumentSources, FetchPacer, JoinedDocument, PackedPiece, PieceFetch, PieceHash, PieceList,
     RouteIndex,
 };
 use masticsill_control_client::{AddressBook, ControlClient};
@@ -24,17 +24,18 @@
 use crate::config::DocumentReader;
 use crate::events;
 
-/// Documents that were read and wait for the relay's thread; the oldest gives way to a new one.
-pub(crate) const READ_RING_ITEMS: usize = 2;
-/// Longest wait for an answer. Of 32 KB this bears a link of 0.3 Mbit/s; after a silence less is
-/// asked for.
+/// Maximum number of parsed documents that wait for the relay's thread; a new one displaces the
+/// oldest.
+pub(crate) const PARSED_RING_ITEMS: usize = 2;
+/// Timeout of a call, in milliseconds: a reply of 32 KB arrives within it over a link of 0.3
+/// Mbit/s. After a timeout less is requested.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// Pause after no replica could be asked, or none had what was asked for.
+/// Pause when no replica could be asked, or none had what was requested.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// A document that is ready to come into force.
+/// A parsed document that is ready to become active.
 #[derive(Debug)]
-pub(crate) struct ReadDocument {
+pub(crate) struct ParsedDocument {
     pub(crate) fetch_ms: u64,
     pub(crate) fetched_bytes: u64,
     pub(crate) fetched_pieces: usize,
@@ -44,30 +45,31 @@
     pub(crate) reused_pieces: usize,
 }
 
-/// What the duty is built from.
+/// Inputs of the duty that fetches documents.
 #[derive(Debug)]
 pub(crate) struct DocumentParts {
     pub(crate) clock: MonotonicClock,
-    /// Told when the relay's thread has ended; one that drains still takes new documents.
+    /// Signalled when the relay's thread has ended; a relay that drains still activates new
+    /// documents.
     pub(crate) ended: ShutdownSignal,
-    /// Whether requests are being answered, to which the link is left in part.
+    /// Whether requests are being answered, for which part of the link's bandwidth is left free.
     pub(crate) is_relaying: Arc<AtomicBool>,
-    pub(crate) read: Ring<ReadDocument>,
+    pub(crate) parsed: Ring<ParsedDocument>,
     pub(crate) reader: DocumentReader,
     pub(crate) sources: watch::Receiver<DocumentSources>,
 }
 
-/// Fetches and reads every document that becomes known, until the relay ends.
+/// Fetches and parses every document that becomes known, until the relay ends.
 pub(crate) async fn run_documents(parts: DocumentParts) {
     let ended = parts.ended.clone();
     let mut duty = DocumentDuty {
         client: ControlClient::new(AddressBook::default()),
         fetch: PieceFetch::default(),
-        pace: FetchPace::default(),
+        pace: FetchPacer::default(),
         parts,
-        read: None,
-        slow: IndexSet::new(),
-        turn: rand::random::<u16>().into(),
+        parsed_version: None,
+        slow_replicas: IndexSet::new(),
+        rotation: rand::random::<u16>().into(),
     };
     tokio::select! {
         () = duty.run() => {}
@@ -75,61 +77,61 @@
     }
 }
 
-/// The bytes of a document, from where they were listed, and when their fetch began.
+/// A fetched document, the replica that listed its pieces, and when the fetch began.
 struct Fetched {
     began: ClockMs,
     document: JoinedDocument,
     from: SocketAddr,
 }
 
-/// Pieces that a replica gave.
+/// Pieces returned by a replica.
 type Pieces = Vec<(PieceHash, PackedPiece)>;
 
-/// What became of a call for pieces.
-struct Answer {
-    /// Whether another replica was asked because the first was late, and its answer came first.
+/// Outcome of a call for pieces.
+struct PiecesReply {
+    /// Whether the first replica was late, and another one that was asked as well answered first.
     is_late: bool,
     pieces: Option<Pieces>,
 }
 
 struct DocumentDuty {
-    /// Its own connections: pieces don't hold up news of endpoints.
+    /// Client with its own connections, so that pieces do not delay endpoint updates.
     client: ControlClient,
     fetch: PieceFetch,
-    pace: FetchPace,
+    pace: FetchPacer,
     parts: DocumentParts,
-    /// The last version that was read.
-    read: Option<u64>,
-    /// Replicas that were late with pieces of the version that is being fetched.
-    slow: IndexSet<SocketAddr>,
-    /// Shares the work of equal replicas among relays.
-    turn: usize,
+    /// The last version that was parsed.
+    parsed_version: Option<u64>,
+    /// Replicas that were late with pieces of the version being fetched.
+    slow_replicas: IndexSet<SocketAddr>,
+    /// Random offset that spreads the load of equally suitable replicas among relays.
+    rotation: usize,
 }
 
 impl DocumentDuty {
     async fn run(&mut self) {
         loop {
-            let read = self.read;
-            let is_newer = |sources: &DocumentSources| sources.newest() > read;
+            let parsed_version = self.parsed_version;
+            let is_newer = |sources: &DocumentSources| sources.newest() > parsed_version;
             if self.parts.sources.wait_for(is_newer).await.is_err() {
                 return;
             }
             match self.fetch().await {
-                Some(fetched) => self.read(fetched),
+                Some(fetched) => self.parse(fetched),
                 None => sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    /// Fetches the newest version; none when it can't be had at the moment.
+    /// Fetches the newest version; `None` if it is not available at the moment.
     async fn fetch(&mut self) -> Option<Fetched> {
         let began = self.parts.clock.now();
         let (list, from) = self.list().await?;
-        if Some(list.version) <= self.read {
+        if Some(list.version) <= self.parsed_version {
             return None;
         }
         self.fetch.begin(list);
-        self.slow.clear();
+        self.slow_replicas.clear();
         while let Some(version) = self.fetch.version() {
             match self.fetch.join() {
                 Ok(Some(document)) => {
@@ -140,9 +142,9 @@
                     });
                 }
                 Ok(None) => {
-                    if !self.fetch_some().await {
-                        // What came is kept for the next version.
-                        self.fetch.give_up();
+                    if !self.fetch_next().await {
+                        // The pieces received so far are kept for the next version.
+                        self.fetch.abandon();
                     }
                 }
                 Err(cause) => {
@@ -158,17 +160,18 @@
         None
     }
 
-    /// Asks what the newest version consists of: one replica, and the next as well once the answer is
-    /// late. A list is small; a replica that cuts a large document first needs some time for it.
+    /// Requests the piece list of the newest version from one replica, and from a further one each
+    /// time the reply is late. A list is small, but a replica that first has to cut a large
+    /// document needs some time.
     async fn list(&self) -> Option<(PieceList, SocketAddr)> {
         let late = Duration::from_millis(self.pace.late_ms() * 2);
-        let mut passed_over = IndexSet::new();
+        let mut skipped = IndexSet::new();
         let mut calls = FuturesUnordered::new();
         loop {
-            match self.lister(&passed_over) {
+            match self.choose_list_source(&skipped) {
                 Some((version, address)) => {
-                    passed_over.insert(address);
-                    calls.push(self.ask_list(address, version));
+                    skipped.insert(address);
+                    calls.push(self.request_list(address, version));
                 }
                 None if calls.is_empty() => return None,
                 None => {}
@@ -179,89 +182,94 @@
         }
     }
 
-    fn lister(&self, passed_over: &IndexSet<SocketAddr>) -> Option<(u64, SocketAddr)> {
+    fn choose_list_source(&self, skipped: &IndexSet<SocketAddr>) -> Option<(u64, SocketAddr)> {
         let sources = self.parts.sources.borrow();
         let now = self.parts.clock.now();
-        let address = sources.lister(now, self.turn, passed_over)?;
+        let address = sources.choose_list_source(now, self.rotation, skipped)?;
         Some((sources.newest()?, address))
     }
 
-    async fn ask_list(&self, address: SocketAddr, version: u64) -> Option<(PieceList, SocketAddr)> {
+    async fn request_list(
+        &self,
+        address: SocketAddr,
+        version: u64,
+    ) -> Option<(PieceList, SocketAddr)> {
         let client = &self.client;
-        let asked = client.document_pieces(address, version, CALL_TIMEOUT_MS);
-        Some((asked.await?, address))
+        let primary = client.document_pieces(address, version, CALL_TIMEOUT_MS);
+        Some((primary.await?, address))
     }
 
-    /// Fetches the next pieces, from one replica after the other; false when none has them.
-    async fn fetch_some(&mut self) -> bool {
-        let mut passed_over = self.slow.clone();
+    /// Fetches the next pieces, trying one replica after the other; false if none has them.
+    async fn fetch_next(&mut self) -> bool {
+        let mut skipped = self.slow_replicas.clone();
         loop {
-            let Some(address) = self.holder(&passed_over) else {
-                if self.slow.is_empty() {
+            let Some(address) = self.choose_piece_source(&skipped) else {
+                if self.slow_replicas.is_empty() {
                     return false;
                 }
-                self.slow.clear();
-                passed_over.clear();
+                self.slow_replicas.clear();
+                skipped.clear();
                 continue;
             };
             let wanted = self.fetch.next(self.pace.call_bytes());
             let began = self.parts.clock.now();
-            let answer = self.ask(address, &wanted).await;
+            let reply = self.request_pieces(address, &wanted).await;
             let took_ms = self.parts.clock.now().since(began);
-            let has_taken = self.take(answer.pieces);
-            if answer.is_late {
-                self.slow.insert(address);
+            let has_progress = self.store_pieces(reply.pieces);
+            if reply.is_late {
+                self.slow_replicas.insert(address);
             }
-            if has_taken {
+            if has_progress {
                 let is_relaying = self.parts.is_relaying.load(Ordering::Relaxed);
                 let pause_ms = self.pace.pause_ms(took_ms, is_relaying);
                 sleep(Duration::from_millis(pause_ms)).await;
                 return true;
             }
-            passed_over.insert(address);
+            skipped.insert(address);
         }
     }
 
-    fn holder(&self, passed_over: &IndexSet<SocketAddr>) -> Option<SocketAddr> {
+    fn choose_piece_source(&self, skipped: &IndexSet<SocketAddr>) -> Option<SocketAddr> {
         let version = self.fetch.version()?;
         let sources = self.parts.sources.borrow();
-        sources.holder(version, self.turn, passed_over)
+        sources.choose_piece_source(version, self.rotation, skipped)
     }
 
-    /// Asks a replica, and another one for the first piece alone when the answer is late.
-    async fn ask(&mut self, address: SocketAddr, wanted: &[PieceHash]) -> Answer {
+    /// Requests pieces from a replica. If the reply is late, requests the first piece alone from
+    /// another one as well.
+    async fn request_pieces(&mut self, address: SocketAddr, wanted: &[PieceHash]) -> PiecesReply {
         let began = self.parts.clock.now();
         let client = self.client.clone();
-        let asked = client.find_pieces(address, wanted, CALL_TIMEOUT_MS);
-        tokio::pin!(asked);
+        let primary = client.find_pieces(address, wanted, CALL_TIMEOUT_MS);
+        tokio::pin!(primary);
         let late = sleep(Duration::from_millis(self.pace.late_ms()));
-        let answer = tokio::select! {
-            pieces = &mut asked => Answer { is_late: false, pieces },
+        let reply = tokio::select! {
+            pieces = &mut primary => PiecesReply { is_late: false, pieces },
             () = late => {
-                let mut passed_over = self.slow.clone();
-                passed_over.insert(address);
-                match self.holder(&passed_over) {
+                let mut skipped = self.slow_replicas.clone();
+                skipped.insert(address);
+                match self.choose_piece_source(&skipped) {
                     Some(other) => {
                         let hedge = client.find_pieces(other, &wanted[..1], CALL_TIMEOUT_MS);
-                        first_answer(asked, hedge).await
+                        first_reply(primary, hedge).await
                     }
-                    None => Answer { is_late: false, pieces: asked.await },
+                    None => PiecesReply { is_late: false, pieces: primary.await },
                 }
             }
         };
-        match &answer.pieces {
-            Some(_) => self.pace.note_answer(self.parts.clock.now().since(began)),
-            None => self.pace.note_silence(),
+        match &reply.pieces {
+            Some(_) => self.pace.record_answer(self.parts.clock.now().since(began)),
+            None => self.pace.record_timeout(),
         }
-        answer
+        reply
     }
 
-    /// Takes what came; whether something was missing of it.
-    fn take(&mut self, pieces: Option<Pieces>) -> bool {
-        let mut has_taken = false;
+    /// Stores received pieces; returns whether any of them was still missing.
+    fn store_pieces(&mut self, pieces: Option<Pieces>) -> bool {
+        let mut has_progress = false;
         for (hash, piece) in pieces.into_iter().flatten() {
-            match self.fetch.take(hash, &piece) {
-                Ok(is_missing) => has_taken |= is_missing,
+            match self.fetch.accept_piece(hash, &piece) {
+                Ok(is_missing) => has_progress |= is_missing,
                 Err(cause) => log_event!(
                     error,
                     events::PIECE_DAMAGED,
@@ -270,20 +278,20 @@
                 ),
             }
         }
-        has_taken
+        has_progress
     }
 
-    /// Reads a document, and hands it to the relay's thread.
-    fn read(&mut self, fetched: Fetched) {
+    /// Parses a document and hands it to the relay's thread.
+    fn parse(&mut self, fetched: Fetched) {
         let Fetched {
             began,
             document,
             from,
         } = fetched;
-        self.read = Some(document.version);
+        self.parsed_version = Some(document.version);
         let fetched_at = self.parts.clock.now();
         let index = match (self.parts.reader)(&document.bytes) {
-            Ok(read) => RouteIndex::new(read),
+            Ok(document) => RouteIndex::new(document),
             Err(cause) => {
                 log_event!(
                     error,
@@ -295,7 +303,7 @@
                 return;
             }
         };
-        self.hand_over(ReadDocument {
+        self.publish(ParsedDocument {
             fetch_ms: fetched_at.since(began),
             fetched_bytes: document.fetched_bytes,
             fetched_pieces: document.fetched_pieces,
@@ -306,29 +314,29 @@
         });
     }
 
-    fn hand_over(&self, document: ReadDocument) {
+    fn publish(&self, document: ParsedDocument) {
         let mut next = document;
-        while let Err(RingFull(document)) = self.parts.read.push(next) {
-            if self.parts.read.is_closed() {
+        while let Err(RingFull(document)) = self.parts.parsed.push(next) {
+            if self.parts.parsed.is_closed() {
                 return;
             }
-            // The relay's thread has not come to the older one, which is superseded.
-            drop(self.parts.read.try_pop());
+            // The relay's thread has not taken the older document yet, which is now superseded.
+            drop(self.parts.parsed.try_pop());
             next = document;
         }
     }
 }
 
-/// The first of two calls that is answered with pieces; none when neither is.
-async fn first_answer(
-    asked: impl Future<Output = Option<Pieces>>,
+/// Returns the first of two replies that contains pieces; `None` or no pieces if neither does.
+async fn first_reply(
+    primary: impl Future<Output = Option<Pieces>>,
     hedge: impl Future<Output = Option<Pieces>>,
-) -> Answer {
+) -> PiecesReply {
     let has_some = |pieces: &Option<Pieces>| pieces.as_ref().is_some_and(|it| !it.is_empty());
-    tokio::pin!(asked, hedge);
+    tokio::pin!(primary, hedge);
     let (pieces, is_late) = tokio::select! {
-        pieces = &mut asked => if has_some(&pieces) { (pieces, false) } else { (hedge.await, true) },
-        pieces = &mut hedge => if has_some(&pieces) { (pieces, true) } else { (asked.await, false) },
+        pieces = &mut primary => if has_some(&pieces) { (pieces, false) } else { (hedge.await, true) },
+        pieces = &mut hedge => if has_some(&pieces) { (pieces, true) } else { (primary.await, false) },
     };
-    Answer { is_late, pieces }
+    PiecesReply { is_late, pieces }
 }
--- a/crates/masticsill_relay/src/reservation.rs
+++ b/crates/masticsill_relay/src/reservation.rs
@@ -1,7 +1,8 @@
-//! The place that a request takes at an endpoint from the moment of its choice.
+//! The reservation that a request holds at an endpoint from the moment the endpoint is chosen.
 //!
-//! Were it counted only once its connection stands, requests that are placed at the same moment,
-//! as when a zone has just gone down, would all choose the engine that was the emptiest before.
+//! If a request were counted only once its connection is established, requests placed at the same
+//! moment, for example after a zone failure, would all choose the engine that was the least loaded
+//! before.
 
 use std::rc::Rc;
 
@@ -12,26 +13,26 @@
 
 use crate::relay::Relay;
 
-/// What a request takes at an endpoint.
+/// The load that a request puts on an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Place {
-    /// A run that goes on from a copy of its memory: nothing is read.
+pub(crate) enum ReservedLoad {
+    /// A run that resumes from a copy of its KV cache, without a prefill.
     Copy {
-        /// Tokens that it holds in the end.
+        /// Tokens in the KV cache at the end of the run.
         tokens: u64,
     },
-    /// A run that begins with its prompt.
+    /// A run that begins with the prefill of its prompt.
     Prompt {
-        /// Tokens that the prompt has.
+        /// Tokens of the prompt.
         prompt_tokens: u64,
-        /// Tokens that the run holds in the end.
+        /// Tokens in the KV cache at the end of the run.
         tokens: u64,
     },
-    /// A whole answer.
+    /// A plain request.
     Whole,
 }
 
-impl From<&Work> for Place {
+impl From<&Work> for ReservedLoad {
     fn from(work: &Work) -> Self {
         match work {
             Work::Stream {
@@ -47,7 +48,7 @@
     }
 }
 
-impl Place {
+impl ReservedLoad {
     fn tokens(self) -> u64 {
         match self {
             Self::Copy { tokens } | Self::Prompt { tokens, .. } => tokens,
@@ -56,34 +57,35 @@
     }
 }
 
-/// A prompt that is being read.
+/// A prefill in progress.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct Prefill {
     began_at: ClockMs,
-    /// Whether no other prompt was before it, so that its time tells of the engine.
+    /// Whether no other prefill was in progress when this one began, so that its duration is a
+    /// measure of the engine's speed.
     is_alone: bool,
     tokens: u64,
 }
 
-/// A request's place at an endpoint; dropped, it is free again.
+/// A request's reservation at an endpoint, released on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     endpoint: Announcement,
-    place: Place,
-    reading: Option<Reading>,
+    load: ReservedLoad,
+    prefill: Option<Prefill>,
     relay: Rc<Relay>,
     /// The request, if an endpoint has crashed under it.
     suspect: Option<Fingerprint>,
 }
 
 impl Reservation {
-    /// Takes a place.
-    pub(crate) fn take(relay: &Rc<Relay>, endpoint: Announcement, place: Place) -> Self {
-        let mut reading = None;
+    /// Reserves capacity at an endpoint.
+    pub(crate) fn take(relay: &Rc<Relay>, endpoint: Announcement, load: ReservedLoad) -> Self {
+        let mut prefill = None;
         let began_at = relay.now();
         relay.with_endpoint(&endpoint.id, |it| {
-            if let Place::Prompt { prompt_tokens, .. } = place {
-                reading = Some(Reading {
+            if let ReservedLoad::Prompt { prompt_tokens, .. } = load {
+                prefill = Some(Prefill {
                     began_at,
                     is_alone: it.reading_total(began_at) == 0,
                     tokens: prompt_tokens,
@@ -91,62 +93,64 @@
                 it.begin_reading();
             }
             it.in_flight += 1;
-            it.held_tokens += place.tokens();
+            it.held_tokens += load.tokens();
         });
         let reservation = Self {
             endpoint,
-            place,
-            reading,
+            load,
+            prefill,
             relay: Rc::clone(relay),
             suspect: None,
         };
-        reservation.tell();
+        reservation.report_change();
         reservation
     }
 
-    /// Where the place is.
+    /// The endpoint of the reservation.
     pub(crate) fn endpoint(&self) -> &Announcement {
         &self.endpoint
     }
 
-    /// Notes that an endpoint has crashed under the request, so that others of the kind go elsewhere.
-    pub(crate) fn note_suspect(&mut self, fingerprint: Fingerprint) {
+    /// Records that an endpoint has crashed under the request, so that other such requests avoid
+    /// this endpoint.
+    pub(crate) fn mark_suspect_run(&mut self, fingerprint: Fingerprint) {
         self.suspect = Some(fingerprint);
         let run = (fingerprint, self.endpoint.id.clone());
         self.relay.suspect_runs.borrow_mut().push(run);
     }
 
-    /// Notes how much of the prompt the engine keeps: that much is not read.
-    pub(crate) fn note_kept(&mut self, tokens: u64) {
-        if let Some(reading) = &mut self.reading {
-            reading.tokens = reading.tokens.saturating_sub(tokens);
+    /// Records how many prompt tokens the engine has cached, which are left out of the prefill.
+    pub(crate) fn record_cached_tokens(&mut self, tokens: u64) {
+        if let Some(prefill) = &mut self.prefill {
+            prefill.tokens = prefill.tokens.saturating_sub(tokens);
         }
     }
 
-    /// Notes the first event of a stream: its prompt has been read.
-    pub(crate) fn end_reading(&mut self) {
-        let Some(reading) = self.reading.take() else {
+    /// Records the end of the prefill, at the first event of a stream.
+    pub(crate) fn end_prefill(&mut self) {
+        let Some(prefill) = self.prefill.take() else {
             return;
         };
         let now = self.relay.now();
-        let elapsed_ms = now.since(reading.began_at);
+        let elapsed_ms = now.since(prefill.began_at);
         self.relay.with_endpoint(&self.endpoint.id, |it| {
             it.end_reading(now);
-            if reading.is_alone {
-                it.reading_pace.note(reading.tokens, elapsed_ms);
+            if prefill.is_alone {
+                it.reading_pace.note(prefill.tokens, elapsed_ms);
             }
         });
-        self.tell();
-        self.relay.room_changed.notify_one();
+        self.report_change();
+        self.relay.capacity_changed.notify_one();
     }
 
-    /// Lets the other entries hear of it. Whole answers end sooner than the word would arrive.
-    fn tell(&self) {
-        match self.place {
-            Place::Copy { .. } | Place::Prompt { .. } => {
+    /// Triggers a load report to the other entries, except for plain requests, which end sooner
+    /// than the report would arrive.
+    fn report_change(&self) {
+        match self.load {
+            ReservedLoad::Copy { .. } | ReservedLoad::Prompt { .. } => {
                 self.relay.note_load_change(&self.endpoint.zone);
             }
-            Place::Whole => {}
+            ReservedLoad::Whole => {}
         }
     }
 }
@@ -156,34 +160,34 @@
         if let Some(suspect) = self.suspect {
             let run = (suspect, self.endpoint.id.clone());
             let mut runs = self.relay.suspect_runs.borrow_mut();
-            if let Some(place) = runs.iter().position(|it| *it == run) {
-                runs.swap_remove(place);
+            if let Some(position) = runs.iter().position(|it| *it == run) {
+                runs.swap_remove(position);
             }
         }
-        let is_reading = self.reading.is_some();
+        let is_prefilling = self.prefill.is_some();
         let now = self.relay.now();
         self.relay.with_endpoint(&self.endpoint.id, |it| {
-            if is_reading {
+            if is_prefilling {
                 it.end_reading(now);
             }
             it.in_flight = it.in_flight.saturating_sub(1);
-            it.held_tokens = it.held_tokens.saturating_sub(self.place.tokens());
-            it.note_left(now);
+            it.held_tokens = it.held_tokens.saturating_sub(self.load.tokens());
+            it.record_release(now);
         });
-        self.tell();
-        self.relay.room_changed.notify_one();
+        self.report_change();
+        self.relay.capacity_changed.notify_one();
     }
 }
 
-/// Memory of an engine that a copy of another engine's run takes; dropped, it counts no more.
+/// Memory reserved at an engine for a copy of another engine's run; released on drop.
 #[derive(Debug)]
-pub(crate) struct CopyPlace {
+pub(crate) struct CopyReservation {
     endpoint: EndpointId,
     relay: Rc<Relay>,
     tokens: u64,
 }
 
-impl CopyPlace {
+impl CopyReservation {
     pub(crate) fn take(relay: &Rc<Relay>, endpoint: &Announcement, tokens: u64) -> Self {
         relay.with_endpoint(&endpoint.id, |it| it.held_tokens += tokens);
         relay.note_load_change(&endpoint.zone);
@@ -195,18 +199,18 @@
     }
 }
 
-impl Drop for CopyPlace {
+impl Drop for CopyReservation {
     fn drop(&mut self) {
         let mut zone = None;
         let now = self.relay.now();
         self.relay.with_endpoint(&self.endpoint, |it| {
-            it.note_left(now);
+            it.record_release(now);
             it.held_tokens = it.held_tokens.saturating_sub(self.tokens);
             zone = Some(it.announcement.zone.clone());
         });
         if let Some(zone) = zone {
             self.relay.note_load_change(&zone);
-            self.relay.room_changed.notify_one();
+            self.relay.capacity_changed.notify_one();
         }
     }
 }
--- a/crates/masticsill_relay/tests/common/mod.rs
+++ b/crates/masticsill_relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A control replica that has documents and nothing else, behind a proxy.
+//! A control replica that serves documents and nothing else, behind a fault proxy.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -9,12 +9,13 @@
 
 use futures::StreamExt;
 use masticsill_catalogue::{
-    ChangeAnswer, Claim, ClaimAnswer, DocumentAnswer, PackedPiece, PieceBook, PieceHash, PieceList,
-    Reassign, Settle, StoredDocument,
+    ChangeAnswer, Claim, ClaimAnswer, DocumentAnswer, PackedPiece, PieceHash, PieceList,
+    PieceStore, Reassign, Settle, StoredDocument,
 };
 use masticsill_quarantine::RequestRecord;
 use masticsill_registry::{
-    Announcement, EndpointId, EndpointLoad, KeptTokens, PlaceRequest, PromptPart, Watcher,
+    Announcement, CachedTokens, EndpointId, EndpointLoad, EngineReservationRequest, PromptPart,
+    Watcher,
 };
 use masticsill_runtime::{DutyHandle, ShutdownSignal, listen, spawn_async_duty};
 use masticsill_testkit::FaultProxy;
@@ -32,7 +33,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    book: Mutex<PieceBook>,
+    book: Mutex<PieceStore>,
     calls: AtomicU64,
     sent_bytes: AtomicU64,
     versions: watch::Sender<Option<u64>>,
@@ -44,7 +45,7 @@
     shared: Arc<Shared>,
 }
 
-/// A replica that answers what a relay asks about documents.
+/// A replica that answers a relay's calls about documents.
 pub(crate) struct Replica {
     duty: Option<DutyHandle>,
     ended: ShutdownSignal,
@@ -92,17 +93,17 @@
         self.shared.versions.send_replace(Some(version));
     }
 
-    /// Tells of a version whose pieces can't be had yet.
+    /// Reports a version whose pieces are not available yet.
     pub(crate) fn announce(&self, version: u64) {
         self.shared.versions.send_replace(Some(version));
     }
 
-    /// Calls for pieces so far.
+    /// Number of calls for pieces so far.
     pub(crate) fn calls(&self) -> u64 {
         self.shared.calls.load(Ordering::Relaxed)
     }
 
-    /// Packed bytes of the pieces that were given.
+    /// Packed bytes of the pieces sent so far.
     pub(crate) fn sent_bytes(&self) -> u64 {
         self.shared.sent_bytes.load(Ordering::Relaxed)
     }
@@ -172,11 +173,11 @@
 
     async fn tell_crashes(self, _: Context, _: Vec<RequestRecord>) {}
 
-    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<KeptTokens> {
+    async fn find_kept(self, _: Context, _: Vec<PromptPart>) -> Vec<CachedTokens> {
         Vec::new()
     }
 
-    async fn take_place(self, _: Context, _: PlaceRequest) -> Option<EndpointLoad> {
+    async fn take_place(self, _: Context, _: EngineReservationRequest) -> Option<EndpointLoad> {
         None
     }
 
@@ -229,7 +230,7 @@
     }
 
     async fn renew(self, _: Context, _: RenewRequest) -> RenewReply {
-        unreachable!("a relay has no catalogue to renew")
+        unreachable!("a relay does not renew a catalogue")
     }
 
     async fn put_document(self, _: Context, _: DocumentChange) -> ControlReply<DocumentAnswer> {
@@ -237,7 +238,7 @@
     }
 }
 
-/// This node's name.
+/// Node id of the relay under test.
 pub(crate) fn node() -> NodeId {
     "relay".parse().unwrap()
 }
--- a/crates/masticsill_routing/examples/decision_time.rs
+++ b/crates/masticsill_routing/examples/decision_time.rs
@@ -1,7 +1,8 @@
-//! Measures the time of a decision, on arrival and from the queues, and the router's memory at the size of letter 1: 1,800
-//! replicas of 35 models and 2,500 workspaces.
+//! Measures the time of a router's decisions, on arrival and from the queues, and its memory with
+//! 1,800 replicas of 35 models and 2,500 workspaces.
 //!
-//! `decision_time [--one-model]`: with the flag all replicas serve one model, the worst case.
+//! Runs without arguments, once with 35 models and once with all replicas serving one model, which
+//! is the worst case.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -9,8 +10,8 @@
 use std::time::Instant;
 
 use masticsill_routing::{
-    Admit, BackEndTarget, Dequeued, EndpointDescription, EntrySeat, LocalLimits, PlacementPolicy,
-    PrefixBlock, Router, WorkOutcome, WorkRequest,
+    AdmitDecision, BackEndTarget, Dequeued, EndpointDescription, EntryRank, LocalLimits,
+    PlacementPolicy, PrefixBlock, Router, WorkOutcome, WorkRequest,
 };
 use masticsill_types::{Class, ClockMs, EndpointKind, GenerationId, LoadReport};
 use rand::rngs::StdRng;
@@ -35,7 +36,7 @@
 
 fn new_router(policy: PlacementPolicy, models: u32) -> Router {
     let mut router = router(policy, 1);
-    router.set_seat(EntrySeat { count: 3, place: 0 });
+    router.set_entry_rank(EntryRank { count: 3, rank: 0 });
     for index in 0..WORKSPACES {
         set_limits(
             &mut router,
@@ -82,7 +83,7 @@
     wanted
 }
 
-/// Load reports of this many running requests at every endpoint.
+/// Delivers a load report with `running` requests for every endpoint.
 fn report_all(router: &mut Router, now: ClockMs, running: u32) {
     for index in 0..REPLICAS {
         let load = LoadReport {
@@ -107,24 +108,24 @@
         }
         let wanted = next_request(id, models, &mut rng);
         let name = wanted.id;
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let answer = router.admit(now, wanted);
-        times.push(u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX));
+        times.push(u64::try_from(began_at.elapsed().as_nanos()).unwrap_or(u64::MAX));
         match answer {
-            Admit::Start(_) => {
+            AdmitDecision::Start(_) => {
                 started += 1;
                 running.push(name);
             }
-            Admit::Queued => queued += 1,
-            Admit::Refused(_) => refused += 1,
+            AdmitDecision::Queued => queued += 1,
+            AdmitDecision::Refused(_) => refused += 1,
         }
         if running.len() > 2_000 {
             let done = running.swap_remove(rng.random_range(0..running.len()));
             router.on_finished(now, done, ended(WorkOutcome::Completed, 100));
         }
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let dequeued = router.next_queued(now);
-        times.push(u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX));
+        times.push(u64::try_from(began_at.elapsed().as_nanos()).unwrap_or(u64::MAX));
         if let Some(Dequeued::Start(id, _)) = dequeued {
             running.push(id);
         }
--- a/crates/masticsill_routing/src/queueing.rs
+++ b/crates/masticsill_routing/src/queueing.rs
@@ -1,19 +1,20 @@
-//! Waiting work: how it is queued, and how its wait ends.
+//! Queued requests: how they enter the queues and how they leave them.
 
 use masticsill_types::{Class, ClockMs, GenerationId, NodeId};
 
-use crate::fair_queue::{Trial, Waiting};
+use crate::fair_queue::{StartAttempt, Waiting};
 use crate::pool::EndpointIndex;
 use crate::refusals::unknown_entry;
 use crate::request::{Dequeued, WorkKind, WorkRequest};
 use crate::router::{Queued, Router};
 
-/// Queues are looked through again after this time even when nothing happened.
-const REVISIT_MS: u64 = 50;
+/// The queues are scanned after this time even if no event occurred, since token buckets refill and
+/// hold-downs end without one.
+const QUEUE_RESCAN_INTERVAL_MS: u64 = 50;
 
 impl Router {
-    /// The next end of a wait. Call it after each event until it gives `None`, and again within
-    /// a few tens of milliseconds.
+    /// The next request that leaves a queue. Call it after each event until it returns `None`, and
+    /// again every few tens of milliseconds.
     pub fn next_queued(&mut self, now: ClockMs) -> Option<Dequeued> {
         if self.queued.is_empty() {
             return None;
@@ -21,27 +22,27 @@
         if let Some(dequeued) = self.refuse_dropped() {
             return Some(dequeued);
         }
-        if now >= self.revisit_at {
-            self.revisit_at = now + REVISIT_MS;
-            self.wake_all();
+        if now >= self.next_rescan_at {
+            self.next_rescan_at = now + QUEUE_RESCAN_INTERVAL_MS;
+            self.schedule_scan_of_all();
         }
         for lane in 0..self.lanes.len() {
             if let Some(request) = self.expire(now, lane) {
-                self.forget_queued(&request);
+                self.remove_queued(&request);
                 let refusal = self.overloaded(&request, "its wait was over before its turn");
                 return Some(Dequeued::Refused(request.id, refusal));
             }
-            if !self.lanes[lane].has_news {
+            if !self.lanes[lane].needs_scan {
                 continue;
             }
             for class in [Class::InstantLookup, Class::PatientDraft] {
                 if let Some((request, index)) = self.start_in_lane(now, lane, class) {
-                    self.forget_queued(&request);
+                    self.remove_queued(&request);
                     let placement = self.start(now, &request, index);
                     return Some(Dequeued::Start(request.id, placement));
                 }
             }
-            self.lanes[lane].has_news = false;
+            self.lanes[lane].needs_scan = false;
         }
         None
     }
@@ -58,22 +59,22 @@
         None
     }
 
-    pub(crate) fn wake_all(&mut self) {
+    pub(crate) fn schedule_scan_of_all(&mut self) {
         for lanes in self.lanes.values_mut() {
-            lanes.has_news = !lanes.is_idle();
+            lanes.needs_scan = !lanes.is_idle();
         }
     }
 
-    /// Marks the lanes of an endpoint's targets for another look.
-    pub(crate) fn wake_lanes_of(&mut self, node: &NodeId) {
+    /// Marks the lanes of an endpoint's targets for a scan.
+    pub(crate) fn schedule_scan_for(&mut self, node: &NodeId) {
         for target in self.table.targets_of(node) {
             if let Some(lanes) = self.lanes.get_mut(&target) {
-                lanes.has_news = true;
+                lanes.needs_scan = true;
             }
         }
     }
 
-    /// Takes out a request that its caller no longer wants. Returns whether it was queued.
+    /// Removes a request that its caller cancelled. Returns whether it was queued.
     pub fn withdraw(&mut self, id: GenerationId) -> bool {
         let Some(queued) = self.queued.get(&id).cloned() else {
             return false;
@@ -95,7 +96,7 @@
     }
 
     pub(crate) fn enqueue(&mut self, now: ClockMs, request: WorkRequest) {
-        let longest = now + self.config.longest_wait_ms(request.class);
+        let longest = now + self.config.max_wait_ms(request.class);
         let expires_at = request
             .deadline
             .map_or(longest, |deadline| deadline.min(longest));
@@ -112,7 +113,7 @@
         }
         self.queued.insert(request.id, queued);
         let lanes = self.lanes.entry(request.target.clone()).or_default();
-        lanes.has_news = true;
+        lanes.needs_scan = true;
         let lane = lanes.of_mut(request.class);
         let waiting = Waiting {
             expires_at,
@@ -125,7 +126,7 @@
         }
     }
 
-    pub(crate) fn forget_queued(&mut self, request: &WorkRequest) {
+    pub(crate) fn remove_queued(&mut self, request: &WorkRequest) {
         self.queued.swap_remove(&request.id);
         if let Some(entry) = self.entries.get_mut(&request.catalogue_entry) {
             entry.limiter.queued = entry.limiter.queued.saturating_sub(1);
@@ -142,7 +143,8 @@
             })
     }
 
-    /// Starts the first request of a lane that can start, resumes first.
+    /// Removes the first request of a lane that can start and returns it with its endpoint. Resumes
+    /// are tried first.
     pub(crate) fn start_in_lane(
         &mut self,
         now: ClockMs,
@@ -153,7 +155,7 @@
         if lanes.is_idle() {
             return None;
         }
-        // The lane is taken out so that its requests can be tried against the rest.
+        // The lane is moved out of `self` because `try_start` borrows the rest of the router.
         let mut taken = std::mem::take(lanes.of_mut(class));
         let started = taken
             .start_resume(|request| self.try_start(now, request))
@@ -170,19 +172,19 @@
         &mut self,
         now: ClockMs,
         request: &WorkRequest,
-    ) -> Trial<EndpointIndex> {
+    ) -> StartAttempt<EndpointIndex> {
         if !self.may_start(now, request) {
-            return Trial::Skipped;
+            return StartAttempt::Skipped;
         }
         if let Some(index) = self.choose(now, request) {
-            return Trial::Started(index);
+            return StartAttempt::Started(index);
         }
         let entry = self.entries.get(&request.catalogue_entry);
-        let is_choosy = entry.is_none_or(|entry| !entry.zones.is_empty());
-        if is_choosy || !request.tried.is_empty() {
-            Trial::Skipped
+        let is_constrained = entry.is_none_or(|entry| !entry.zones.is_empty());
+        if is_constrained || !request.tried.is_empty() {
+            StartAttempt::Skipped
         } else {
-            Trial::Stopped
+            StartAttempt::Stopped
         }
     }
 }
--- a/crates/masticsill_routing/tests/class_slots.rs
+++ b/crates/masticsill_routing/tests/class_slots.rs
@@ -1,9 +1,11 @@
-//! Lookups and drafts each find slots, whatever the other does.
+//! Neither class can starve the other: each finds reserved slots, whatever the other's load.
 
 mod support;
 
 use assert_matches::assert_matches;
-use masticsill_routing::{Admit, Dequeued, LocalLimits, PlacementPolicy, WorkKind, WorkOutcome};
+use masticsill_routing::{
+    AdmitDecision, Dequeued, LocalLimits, PlacementPolicy, WorkKind, WorkOutcome,
+};
 use masticsill_types::{Class, ClockMs, GenerationId, RefusalKind};
 use support::{Fleet, request, router_with, set_limits};
 
@@ -48,7 +50,7 @@
             );
         }
         fleet.tick();
-        // Only once lookups are refused do they fill every slot that they may use.
+        // Lookups are refused only after they have filled every slot that they may use.
         if round == 2_000 {
             assert!(
                 fleet.tally.refused.len() > 100,
@@ -72,15 +74,15 @@
     let now = ClockMs(0);
     for id in 0..3 {
         let wanted = request(id, "fliesenwerk", Class::PatientDraft, 100);
-        assert_matches!(router.admit(now, wanted), Admit::Start(_));
+        assert_matches!(router.admit(now, wanted), AdmitDecision::Start(_));
     }
     let queued = request(10, "fliesenwerk", Class::PatientDraft, 100);
-    assert_eq!(router.admit(now, queued), Admit::Queued);
+    assert_eq!(router.admit(now, queued), AdmitDecision::Queued);
     let mut resumed = request(11, "kwaet-thang", Class::PatientDraft, 100);
     resumed.kind = WorkKind::Resume;
-    assert_eq!(router.admit(now, resumed.clone()), Admit::Queued);
+    assert_eq!(router.admit(now, resumed.clone()), AdmitDecision::Queued);
     let new = request(12, "kwaet-thang", Class::PatientDraft, 100);
-    assert_matches!(router.admit(now, new), Admit::Refused(refusal) if {
+    assert_matches!(router.admit(now, new), AdmitDecision::Refused(refusal) if {
         assert!(refusal.retry_after_ms.is_some());
         refusal.kind == RefusalKind::Overloaded
     });
@@ -93,10 +95,10 @@
 }
 
 #[test]
-fn a_lost_zone_cuts_no_generation_and_no_lookup_fails() {
+fn zone_loss_refuses_no_generation_and_no_lookup() {
     let mut fleet = fleet(9);
     let mut id = 0;
-    // 80% of 9 × 14 draft slots.
+    // 100 drafts are 80% of 9 × 14 draft slots.
     for _ in 0..100 {
         id += 1;
         fleet.offer(0, request(id, "fliesenwerk", Class::PatientDraft, 400), 400);
--- a/crates/masticsill_runtime/src/lib.rs
+++ b/crates/masticsill_runtime/src/lib.rs
@@ -1,13 +1,15 @@
-//! Threads, bounded rings, RPC listeners and clients, metrics and signals.
+//! Building blocks of a process: threads, bounded queues, RPC and HTTP listeners, logging, metrics
+//! and signals.
 //!
-//! A process is a set of duties, each on a thread of its own, joined by [`Ring`]s.
+//! A process is a set of duties: long-running tasks, each on a thread of its own, that pass items
+//! to each other through [`Ring`]s.
 
 mod cluster;
 mod duty;
 pub mod events;
 mod http;
 mod http_client;
-mod log_pacer;
+mod log_rate_limiter;
 mod logging;
 mod metrics;
 mod ring;
@@ -16,11 +18,11 @@
 mod structured;
 mod text_metrics;
 
-pub use cluster::{ClusterTag, cluster_tag, join_cluster};
+pub use cluster::{ClusterTag, cluster_tag, set_process_cluster};
 pub use duty::{DutyHandle, spawn_async_duty, spawn_duty};
 pub use http::HttpHost;
 pub use http_client::is_unsent;
-pub use log_pacer::LogPacer;
+pub use log_rate_limiter::LogRateLimiter;
 pub use logging::start_logging;
 pub use metrics::{Metrics, MetricsError};
 pub use ring::{Ring, RingFull};
--- a/crates/masticsill_session/src/returning.rs
+++ b/crates/masticsill_session/src/reconnect.rs
@@ -1,18 +1,19 @@
-//! Callers that come back, and generations that change their entry.
+//! Reconnecting callers, and generations that move to another entry node.
 
 use masticsill_generation::Record;
 use masticsill_routing::WorkOutcome;
 use masticsill_types::{AttemptState, ClockMs, GenerationId, NodeId, Refusal, RefusalKind};
 use masticsill_wire::agent::{AttachReply, AttachRequest, PullCursor};
 
-use crate::book::{Action, Found, SessionBook, superseded};
 use crate::caller::{AnswerSink, Caller};
 use crate::position::{HolderHint, Position};
 use crate::session::{Phase, Session};
-use crate::work::describe_work;
+use crate::session_table::{Action, SearchResult, SessionTable, superseded};
+use crate::work_request::build_work_request;
 
-impl SessionBook {
-    /// Continues a generation for a caller that came back.
+impl SessionTable {
+    /// Resumes a generation for a caller that reconnected. If this entry node does not have the
+    /// generation, a search for its record is started.
     pub fn reattach(&mut self, now: ClockMs, position: Position, sink: Box<dyn AnswerSink>) {
         let Some(session) = self.sessions.get_mut(&position.id) else {
             self.search(position, sink);
@@ -21,7 +22,7 @@
         let mut caller = Caller::new(sink, position.next_index);
         if !session
             .record
-            .continues(position.lineage, position.next_index)
+            .can_resume(position.lineage, position.next_index)
         {
             caller.refuse(record_lost());
             return;
@@ -30,23 +31,23 @@
             caller.refuse(refusal);
             return;
         }
-        if let Some(mut former) = session.caller.replace(caller) {
-            former.refuse(superseded());
+        if let Some(mut previous) = session.caller.replace(caller) {
+            previous.refuse(superseded());
         }
-        session.since = now;
+        session.last_activity_at = now;
         self.deliver(now, position.id);
     }
 
-    /// Takes the result of a search.
-    pub fn found(&mut self, now: ClockMs, id: GenerationId, found: Found) {
+    /// Handles the result of a search.
+    pub fn search_finished(&mut self, now: ClockMs, id: GenerationId, found: SearchResult) {
         let Some((position, sink)) = self.searches.swap_remove(&id) else {
             return;
         };
         let mut caller = Caller::new(sink, position.next_index);
         let (agent, snapshot) = match found {
-            Found::AtAgent(agent, snapshot) => (Some(agent), snapshot),
-            Found::AtEntry(snapshot) => (None, snapshot),
-            Found::Nowhere => {
+            SearchResult::AtAgent(agent, snapshot) => (Some(agent), snapshot),
+            SearchResult::AtEntry(snapshot) => (None, snapshot),
+            SearchResult::NotFound => {
                 caller.refuse(record_lost());
                 return;
             }
@@ -55,8 +56,8 @@
             caller.refuse(record_lost());
             return;
         };
-        // A later caller may have taken the place of the one that was searched for.
-        if !record.continues(position.lineage, position.next_index) {
+        // While the search ran, a later connection may have replaced the one that started it.
+        if !record.can_resume(position.lineage, position.next_index) {
             caller.refuse(record_lost());
             return;
         }
@@ -66,12 +67,12 @@
         self.resume_found(now, id, agent);
     }
 
-    /// Gives a generation up to another entry, to which its caller came back.
+    /// Releases a generation to another entry node, to which its caller reconnected.
     pub fn release(&mut self, now: ClockMs, request: &AttachRequest) -> AttachReply {
         let Some(session) = self.sessions.get_mut(&request.id) else {
             return AttachReply::Unknown;
         };
-        if !session.record.continues(request.seen, request.next_index) {
+        if !session.record.can_resume(request.seen, request.next_index) {
             return AttachReply::Behind;
         }
         session.record.change_owner(request.nonce);
@@ -79,8 +80,8 @@
         if let Some(mut caller) = session.caller.take() {
             caller.refuse(superseded());
         }
-        // The attempt is not cancelled: its new owner may go on with it.
-        if let Some(agent) = self.end_work(now, request.id, WorkOutcome::Cancelled) {
+        // The attempt is not cancelled, because the new owner may continue it.
+        if let Some(agent) = self.release_slot(now, request.id, WorkOutcome::Cancelled) {
             self.actions.push(Action::Unfollow(agent, request.id));
         }
         self.sessions.swap_remove(&request.id);
@@ -88,8 +89,8 @@
     }
 
     fn search(&mut self, position: Position, sink: Box<dyn AnswerSink>) {
-        let former = self.searches.insert(position.id, (position, sink));
-        match former {
+        let previous = self.searches.insert(position.id, (position, sink));
+        match previous {
             Some((seen, sink)) => Caller::new(sink, seen.next_index).refuse(superseded()),
             None => self.actions.push(Action::Search(position)),
         }
@@ -109,7 +110,7 @@
                 };
                 session.holder = HolderHint::from(&agent);
                 session.phase = Phase::Following(agent.clone());
-                let request = describe_work(session);
+                let request = build_work_request(session);
                 self.router.adopt(now, &request, &agent);
                 self.actions.push(Action::Follow(agent, cursor));
                 self.deliver(now, id);
--- a/crates/masticsill_session/tests/sessions/support.rs
+++ b/crates/masticsill_session/tests/sessions/support.rs
@@ -1,4 +1,4 @@
-//! A book with two fake engines and sinks that remember what they were offered.
+//! A session table with fake agents, and sinks that record the items offered to them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,7 +8,8 @@
     BackEndTarget, EndpointDescription, EntryPolicy, LocalLimits, RouterConfig,
 };
 use masticsill_session::{
-    Action, AnswerSink, BookConfig, Endpoint, Position, SessionBook, StreamItem, Submission,
+    Action, AnswerSink, Endpoint, Position, SessionTable, SessionTableConfig, StreamItem,
+    Submission,
 };
 use masticsill_types::{
     AttemptState, Class, ClockMs, EndpointKind, EntryId, GenerationId, GenerationSpec, Incarnation,
@@ -18,7 +19,7 @@
 use masticsill_wire::agent::{Progress, ProgressState, StartReply, StartRequest};
 
 pub(crate) const REATTACH_MS: u64 = 1_000;
-pub(crate) const WAITING_MS: u64 = 3_000;
+pub(crate) const UNSERVED_TIMEOUT_MS: u64 = 3_000;
 
 #[derive(Debug)]
 struct SinkState {
@@ -27,7 +28,7 @@
     room: Cell<usize>,
 }
 
-/// A caller that takes up to `room` items.
+/// A caller's sink that accepts up to `room` items.
 #[derive(Clone, Debug)]
 pub(crate) struct FakeSink(Rc<SinkState>);
 
@@ -44,7 +45,7 @@
         self.0.is_closed.set(true);
     }
 
-    pub(crate) fn make_room(&self, room: usize) {
+    pub(crate) fn add_room(&self, room: usize) {
         self.0.room.set(self.0.room.get() + room);
     }
 
@@ -94,41 +95,42 @@
     }
 }
 
-/// A book that knows the agents `a` and `b`.
-pub(crate) struct World {
-    pub(crate) book: SessionBook,
+/// A session table, by default with the agents `a` and `b`, and the current time.
+pub(crate) struct Fixture {
+    pub(crate) table: SessionTable,
     pub(crate) now: ClockMs,
 }
 
-impl World {
+impl Fixture {
     pub(crate) fn new() -> Self {
-        let mut world = Self::without_agents();
-        world.set_agents(&["a", "b"], 4);
-        world
+        let mut fixture = Self::without_agents();
+        fixture.set_agents(&["a", "b"], 4);
+        fixture
     }
 
     pub(crate) fn without_agents() -> Self {
-        let mut book = SessionBook::new(BookConfig {
+        let mut table = SessionTable::new(SessionTableConfig {
             max_sessions: 4,
             node: node("entry"),
             reattach_ms: REATTACH_MS,
             router: RouterConfig::in_zone(zone()),
             seed: 1,
-            waiting_ms: WAITING_MS,
+            unserved_timeout_ms: UNSERVED_TIMEOUT_MS,
         });
         let now = ClockMs(1_000);
-        book.router_mut()
+        table
+            .router_mut()
             .set_entry(now, &spec().catalogue_entry, policy());
-        Self { book, now }
+        Self { table, now }
     }
 
-    /// Replaces the agents by first lives of those named.
+    /// Replaces the agents by the first incarnations of those named.
     pub(crate) fn set_agents(&mut self, names: &[&str], slots: u32) {
         let members = names.iter().map(|name| (node(name), endpoint(slots)));
         self.replace_agents(members.collect());
     }
 
-    /// Lets an agent begin its second life.
+    /// Replaces all agents by the second incarnation of one agent.
     pub(crate) fn restart_agent(&mut self, name: &str, slots: u32) {
         let mut restarted = endpoint(slots);
         restarted.description.incarnation = Incarnation(2);
@@ -136,8 +138,8 @@
     }
 
     fn replace_agents(&mut self, members: IndexMap<NodeId, Endpoint>) {
-        for lost in self.book.replace_endpoints(members) {
-            self.book.life_ended(self.now, &lost);
+        for lost in self.table.replace_endpoints(members) {
+            self.table.incarnation_ended(self.now, &lost);
         }
     }
 
@@ -150,46 +152,47 @@
             sink: Box::new(sink.clone()),
             spec,
         };
-        self.book.submit(self.now, submission, 7);
-        self.book.settle(self.now);
+        self.table.submit(self.now, submission, 7);
+        self.table.dispatch_queued(self.now);
     }
 
-    /// The attempts that were started since the last look.
-    pub(crate) fn started(&mut self) -> Vec<Started> {
-        let actions = self.book.take_actions().into_iter();
-        let starts = actions.filter_map(|action| match action {
+    /// Takes the attempts started since the last call; other actions are dropped.
+    pub(crate) fn take_started(&mut self) -> Vec<Started> {
+        let actions = self.table.take_actions().into_iter();
+        let take_starts = actions.filter_map(|action| match action {
             Action::Start(agent, request) => Some((agent, *request)),
             _ => None,
         });
-        starts.collect()
+        take_starts.collect()
     }
 
-    /// The agents and generations of [`World::started`].
-    pub(crate) fn starts(&mut self) -> Vec<(NodeId, u128)> {
-        let started = self.started().into_iter();
+    /// As [`Fixture::take_started`], but returns only the agents and generations.
+    pub(crate) fn take_starts(&mut self) -> Vec<(NodeId, u128)> {
+        let started = self.take_started().into_iter();
         started
             .map(|(agent, request)| (agent, request.spec.id.0))
             .collect()
     }
 
-    /// The one start among the actions, with its agent.
-    pub(crate) fn taken_start(&mut self) -> Started {
-        let mut starts = self.started().into_iter();
-        starts.next().expect("an attempt is started")
+    /// Takes the first attempt started since the last call, with its agent.
+    pub(crate) fn take_start(&mut self) -> Started {
+        let mut take_starts = self.take_started().into_iter();
+        take_starts.next().expect("an attempt is started")
     }
 
     pub(crate) fn reply(&mut self, started: &Started, reply: &StartReply) {
         let (agent, request) = started;
         let lineage = request.history.last().expect("a history").lineage;
         let id = request.spec.id;
-        self.book.start_replied(self.now, agent, id, lineage, reply);
+        self.table
+            .start_replied(self.now, agent, id, lineage, reply);
     }
 
     pub(crate) fn accept(&mut self, started: &Started) {
         self.reply(started, &StartReply::Accepted);
     }
 
-    pub(crate) fn push(
+    pub(crate) fn push_progress(
         &mut self,
         started: &Started,
         first_index: u32,
@@ -197,23 +200,23 @@
         state: AttemptState,
     ) {
         let (agent, request) = started;
-        let news = Progress {
+        let update = Progress {
             first_index: TokenIndex(first_index),
             id: request.spec.id,
             lineage: request.history.last().expect("a history").lineage,
             state: ProgressState::Attempt(state),
             tokens: tokens.iter().map(|bytes| token(bytes)).collect(),
         };
-        self.book.progress(self.now, agent, news);
+        self.table.progress(self.now, agent, update);
     }
 
-    pub(crate) fn pass(&mut self, duration_ms: u64) {
+    pub(crate) fn advance(&mut self, duration_ms: u64) {
         self.now = self.now + duration_ms;
-        self.book.tick(self.now);
+        self.table.tick(self.now);
     }
 }
 
-/// An attempt as it was started, with its agent.
+/// The agent and the start request of an attempt.
 pub(crate) type Started = (NodeId, StartRequest);
 
 pub(crate) fn node(name: &str) -> NodeId {
